--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -23,16 +23,12 @@
 pub struct Admitted {
     /// The request.
     pub call: Call,
-    /// Configuration under which it was admitted.
-    pub configuration: Rc<Configuration>,
     /// Its route.
     pub route: Rc<Route>,
     /// Service that the route's split gave it.
     pub service: Rc<Service>,
     /// Account, unless the route is public.
     pub account: Option<Rc<Account>>,
-    /// When it was read.
-    pub received: Instant,
     /// When it has to be over.
     pub deadline: Instant,
     /// Whether its run has been counted as used.
@@ -64,11 +60,9 @@
     context.note_request(&service.name, now);
     Ok(Admitted {
         call: Call { head, body },
-        configuration: configuration.clone(),
         route,
         service,
         account,
-        received,
         deadline,
         counted: Cell::new(false),
     })
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -221,7 +221,6 @@
         left: Some(admitted.deadline.saturating_duration_since(now)),
         priority: admitted.service.engine.is_some().then_some(priority),
         last_event: continued,
-        copied_from: None,
     };
     ingress::replica_request(&admitted.call, &attempt, Full::new(admitted.call.body.clone()))
 }
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -64,10 +64,6 @@
     pub slots: u32,
     /// Tokens that a replica's memory holds.
     pub memory_tokens: u64,
-    /// Whether a running request can be moved to another replica with its memory.
-    pub moves: bool,
-    /// Tokens in one event of a stream.
-    pub tokens_per_event: u32,
 }
 
 /// How many replicas may be ordered, and at what price.
@@ -90,10 +86,6 @@
 pub struct Service {
     /// Name.
     pub name: SharedName,
-    /// Path at which a replica tells its health.
-    pub health_path: SharedName,
-    /// Connections that a replica takes from all daemons together.
-    pub connections: u32,
     /// Engine, if it generates tokens.
     pub engine: Option<EngineSpec>,
     /// Fleet, if its replicas are ordered by the gateway.
@@ -131,7 +123,8 @@
     pub head_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head.
+    /// Longest time for a head. Read from the configuration and not enforced by itself: a head
+    /// that never ends is cut off with an idle connection (docs/findings.md).
     pub head_time: Duration,
     /// Longest time that a connection may rest.
     pub idle_time: Duration,
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -20,8 +20,6 @@
     pub name: SharedName,
     /// Availability zone of the daemon.
     pub zone: SharedName,
-    /// All availability zones of the deployment.
-    pub zones: Vec<SharedName>,
     /// Where clients connect.
     pub client_address: SocketAddr,
     /// Where the balancer asks whether the daemon takes new connections.
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -4,7 +4,6 @@
 
 pub mod cloud;
 pub mod configuration;
-pub mod engine;
 pub mod ingress;
 pub mod replicas;
 pub mod settings;
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -70,8 +70,6 @@
 #[serde(rename_all = "kebab-case")]
 struct ServiceSpec {
     name: SharedName,
-    health_path: Option<SharedName>,
-    max_conns: Option<u32>,
     engine: Option<EngineSection>,
     autoscale: Option<AutoscaleSection>,
 }
@@ -81,9 +79,6 @@
 struct EngineSection {
     slots: u32,
     kv_capacity: u64,
-    #[serde(default)]
-    moves: bool,
-    stride: Option<u32>,
 }
 
 #[derive(Deserialize)]
@@ -181,13 +176,9 @@
 }
 
 fn to_service(spec: ServiceSpec) -> Service {
-    const DEFAULT_CONNECTIONS: u32 = 100;
-    let engine = spec.engine.map(|engine| EngineSpec {
-        slots: engine.slots.max(1),
-        memory_tokens: engine.kv_capacity,
-        moves: engine.moves,
-        tokens_per_event: engine.stride.unwrap_or(1).max(1),
-    });
+    let engine = spec
+        .engine
+        .map(|engine| EngineSpec { slots: engine.slots.max(1), memory_tokens: engine.kv_capacity });
     let fleet = spec.autoscale.map(|fleet| FleetSpec {
         least: fleet.min,
         most: fleet.max.max(fleet.min),
@@ -195,13 +186,7 @@
         reclaimable_price: fleet.spot_price,
         zone_prices: fleet.zone_prices.into_iter().collect(),
     });
-    Service {
-        name: spec.name,
-        health_path: spec.health_path.unwrap_or_else(|| "/health".into()),
-        connections: spec.max_conns.unwrap_or(DEFAULT_CONNECTIONS),
-        engine,
-        fleet,
-    }
+    Service { name: spec.name, engine, fleet }
 }
 
 fn to_account(spec: TenantSpec) -> Account {
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -24,7 +24,6 @@
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
 const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 const KV_FROM: HeaderName = HeaderName::from_static("kv-from");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const KEY_SCHEME: &str = "Token ";
@@ -236,8 +235,6 @@
     pub priority: Option<u8>,
     /// Last event that need not be sent again.
     pub last_event: Option<u64>,
-    /// Address and handle of a copy of the run's memory.
-    pub copied_from: Option<&'a str>,
 }
 
 /// Builds the request of one attempt; method, path and body stay as the client sent them.
@@ -266,9 +263,6 @@
     if let Some(last) = attempt.last_event {
         set(LAST_EVENT, last.to_string());
     }
-    if let Some(source) = attempt.copied_from {
-        set(KV_FROM, source.to_owned());
-    }
     request
 }
 
@@ -285,22 +279,11 @@
     Foreign,
 }
 
-/// Load that a replica tells in its answers.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerLoad {
-    /// Requests that run.
-    pub running: u32,
-    /// Requests that wait.
-    pub waiting: u32,
-}
-
 /// What a replica's answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerSigns {
     /// Meaning for the request.
     pub meaning: AnswerMeaning,
-    /// Load, if told.
-    pub load: Option<AnswerLoad>,
     /// Time that the replica keeps the connection open, if told.
     pub keep: Option<Duration>,
     /// Whether the connection ends with this answer.
@@ -320,12 +303,7 @@
     let closes = text(headers, &header::CONNECTION).is_some_and(|value| {
         value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"))
     });
-    AnswerSigns { meaning, load: read_load(headers), keep: read_keep(headers), closes }
-}
-
-fn read_load(headers: &HeaderMap) -> Option<AnswerLoad> {
-    let mut parts = text(headers, &SERVER_LOAD)?.split(',').map(|part| part.trim().parse());
-    Some(AnswerLoad { running: parts.next()?.ok()?, waiting: parts.next()?.ok()? })
+    AnswerSigns { meaning, keep: read_keep(headers), closes }
 }
 
 fn read_keep(headers: &HeaderMap) -> Option<Duration> {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,6 +1,6 @@
 //! The platform's settings file.
 
-use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
+use std::{net::SocketAddr, time::Duration};
 
 use derive_more::{Display, Error};
 use serde::Deserialize;
@@ -38,8 +38,6 @@
 struct SettingsFile {
     node: SharedName,
     zone: SharedName,
-    #[serde(default)]
-    zones: BTreeMap<SharedName, SharedName>,
     listen: ListenSection,
     #[serde(default)]
     seeds: Vec<SocketAddr>,
@@ -114,7 +112,6 @@
     Ok(GatewaySettings {
         name: file.node,
         zone: file.zone,
-        zones: file.zones.into_keys().collect(),
         client_address: file.listen.front,
         readiness_address: file.listen.readiness,
         peer_address: file.listen.control,
--- a/tests/gateway/decoders.rs
+++ b/tests/gateway/decoders.rs
@@ -7,7 +7,7 @@
 use willowarch::{
     gateway::{configuration::RouteKind, replica::ReplicaState},
     platform::{
-        configuration, engine,
+        configuration,
         ingress::{AnswerMeaning, HeadError, read_answer, read_head},
         replicas, settings, store,
     },
@@ -83,13 +83,6 @@
     expect_that!(at, eq(12));
 }
 
-#[googletest::test]
-fn moves_are_read() {
-    let read = engine::decode_move(br#"{"handle":"h-1","made":12}"#).expect("decodes");
-    expect_that!(&*read.handle, eq("h-1"));
-    expect_that!(read.made, eq(12));
-}
-
 #[googletest::test]
 fn settings_name_what_is_wrong() {
     let error = settings::parse("{}").expect_err("refused").to_string();
@@ -201,8 +194,6 @@
         let _ = store::decode_object(&bytes);
         let _ = store::decode_page(&bytes);
         let _ = store::decode_watch(&bytes);
-        let _ = engine::decode_report(&bytes);
-        let _ = engine::decode_move(&bytes);
         let _ = settings::parse(&String::from_utf8_lossy(&bytes));
     }
 
