--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -1,7 +1,7 @@
 //! Other daemons, as far as this one knows.
 
 use std::{
-    collections::{BTreeSet, HashMap},
+    collections::{BTreeMap, BTreeSet},
     net::SocketAddr,
     time::Duration,
 };
@@ -66,8 +66,9 @@
 #[derive(Debug)]
 pub struct PeerTable {
     own: SocketAddr,
-    peers: HashMap<SocketAddr, PeerRecord>,
-    addresses: HashMap<SocketAddr, AddressState>,
+    // NOTE: ordered maps, so that random picks from them repeat with the generator's seed.
+    peers: BTreeMap<SocketAddr, PeerRecord>,
+    addresses: BTreeMap<SocketAddr, AddressState>,
     seeds: BTreeSet<SocketAddr>,
     neighbours: Neighbours,
     stranger_at: Option<Instant>,
@@ -89,7 +90,7 @@
         let addresses = seeds.iter().map(|seed| (*seed, AddressState::default())).collect();
         Self {
             own,
-            peers: HashMap::new(),
+            peers: BTreeMap::new(),
             addresses,
             seeds,
             neighbours: Neighbours::of(&own, &[]),
--- a/src/gateway/policy/quota.rs
+++ b/src/gateway/policy/quota.rs
@@ -13,7 +13,7 @@
 //! size of a request.
 
 use std::{
-    collections::{BTreeSet, HashMap},
+    collections::{BTreeMap, BTreeSet, HashMap},
     time::Duration,
 };
 
@@ -85,8 +85,9 @@
     filled_at: Option<Instant>,
     own: AccountTally,
     own_asked: AskedRate,
-    /// What others have told of, by the start of their processes.
-    heard: HashMap<TallySource, HeardSpending>,
+    /// What others have told of, by the start of their processes; ordered, so that sums over
+    /// it are rounded the same way every time.
+    heard: BTreeMap<TallySource, HeardSpending>,
     /// What others of the own row have told of.
     row_heard: AccountTally,
 }
--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -172,7 +172,11 @@
     const MOST_IN_WINDOW: u64 = 99_000;
 
     fn new(daemons: usize) -> Self {
-        let mut fleet = TestFleet::new(daemons);
+        Self::with_seed(daemons, 7)
+    }
+
+    fn with_seed(daemons: usize, seed: u64) -> Self {
+        let mut fleet = TestFleet::with_seed(daemons, seed);
         fleet.run(Duration::from_secs(10));
         Self { begun: fleet.now(), fleet, admitted: Vec::new(), asked: 0 }
     }
@@ -211,6 +215,16 @@
     }
 }
 
+/// Seeds 8, 9 and 10 of 1 to 12 break the bound at this size; one of them stands for all.
+#[googletest::test]
+fn quota_holds_over_three_hundred_daemons_with_unlucky_draws() {
+    const UNLUCKY_SEED: u64 = 8;
+    let mut account = CrowdedAccount::with_seed(300, UNLUCKY_SEED);
+    account.press(3.0, Duration::from_secs(20));
+    let most = busiest_window(&account.admitted);
+    expect_that!(most, le(CrowdedAccount::MOST_IN_WINDOW));
+}
+
 #[googletest::test]
 fn quota_holds_when_one_account_sends_many_times_its_usual() {
     for count in [9, 87] {
--- a/tests/gateway/rows.rs
+++ b/tests/gateway/rows.rs
@@ -57,6 +57,11 @@
 impl TestFleet {
     /// Daemons that have just started; they know three seeds.
     pub fn new(count: usize) -> Self {
+        Self::with_seed(count, 7)
+    }
+
+    /// The same with other draws.
+    pub fn with_seed(count: usize, seed: u64) -> Self {
         let now = Instant::now();
         let seeds: Vec<SocketAddr> = (0..3.min(count)).map(address).collect();
         let daemon = |place: usize| TestDaemon {
@@ -72,7 +77,7 @@
             daemons: (0..count).map(daemon).collect(),
             places: (0..count).map(|place| (address(place), place)).collect(),
             now,
-            rng: SmallRng::seed_from_u64(7),
+            rng: SmallRng::seed_from_u64(seed),
             calls: 0,
             account: "reader".into(),
         }
