--- a/src/control/gateway.rs
+++ b/src/control/gateway.rs
@@ -26,8 +26,8 @@
 pub fn render_state(state: &GatewayState) -> String {
     let age = |age: Option<u64>| age.map_or("never".to_owned(), |age| format!("{age} ms"));
     let ready = if state.ready { "ready" } else { "not ready" };
-    let replicas: Vec<String> =
-        state.replicas_ready.iter().map(|(service, count)| format!("{service} {count}")).collect();
+    let endpoints: Vec<String> =
+        state.endpoints_ready.iter().map(|(service, count)| format!("{service} {count}")).collect();
     format!(
         "{} ({}) {ready}, {} active; configuration {} (revision {}, proven {} ago); \
          replicas at revision {}: {}, {} draining; daemons {} of {}; lease {} fence {} ({} ago)",
@@ -37,9 +37,9 @@
         state.configuration_version,
         state.configuration_revision,
         age(state.proof_age_ms),
-        state.replica_revision,
-        replicas.join(", "),
-        state.replicas_draining,
+        state.endpoint_revision,
+        endpoints.join(", "),
+        state.endpoints_draining,
         state.daemons_heard,
         state.daemons_known,
         state.lease_holder.as_deref().unwrap_or("(none known)"),
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -13,7 +13,7 @@
     Once,
     /// Answers with a stream of events; may be continued elsewhere only where `resume`.
     Stream {
-        /// Whether another replica may continue after the last event.
+        /// Whether another endpoint may continue after the last event.
         resume: bool,
     },
 }
@@ -51,7 +51,7 @@
     pub priority: u8,
     /// Services with their weights.
     pub split: Vec<(SharedName, u32)>,
-    /// Most replicas that one request may go to.
+    /// Most endpoints that one request may go to.
     pub attempts: u32,
     /// Whether no key is asked for.
     pub public: bool,
@@ -60,24 +60,24 @@
 /// Engine model of a service that generates tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that a replica works on at once.
+    /// Requests that an endpoint works on at once.
     pub slots: u32,
-    /// Tokens that a replica's memory holds.
+    /// Tokens that an endpoint's memory holds.
     pub memory_tokens: u64,
 }
 
-/// How many replicas may be ordered, and at what price.
+/// How many endpoints may be ordered, and at what price.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSpec {
-    /// Fewest replicas in each zone.
+    /// Fewest endpoints in each zone.
     pub least: u32,
-    /// Most replicas in each zone.
+    /// Most endpoints in each zone.
     pub most: u32,
-    /// Time until a new replica serves.
+    /// Time until a new endpoint serves.
     pub start_time: Duration,
-    /// Price of a reclaimable replica as a share of the others'; none if there are none.
+    /// Price of a reclaimable endpoint as a share of the others'; none if there are none.
     pub reclaimable_price: Option<f64>,
-    /// Price of a replica second in each zone.
+    /// Price of an endpoint second in each zone.
     pub zone_prices: Vec<(SharedName, f64)>,
 }
 
@@ -88,7 +88,7 @@
     pub name: SharedName,
     /// Engine, if it generates tokens.
     pub engine: Option<EngineSpec>,
-    /// Fleet, if its replicas are ordered by the gateway.
+    /// Fleet, if its endpoints are ordered by the gateway.
     pub fleet: Option<FleetSpec>,
 }
 
--- a/src/gateway/configuration_check.rs
+++ b/src/gateway/configuration_check.rs
@@ -29,7 +29,7 @@
     /// A request that may run once only is given several attempts.
     #[display("route {_0}: attempts above 1 have no effect on non_idempotent routes")]
     UselessAttempts(SharedName),
-    /// A fleet can never hold a replica.
+    /// A fleet can never hold an endpoint.
     #[display("service {_0}: autoscale.max is 0")]
     EmptyFleet(SharedName),
 }
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -12,14 +12,14 @@
 
 use super::{
     configuration::Configuration,
-    endpoint::ReplicaList,
+    endpoint::EndpointList,
     gossip::peer_table::PeerTable,
     policy::{
-        catch_up::BehindTable,
-        endpoint_choice::ReplicaTable,
-        leader_lease::LeaseView,
+        catch_up::CatchUpState,
+        endpoint_choice::EndpointTable,
+        leader_lease::LeaderLease,
         quota::{QuotaLedger, QuotaSharing},
-        retry_budget::RepeatBudget,
+        retry_budget::RetryBudget,
         usage_counts::UsageCounts,
         wall_clock::SteadyWallClock,
     },
@@ -71,23 +71,23 @@
     pub store: platform::store::StoreClient,
     /// Configuration in force.
     pub configuration: RefCell<ConfigurationState>,
-    /// Replicas as listed.
-    pub replica_list: RefCell<ReplicaList>,
-    /// What is known of the replicas.
-    pub replicas: RefCell<ReplicaTable>,
+    /// Endpoints as listed.
+    pub endpoint_list: RefCell<EndpointList>,
+    /// What is known of the endpoints.
+    pub endpoints: RefCell<EndpointTable>,
     /// Quotas of accounts.
     pub quotas: RefCell<QuotaLedger>,
     /// Budgets of repeats, by service.
-    pub budgets: RefCell<HashMap<SharedName, RepeatBudget>>,
+    pub retry_budgets: RefCell<HashMap<SharedName, RetryBudget>>,
     /// Counts of requests that began to run.
     pub usage: RefCell<UsageCounts>,
     /// Other daemons.
     pub peers: RefCell<PeerTable>,
     /// What others hold that is newer.
-    pub behind: RefCell<BehindTable>,
+    pub catch_up: RefCell<CatchUpState>,
     /// What is known of the lease of the duties.
-    pub lease: RefCell<LeaseView>,
-    /// Connections to replicas.
+    pub lease: RefCell<LeaderLease>,
+    /// Connections to endpoints.
     pub connections: ConnectionPool,
     /// Wall clock for usage windows.
     pub wall_clock: RefCell<SteadyWallClock>,
@@ -171,7 +171,7 @@
         failed.is_some_and(|at| now.saturating_duration_since(at) < STORE_DOUBTED_FOR)
     }
 
-    /// Whether this daemon asks the store itself: it is one of those that do so for its row, or
+    /// Whether this daemon asks the store itself: it is one of those that do so for its group, or
     /// what it hears from them is old.
     pub fn watches_store(&self, now: Instant) -> bool {
         let proof = self.configuration.borrow().proof;
@@ -179,13 +179,13 @@
         !is_fed || self.peers.borrow().is_watcher(now)
     }
 
-    /// Takes a list of replicas, if it is newer than the one held.
-    pub fn take_replicas(&self, list: ReplicaList) -> bool {
-        if list.revision <= self.replica_list.borrow().revision {
+    /// Takes a list of endpoints, if it is newer than the one held.
+    pub fn take_endpoints(&self, list: EndpointList) -> bool {
+        if list.revision <= self.endpoint_list.borrow().revision {
             return false;
         }
-        self.replicas.borrow_mut().set_list(&list);
-        *self.replica_list.borrow_mut() = list;
+        self.endpoints.borrow_mut().set_list(&list);
+        *self.endpoint_list.borrow_mut() = list;
         true
     }
 
@@ -206,20 +206,24 @@
     }
 
     /// Draws one repeat of a service's budget.
-    pub fn draw_repeat(&self, service: &SharedName, now: Instant) -> bool {
+    pub fn try_withdraw_retry(&self, service: &SharedName, now: Instant) -> bool {
         let bounds = &self.settings.bounds;
         let reserve = bounds.retry_reserve / self.sharing(now).known as f64;
-        let mut budgets = self.budgets.borrow_mut();
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
         let window = bounds.retry_window;
-        let budget = budgets.entry(service.clone()).or_insert_with(|| RepeatBudget::new(window));
-        budget.draw(bounds.retry_share, reserve, now)
+        let budget =
+            retry_budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(window));
+        budget.try_withdraw(bounds.retry_share, reserve, now)
     }
 
     /// Counts a client's request for a service.
     pub fn note_request(&self, service: &SharedName, now: Instant) {
         let window = self.settings.bounds.retry_window;
-        let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(service.clone()).or_insert_with(|| RepeatBudget::new(window)).request(now);
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        retry_budgets
+            .entry(service.clone())
+            .or_insert_with(|| RetryBudget::new(window))
+            .request(now);
     }
 
     /// Counts a request of an account that began to run now.
@@ -241,7 +245,7 @@
 
     /// Whether the daemon can serve: it takes new connections.
     pub fn is_ready(&self, now: Instant) -> bool {
-        let listed = self.replica_list.borrow().revision > 0;
+        let listed = self.endpoint_list.borrow().revision > 0;
         let knows = self.configuration().is_some() && self.knows_fleet(now);
         !self.is_leaving() && listed && knows && self.keys_are_fresh(now)
     }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -11,13 +11,13 @@
 
 use super::{
     context::{ConfigurationState, GatewayContext, Intake},
-    endpoint::ReplicaList,
+    endpoint::EndpointList,
     gossip::{exchange, peer_table::PeerTable},
     leader::leader_tasks,
     policy::{
-        catch_up::BehindTable,
-        endpoint_choice::ReplicaTable,
-        leader_lease::LeaseView,
+        catch_up::CatchUpState,
+        endpoint_choice::EndpointTable,
+        leader_lease::LeaderLease,
         quota::{QuotaLedger, QuotaTolerance},
         usage_counts::UsageCounts,
         wall_clock::SteadyWallClock,
@@ -57,7 +57,7 @@
     let clients = server::bind(settings.client_address).await?;
     let readiness = server::bind(settings.readiness_address).await?;
     let metrics = server::bind(settings.metrics_address).await?;
-    let gate = server::bind(settings.peer_address).await?;
+    let peer_listener = server::bind(settings.peer_address).await?;
     let mut kernel = ServiceKernel::new();
     let context = Rc::new(assemble(settings, kernel.handle()));
     let (name, zone) = (&context.settings.name, &context.settings.zone);
@@ -66,8 +66,8 @@
     kernel.start(readiness::METRICS_SERVICE, readiness::show_metrics(metrics, context.clone()));
     let configuration = store_watch::keep_configuration(context.clone());
     kernel.start(store_watch::CONFIGURATION_SERVICE, configuration);
-    kernel.start(store_watch::REPLICA_SERVICE, store_watch::keep_replicas(context.clone()));
-    kernel.start(exchange::GATE_SERVICE, exchange::serve(gate, context.clone()));
+    kernel.start(store_watch::ENDPOINT_SERVICE, store_watch::keep_endpoints(context.clone()));
+    kernel.start(exchange::GATE_SERVICE, exchange::serve(peer_listener, context.clone()));
     kernel.start(exchange::CALLER_SERVICE, exchange::run(context.clone()));
     kernel.start(leader_tasks::NAME, leader_tasks::run(context.clone()));
     kernel.start(client_listener::NAME, client_listener::run(clients, context.clone()));
@@ -90,19 +90,19 @@
         incarnation: IncarnationId::generate(),
         store: StoreClient::new(settings.store_address),
         configuration: RefCell::new(ConfigurationState::default()),
-        replica_list: RefCell::new(ReplicaList::default()),
-        replicas: RefCell::new(ReplicaTable::new(settings.zone.clone())),
+        endpoint_list: RefCell::new(EndpointList::default()),
+        endpoints: RefCell::new(EndpointTable::new(settings.zone.clone())),
         quotas: RefCell::new(QuotaLedger::new(tolerance, now)),
-        budgets: RefCell::new(HashMap::new()),
+        retry_budgets: RefCell::new(HashMap::new()),
         usage: RefCell::new(UsageCounts::default()),
         peers: RefCell::new(PeerTable::new(
             settings.peer_address,
             &settings.seeds,
-            exchange::TURN,
-            exchange::CALLS_IN_TURN,
+            exchange::GOSSIP_INTERVAL,
+            exchange::CALLS_PER_INTERVAL,
         )),
-        behind: RefCell::new(BehindTable::default()),
-        lease: RefCell::new(LeaseView::default()),
+        catch_up: RefCell::new(CatchUpState::default()),
+        lease: RefCell::new(LeaderLease::default()),
         connections: ConnectionPool::new(metrics.clone()),
         wall_clock: RefCell::new(SteadyWallClock::new(wall_clock_ms(), now)),
         metrics,
--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -1,42 +1,42 @@
-//! Replicas as the store lists them.
+//! Endpoints as the store lists them.
 
 use std::{net::SocketAddr, rc::Rc};
 
 use crate::ids::SharedName;
 
-/// Whether a replica takes new requests.
+/// Whether an endpoint takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplicaState {
+pub enum EndpointState {
     /// Takes requests.
     Ready,
     /// Is leaving: takes no new requests.
     Draining,
 }
 
-/// One start of one replica.
+/// One start of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReplicaRecord {
+pub struct EndpointRecord {
     /// Identity of this start; never used again.
     pub id: SharedName,
     /// Service that it belongs to.
     pub service: SharedName,
-    /// Where it listens; may later be another replica's.
+    /// Where it listens; may later be another endpoint's.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: SharedName,
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it takes new requests.
-    pub state: ReplicaState,
+    pub state: EndpointState,
     /// Whether the cloud may take it back.
     pub reclaimable: bool,
 }
 
-/// All replicas at one revision of the store.
+/// All endpoints at one revision of the store.
 #[derive(Clone, Debug, Default)]
-pub struct ReplicaList {
+pub struct EndpointList {
     /// Revision of the store.
     pub revision: u64,
-    /// Replicas in the order of their ids.
-    pub replicas: Vec<Rc<ReplicaRecord>>,
+    /// Endpoints in the order of their ids.
+    pub endpoints: Vec<Rc<EndpointRecord>>,
 }
--- a/src/gateway/gossip/codec.rs
+++ b/src/gateway/gossip/codec.rs
@@ -10,12 +10,12 @@
 
 use capnp::Error;
 
-use super::peer_table::PeerWord;
+use super::peer_table::PeerSummary;
 use crate::{
     exchange_capnp::{daemon_state, news, peer_word},
     gateway::{
-        endpoint::{ReplicaList, ReplicaRecord, ReplicaState},
-        policy::{endpoint_load::LoadSum, quota::AccountTally, usage_counts::WindowCounts},
+        endpoint::{EndpointList, EndpointRecord, EndpointState},
+        policy::{endpoint_load::LoadSum, quota::AccountCounters, usage_counts::WindowCounts},
     },
     ids::{IncarnationId, SharedName},
 };
@@ -39,17 +39,17 @@
     /// Whether it is on its way out.
     pub leaving: bool,
     /// What it has done.
-    pub tally: DaemonTally,
+    pub counters: DaemonCounters,
 }
 
-/// What one daemon, or a row of daemons, has done.
+/// What one daemon, or a group of daemons, has done.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct DaemonTally {
+pub struct DaemonCounters {
     /// Quota units by account, since the daemon that tells of them started.
-    pub accounts: BTreeMap<SharedName, AccountTally>,
+    pub accounts: BTreeMap<SharedName, AccountCounters>,
     /// Requests that began to run, by window and account.
     pub windows: BTreeMap<u64, WindowCounts>,
-    /// Loads, by the numbers of the replicas.
+    /// Loads, by the numbers of the endpoints.
     pub loads: HashMap<u64, LoadSum>,
     /// Prompt tokens sent to be read, by service.
     pub sent: BTreeMap<SharedName, u64>,
@@ -57,7 +57,7 @@
 
 /// Word of the lease of the duties.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LeaseNews {
+pub struct LeaseSummary {
     /// Fence of the holder.
     pub fence: u64,
     /// Name of the holder.
@@ -70,7 +70,7 @@
 
 /// Word of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ConfigurationNews {
+pub struct ConfigurationSummary {
     /// Revision held; 0 if none.
     pub revision: u64,
     /// Its text, where the other side has asked for it.
@@ -81,34 +81,34 @@
 
 /// What an answer should hold beside the usual. Long texts are only sent to who asks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct NewsWants {
-    /// Sums of the row of the daemon that answers.
-    pub row: bool,
+pub struct RequestedParts {
+    /// Sums of the group of the daemon that answers.
+    pub group: bool,
     /// Text of its configuration.
     pub configuration: bool,
-    /// Its list of replicas.
-    pub replicas: bool,
+    /// Its list of endpoints.
+    pub endpoints: bool,
 }
 
 /// All that one side of an exchange tells.
 #[derive(Clone, Debug)]
-pub struct DaemonNews {
+pub struct GossipMessage {
     /// Its state.
     pub state: DaemonState,
     /// Some other daemons.
-    pub known: Vec<PeerWord>,
+    pub known: Vec<PeerSummary>,
     /// The configuration.
-    pub configuration: ConfigurationNews,
-    /// Revision of its list of replicas.
-    pub replica_revision: u64,
+    pub configuration: ConfigurationSummary,
+    /// Revision of its list of endpoints.
+    pub endpoint_revision: u64,
     /// The list, where the other side has asked for it.
-    pub replicas: Option<ReplicaList>,
+    pub endpoints: Option<EndpointList>,
     /// The lease, if any is known.
-    pub lease: Option<LeaseNews>,
+    pub lease: Option<LeaseSummary>,
     /// What the answer should hold beside the usual.
-    pub wants: NewsWants,
-    /// Sums of the row of the daemon that answers.
-    pub row: Option<DaemonTally>,
+    pub wants: RequestedParts,
+    /// Sums of the group of the daemon that answers.
+    pub group: Option<DaemonCounters>,
 }
 
 fn text(reader: capnp::text::Reader<'_>) -> Result<SharedName, Error> {
@@ -129,9 +129,9 @@
 }
 
 /// Writes a tally into the fields that the schema's two structures for it share.
-macro_rules! write_tally {
+macro_rules! write_counters {
     ($target:expr, $source:expr) => {{
-        let (mut target, source): (_, &DaemonTally) = ($target, $source);
+        let (mut target, source): (_, &DaemonCounters) = ($target, $source);
         let mut accounts: Vec<&SharedName> = source.accounts.keys().collect();
         accounts.extend(source.windows.values().flat_map(BTreeMap::keys));
         accounts.sort_unstable();
@@ -164,18 +164,18 @@
             entry.set_tokens(*tokens);
         }
         let mut loads = target.init_loads(source.loads.len() as u32);
-        for (index, (replica, load)) in source.loads.iter().enumerate() {
+        for (index, (endpoint, load)) in source.loads.iter().enumerate() {
             let mut entry = loads.reborrow().get(index as u32);
-            entry.set_replica(*replica);
+            entry.set_replica(*endpoint);
             entry.set_running(load.running);
-            entry.set_prompt_tokens(u32::try_from(load.unread).unwrap_or(u32::MAX));
+            entry.set_prompt_tokens(u32::try_from(load.uncached).unwrap_or(u32::MAX));
             entry.set_memory_tokens(u32::try_from(load.memory).unwrap_or(u32::MAX));
         }
     }};
 }
 
 /// Reads a tally from the fields that the schema's two structures for it share.
-macro_rules! read_tally {
+macro_rules! read_counters {
     ($source:expr) => {{
         let source = $source;
         let accounts = source.get_accounts()?;
@@ -191,7 +191,7 @@
         for load in source.get_loads()? {
             let sum = LoadSum {
                 running: load.get_running(),
-                unread: u64::from(load.get_prompt_tokens()),
+                uncached: u64::from(load.get_prompt_tokens()),
                 memory: u64::from(load.get_memory_tokens()),
             };
             loads.insert(load.get_replica(), sum);
@@ -201,14 +201,14 @@
             sent.insert(text(entry.get_service()?)?, entry.get_tokens());
         }
         let units = source.get_spent()?.iter().zip(source.get_asked()?.iter());
-        let tallies = units.map(|(spent, asked)| AccountTally { spent, asked });
-        let accounts = accounts.iter().cloned().zip(tallies).collect();
-        DaemonTally { accounts, windows, loads, sent }
+        let counters = units.map(|(spent, asked)| AccountCounters { spent, asked });
+        let accounts = accounts.iter().cloned().zip(counters).collect();
+        DaemonCounters { accounts, windows, loads, sent }
     }};
 }
 
 /// Writes a daemon's news.
-pub fn write_news(mut target: news::Builder<'_>, source: &DaemonNews) {
+pub fn write_message(mut target: news::Builder<'_>, source: &GossipMessage) {
     write_state(target.reborrow().init_state(), &source.state);
     let mut known = target.reborrow().init_known(source.known.len() as u32);
     for (index, word) in source.known.iter().enumerate() {
@@ -217,12 +217,12 @@
         entry.set_incarnation(word.incarnation.0);
         entry.set_age_ms(u32::try_from(word.age.as_millis()).unwrap_or(u32::MAX));
     }
-    target.set_wants_row(source.wants.row);
+    target.set_wants_row(source.wants.group);
     target.set_wants_configuration(source.wants.configuration);
-    target.set_wants_replicas(source.wants.replicas);
-    if let Some(row) = &source.row {
+    target.set_wants_replicas(source.wants.endpoints);
+    if let Some(group) = &source.group {
         target.set_has_row(true);
-        write_tally!(target.reborrow().init_row(), row);
+        write_counters!(target.reborrow().init_row(), group);
     }
     target.set_configuration(source.configuration.revision);
     if let Some(text) = &source.configuration.text {
@@ -232,18 +232,18 @@
         target.set_proven(true);
         target.set_proof_age_ms(age);
     }
-    target.set_replicas(source.replica_revision);
-    if let Some(list) = &source.replicas {
+    target.set_replicas(source.endpoint_revision);
+    if let Some(list) = &source.endpoints {
         target.set_has_replicas(true);
-        let mut entries = target.reborrow().init_replica_entries(list.replicas.len() as u32);
-        for (index, record) in list.replicas.iter().enumerate() {
+        let mut entries = target.reborrow().init_replica_entries(list.endpoints.len() as u32);
+        for (index, record) in list.endpoints.iter().enumerate() {
             let mut entry = entries.reborrow().get(index as u32);
             entry.set_id(&*record.id);
             entry.set_service(&*record.service);
             entry.set_address(record.address.to_string());
             entry.set_zone(&*record.zone);
             entry.set_slots(record.slots);
-            entry.set_draining(record.state == ReplicaState::Draining);
+            entry.set_draining(record.state == EndpointState::Draining);
             entry.set_reclaimable(record.reclaimable);
         }
     }
@@ -263,63 +263,63 @@
     target.set_address(source.address.to_string());
     target.set_sequence(source.sequence);
     target.set_leaving(source.leaving);
-    write_tally!(target, &source.tally);
+    write_counters!(target, &source.counters);
 }
 
 /// Reads a daemon's news.
-pub fn read_news(source: news::Reader<'_>) -> Result<DaemonNews, Error> {
+pub fn read_message(source: news::Reader<'_>) -> Result<GossipMessage, Error> {
     let known = source.get_known()?;
     bounded(known.len())?;
-    let known = known.iter().map(read_word).collect::<Result<_, Error>>()?;
-    let replica_revision = source.get_replicas();
-    let replicas = match source.get_has_replicas() {
-        true => Some(read_replicas(source, replica_revision)?),
+    let known = known.iter().map(read_summary).collect::<Result<_, Error>>()?;
+    let endpoint_revision = source.get_replicas();
+    let endpoints = match source.get_has_replicas() {
+        true => Some(read_endpoints(source, endpoint_revision)?),
         false => None,
     };
     let text_bytes = source.get_configuration_text()?;
     let lease = source.get_lease()?;
     let lease = match lease.get_fence() {
         0 => None,
-        fence => Some(LeaseNews {
+        fence => Some(LeaseSummary {
             fence,
             holder: text(lease.get_holder()?)?,
             age_ms: lease.get_age_ms(),
             daemons: lease.get_daemons() as usize,
         }),
     };
-    Ok(DaemonNews {
+    Ok(GossipMessage {
         state: read_state(source.get_state()?)?,
         known,
-        configuration: ConfigurationNews {
+        configuration: ConfigurationSummary {
             revision: source.get_configuration(),
             text: (!text_bytes.is_empty()).then(|| text_bytes.to_vec()),
             proof_age_ms: source.get_proven().then(|| source.get_proof_age_ms()),
         },
-        replica_revision,
-        replicas,
+        endpoint_revision,
+        endpoints,
         lease,
-        wants: NewsWants {
-            row: source.get_wants_row(),
+        wants: RequestedParts {
+            group: source.get_wants_row(),
             configuration: source.get_wants_configuration(),
-            replicas: source.get_wants_replicas(),
+            endpoints: source.get_wants_replicas(),
         },
-        row: match source.get_has_row() {
-            true => Some(read_tally!(source.get_row()?)),
+        group: match source.get_has_row() {
+            true => Some(read_counters!(source.get_row()?)),
             false => None,
         },
     })
 }
 
-fn read_replicas(source: news::Reader<'_>, revision: u64) -> Result<ReplicaList, Error> {
+fn read_endpoints(source: news::Reader<'_>, revision: u64) -> Result<EndpointList, Error> {
     let entries = source.get_replica_entries()?;
     bounded(entries.len())?;
-    let mut replicas = Vec::with_capacity(entries.len() as usize);
+    let mut endpoints = Vec::with_capacity(entries.len() as usize);
     for entry in entries {
         let state = match entry.get_draining() {
-            true => ReplicaState::Draining,
-            false => ReplicaState::Ready,
+            true => EndpointState::Draining,
+            false => EndpointState::Ready,
         };
-        replicas.push(Rc::new(ReplicaRecord {
+        endpoints.push(Rc::new(EndpointRecord {
             id: text(entry.get_id()?)?,
             service: text(entry.get_service()?)?,
             address: address(entry.get_address()?)?,
@@ -329,7 +329,7 @@
             reclaimable: entry.get_reclaimable(),
         }));
     }
-    Ok(ReplicaList { revision, replicas })
+    Ok(EndpointList { revision, endpoints })
 }
 
 fn read_state(source: daemon_state::Reader<'_>) -> Result<DaemonState, Error> {
@@ -340,12 +340,12 @@
         address: address(source.get_address()?)?,
         sequence: source.get_sequence(),
         leaving: source.get_leaving(),
-        tally: read_tally!(source),
+        counters: read_counters!(source),
     })
 }
 
-fn read_word(source: peer_word::Reader<'_>) -> Result<PeerWord, Error> {
-    Ok(PeerWord {
+fn read_summary(source: peer_word::Reader<'_>) -> Result<PeerSummary, Error> {
+    Ok(PeerSummary {
         address: address(source.get_address()?)?,
         incarnation: IncarnationId(source.get_incarnation()),
         age: Duration::from_millis(u64::from(source.get_age_ms())),
--- a/src/gateway/gossip/exchange.rs
+++ b/src/gateway/gossip/exchange.rs
@@ -1,7 +1,7 @@
 //! Exchange of news between daemons: each calls a few others in turn, many times a second,
 //! and every call carries the news of both sides.
 //!
-//! What the exchange costs a daemon hardly grows with their number (`rows`); what it tells is
+//! What the exchange costs a daemon hardly grows with their number (`groups`); what it tells is
 //! as old as a round of turns is long.
 
 use std::{
@@ -21,18 +21,18 @@
 
 use super::{
     codec::{
-        ConfigurationNews, DaemonNews, DaemonState, DaemonTally, LeaseNews, NewsWants, read_news,
-        write_news,
+        ConfigurationSummary, DaemonCounters, DaemonState, GossipMessage, LeaseSummary,
+        RequestedParts, read_message, write_message,
     },
-    report_source::TallySource,
+    report_source::ReportSource,
 };
 use crate::{
     exchange_capnp::exchange,
     gateway::{
         context::GatewayContext,
         policy::{
-            catch_up::HeldRevisions, endpoint_choice::replica_number, endpoint_load::HeardState,
-            usage_counts::WindowCounts,
+            catch_up::HeldRevisions, endpoint_choice::endpoint_number,
+            endpoint_load::ReportedLoads, usage_counts::WindowCounts,
         },
     },
     http::server,
@@ -45,9 +45,9 @@
 /// Name of the service that other daemons call.
 pub const GATE_SERVICE: &str = "exchange-gate";
 /// Time between turns.
-pub const TURN: Duration = Duration::from_millis(100);
+pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 /// Daemons called in a turn.
-pub const CALLS_IN_TURN: usize = 2;
+pub const CALLS_PER_INTERVAL: usize = 2;
 /// Longest wait for a connection, and for an answer.
 const CALL_LIMIT: Duration = Duration::from_millis(400);
 /// Daemons that one message brings word of.
@@ -81,12 +81,12 @@
 pub async fn serve(listener: TcpListener, context: Rc<GatewayContext>) {
     let phase = context.kernel.phase();
     server::accept_each(listener, phase, |stream| {
-        let gate = ExchangeGate { context: context.clone() };
-        let gate: exchange::Client = capnp_rpc::new_client(gate);
+        let peer_listener = ExchangeGate { context: context.clone() };
+        let peer_listener: exchange::Client = capnp_rpc::new_client(peer_listener);
         tokio::task::spawn_local(async move {
             // NOTE: a peer that breaks off or sends garbage ends only its own connection.
             let counter = TrafficCounter::default();
-            let _ = rpc_system(stream, Side::Server, Some(gate.client), &counter).await;
+            let _ = rpc_system(stream, Side::Server, Some(peer_listener.client), &counter).await;
         });
     })
     .await;
@@ -102,12 +102,12 @@
         params: exchange::SwapParams,
         mut results: exchange::SwapResults,
     ) -> Result<(), Error> {
-        let news = read_news(params.get()?.get_news()?)?;
+        let news = read_message(params.get()?.get_news()?)?;
         let wants = news.wants;
         // NOTE: how long the call took to arrive is not known, so it proves no freshness.
         hear(&self.context, news, None);
-        let own = own_news(&self.context, wants);
-        write_news(results.get().init_news(), &own);
+        let own = own_message(&self.context, wants);
+        write_message(results.get().init_news(), &own);
         Ok(())
     }
 }
@@ -115,14 +115,14 @@
 /// Calls other daemons in turn until the daemon stops.
 pub async fn run(context: Rc<GatewayContext>) {
     let state = Rc::new(ExchangeState::default());
-    let mut turns = interval(TURN);
+    let mut turns = interval(GOSSIP_INTERVAL);
     turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         turns.tick().await;
         let now = Instant::now();
         context.wall_clock.borrow_mut().compare(wall_clock_ms(), now);
         let mut due = context.peers.borrow_mut().due(now, &mut rand::rng());
-        let ahead = context.behind.borrow().ahead(&context);
+        let ahead = context.catch_up.borrow().ahead(&context);
         let extra: Vec<SocketAddr> = ahead.filter(|address| !due.contains(address)).collect();
         due.extend(extra);
         for address in due {
@@ -151,7 +151,7 @@
     context: &Rc<GatewayContext>,
     state: &ExchangeState,
     address: SocketAddr,
-) -> Result<DaemonNews, Error> {
+) -> Result<GossipMessage, Error> {
     let open = state.open.borrow().get(&address).cloned();
     let open = match open {
         Some(open) => open,
@@ -168,57 +168,57 @@
         }
     };
     let mut request = open.client.swap_request();
-    let mut own = own_news(context, NewsWants::default());
+    let mut own = own_message(context, RequestedParts::default());
     own.wants = wants(context, &address);
-    write_news(request.get().init_news(), &own);
+    write_message(request.get().init_news(), &own);
     let response = request.send().promise.await?;
-    read_news(response.get()?.get_news()?)
+    read_message(response.get()?.get_news()?)
 }
 
 /// What to ask of the daemon at `address`.
-fn wants(context: &GatewayContext, address: &SocketAddr) -> NewsWants {
+fn wants(context: &GatewayContext, address: &SocketAddr) -> RequestedParts {
     let now = Instant::now();
     let own = HeldRevisions {
         configuration: context.configuration.borrow().revision,
-        replicas: context.replica_list.borrow().revision,
+        endpoints: context.endpoint_list.borrow().revision,
     };
     // NOTE: who watches the store has most changes from there, without asking anybody.
-    let patience = match context.watches_store(now) && !context.store_fails(now) {
+    let attempt_timeout = match context.watches_store(now) && !context.store_fails(now) {
         true => WATCHER_PATIENCE,
         false => Duration::ZERO,
     };
-    let behind = context.behind.borrow_mut().lag(*address, own, patience, now);
-    let row = context.peers.borrow().neighbours().delegate_row(address).is_some();
-    NewsWants { row, ..behind }
+    let catch_up = context.catch_up.borrow_mut().lag(*address, own, attempt_timeout, now);
+    let group = context.peers.borrow().neighbours().represented_group(address).is_some();
+    RequestedParts { group, ..catch_up }
 }
 
 /// This daemon's news, with what the other side wants.
-fn own_news(context: &GatewayContext, wants: NewsWants) -> DaemonNews {
+fn own_message(context: &GatewayContext, wants: RequestedParts) -> GossipMessage {
     let now = Instant::now();
     let configuration = context.configuration.borrow();
-    let list = context.replica_list.borrow();
+    let list = context.endpoint_list.borrow();
     let lease = context.lease.borrow();
     let age_ms = |at: Instant| {
         u32::try_from(now.saturating_duration_since(at).as_millis()).unwrap_or(u32::MAX)
     };
-    DaemonNews {
+    GossipMessage {
         state: own_state(context),
         known: context.peers.borrow().words(WORDS, now, &mut rand::rng()),
-        configuration: ConfigurationNews {
+        configuration: ConfigurationSummary {
             revision: configuration.revision,
             text: wants.configuration.then(|| configuration.text.to_vec()),
             proof_age_ms: configuration.proof.map(age_ms),
         },
-        replica_revision: list.revision,
-        replicas: wants.replicas.then(|| list.clone()),
-        lease: lease.holder.clone().zip(lease.renewed_at).map(|(holder, at)| LeaseNews {
+        endpoint_revision: list.revision,
+        endpoints: wants.endpoints.then(|| list.clone()),
+        lease: lease.holder.clone().zip(lease.renewed_at).map(|(holder, at)| LeaseSummary {
             fence: lease.fence,
             holder,
             age_ms: age_ms(at),
             daemons: context.fleet_size.get().unwrap_or(0),
         }),
-        wants: NewsWants::default(),
-        row: wants.row.then(|| row_sums(context)),
+        wants: RequestedParts::default(),
+        group: wants.group.then(|| group_sums(context)),
     }
 }
 
@@ -226,12 +226,15 @@
     let settings = &context.settings;
     let sequence = context.next_sequence();
     let quotas = context.quotas.borrow();
-    let replicas = context.replicas.borrow();
-    let tally = DaemonTally {
-        accounts: quotas.tallies().map(|(account, tally)| (account.clone(), tally)).collect(),
+    let endpoints = context.endpoints.borrow();
+    let counters = DaemonCounters {
+        accounts: quotas
+            .counters()
+            .map(|(account, counters)| (account.clone(), counters))
+            .collect(),
         windows: newest_windows(context.usage.borrow().own().clone()),
-        sent: replicas.own_sent().clone(),
-        loads: replicas.own_loads().map(|(id, load)| (replica_number(id), load)).collect(),
+        sent: endpoints.own_sent().clone(),
+        loads: endpoints.own_loads().map(|(id, load)| (endpoint_number(id), load)).collect(),
     };
     DaemonState {
         incarnation: context.incarnation,
@@ -240,18 +243,18 @@
         address: settings.peer_address,
         sequence,
         leaving: context.is_leaving(),
-        tally,
+        counters,
     }
 }
 
-/// Sums over this daemon's row, itself included.
-fn row_sums(context: &GatewayContext) -> DaemonTally {
-    let replicas = context.replicas.borrow();
-    DaemonTally {
-        accounts: context.quotas.borrow().row_tallies().collect(),
-        windows: newest_windows(context.usage.borrow().row_totals()),
-        sent: replicas.row_sent(),
-        loads: replicas.row_loads(Instant::now()),
+/// Sums over this daemon's group, itself included.
+fn group_sums(context: &GatewayContext) -> DaemonCounters {
+    let endpoints = context.endpoints.borrow();
+    DaemonCounters {
+        accounts: context.quotas.borrow().group_counters().collect(),
+        windows: newest_windows(context.usage.borrow().group_totals()),
+        sent: endpoints.group_sent(),
+        loads: endpoints.group_loads(Instant::now()),
     }
 }
 
@@ -263,10 +266,18 @@
 }
 
 /// Takes a daemon's news; `asked` is when this daemon asked for them, if it did.
-fn hear(context: &GatewayContext, news: DaemonNews, asked: Option<Instant>) {
+fn hear(context: &GatewayContext, news: GossipMessage, asked: Option<Instant>) {
     let now = Instant::now();
-    let DaemonNews { state, known, configuration, replica_revision, replicas, lease, row, .. } =
-        news;
+    let GossipMessage {
+        state,
+        known,
+        configuration,
+        endpoint_revision,
+        endpoints,
+        lease,
+        group,
+        ..
+    } = news;
     if state.incarnation == context.incarnation {
         return;
     }
@@ -279,25 +290,32 @@
         peers.hear(address, incarnation, sequence, leaving, now)
     };
     let recent = state.sequence < RECENT_STATES;
-    let (in_row, delegate_row) = {
+    let (in_own_group, represented_group) = {
         let peers = context.peers.borrow();
         let neighbours = peers.neighbours();
-        (neighbours.in_row(&state.address), neighbours.delegate_row(&state.address))
+        (neighbours.in_own_group(&state.address), neighbours.represented_group(&state.address))
     };
-    if newer && in_row {
-        let source = TallySource::Daemon(state.incarnation);
-        hear_tally(context, source, state.tally, recent, now);
+    if newer && in_own_group {
+        let source = ReportSource::Daemon(state.incarnation);
+        receive_counters(context, source, state.counters, recent, now);
     }
-    if let (Some(row), Some(number)) = (row, delegate_row) {
-        let delegate = state.incarnation;
-        hear_tally(context, TallySource::Row { number, delegate }, row, recent, now);
+    if let (Some(group), Some(number)) = (group, represented_group) {
+        let representative = state.incarnation;
+        receive_counters(
+            context,
+            ReportSource::Group { number, representative },
+            group,
+            recent,
+            now,
+        );
     }
-    let told = HeldRevisions { configuration: configuration.revision, replicas: replica_revision };
-    context.behind.borrow_mut().hear(state.address, told, now);
+    let told =
+        HeldRevisions { configuration: configuration.revision, endpoints: endpoint_revision };
+    context.catch_up.borrow_mut().hear(state.address, told, now);
     hear_configuration(context, &configuration, asked);
-    if let Some(list) = replicas {
+    if let Some(list) = endpoints {
         let revision = list.revision;
-        if context.take_replicas(list) {
+        if context.take_endpoints(list) {
             spdlog::info!("replicas", kv: { revision, source = "peer" });
         }
     }
@@ -313,23 +331,27 @@
     }
 }
 
-fn hear_tally(
+fn receive_counters(
     context: &GatewayContext,
-    source: TallySource,
-    tally: DaemonTally,
+    source: ReportSource,
+    counters: DaemonCounters,
     recent: bool,
     now: Instant,
 ) {
-    context.quotas.borrow_mut().hear(source, &tally.accounts, recent, now);
+    context.quotas.borrow_mut().hear(source, &counters.accounts, recent, now);
     let mut usage = context.usage.borrow_mut();
-    for (window, counts) in tally.windows {
+    for (window, counts) in counters.windows {
         usage.hear(source, window, counts);
     }
-    let heard = HeardState { at: now, loads: tally.loads, sent: tally.sent };
-    context.replicas.borrow_mut().hear(source, heard);
+    let heard = ReportedLoads { at: now, loads: counters.loads, sent: counters.sent };
+    context.endpoints.borrow_mut().hear(source, heard);
 }
 
-fn hear_configuration(context: &GatewayContext, news: &ConfigurationNews, asked: Option<Instant>) {
+fn hear_configuration(
+    context: &GatewayContext,
+    news: &ConfigurationSummary,
+    asked: Option<Instant>,
+) {
     let age = news.proof_age_ms.map(|age| Duration::from_millis(u64::from(age)));
     let proof = asked.zip(age).and_then(|(asked, age)| asked.checked_sub(age));
     let known = context.configuration.borrow().revision;
--- a/src/gateway/gossip/groups.rs
+++ b/src/gateway/gossip/groups.rs
@@ -1,9 +1,9 @@
 //! Which daemons a daemon exchanges news with, so that the cost of it hardly grows with
 //! their number.
 //!
-//! Daemons fall into rows by a hash of their addresses, as many rows as daemons in each, about,
-//! but at least [`ROW_SIZE`] in a row. Within a row all exchange with all. For every other row
-//! a daemon asks one of its members, its delegate there, for the sums of that row. With n
+//! Daemons fall into groups by a hash of their addresses, as many groups as daemons in each, about,
+//! but at least [`GROUP_SIZE`] in a group. Within a group all exchange with all. For every other group
+//! a daemon asks one of its members, its representative there, for the sums of that group. With n
 //! daemons each has about twice the square root of n others to exchange with, and news are two
 //! exchanges old at most.
 
@@ -11,20 +11,20 @@
 
 use crate::ids::hash_parts;
 
-/// Fewest daemons in a row, about.
-pub const ROW_SIZE: usize = 12;
-/// Rows are never fewer than this part of what they could be: fleets up to twice a row
+/// Fewest daemons in a group, about.
+pub const GROUP_SIZE: usize = 12;
+/// Groups are never fewer than this part of what they could be: fleets up to twice a group
 /// stay in one.
-const SINGLE_ROW: usize = ROW_SIZE * 2;
+const SINGLE_GROUP: usize = GROUP_SIZE * 2;
 
-/// Number of rows for this many daemons; a power of two, so that it seldom changes.
-pub fn row_count(daemons: usize) -> usize {
-    if daemons <= SINGLE_ROW {
+/// Number of groups for this many daemons; a power of two, so that it seldom changes.
+pub fn group_count(daemons: usize) -> usize {
+    if daemons <= SINGLE_GROUP {
         return 1;
     }
     let daemons = daemons as f64;
-    let rows = daemons / daemons.sqrt().max(ROW_SIZE as f64);
-    1 << (rows.log2().round() as u32)
+    let groups = daemons / daemons.sqrt().max(GROUP_SIZE as f64);
+    1 << (groups.log2().round() as u32)
 }
 
 fn hash_of(address: &SocketAddr) -> u64 {
@@ -32,59 +32,65 @@
 }
 
 /// Row of a daemon.
-pub fn row_of(address: &SocketAddr, rows: usize) -> usize {
-    (hash_of(address) % rows.max(1) as u64) as usize
+pub fn group_of(address: &SocketAddr, groups: usize) -> usize {
+    (hash_of(address) % groups.max(1) as u64) as usize
 }
 
 /// Those that one daemon exchanges with.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Neighbours {
-    /// Number of rows.
-    pub rows: usize,
+    /// Number of groups.
+    pub groups: usize,
     /// Row of the daemon itself.
-    pub own_row: usize,
-    /// Other daemons of its row.
-    pub row: Vec<SocketAddr>,
-    /// Its delegate in each other row, by row.
-    pub delegates: Vec<(usize, SocketAddr)>,
+    pub own_group: usize,
+    /// Other daemons of its group.
+    pub group: Vec<SocketAddr>,
+    /// Its representative in each other group, by group.
+    pub representatives: Vec<(usize, SocketAddr)>,
 }
 
 impl Neighbours {
     /// Neighbours of the daemon at `own` among `others`.
     pub fn of(own: &SocketAddr, others: &[SocketAddr]) -> Self {
-        let rows = row_count(others.len() + 1);
-        let own_row = row_of(own, rows);
-        let mut neighbours = Self { rows, own_row, ..Self::default() };
-        let mut best: Vec<Option<(u64, SocketAddr)>> = vec![None; rows];
+        let groups = group_count(others.len() + 1);
+        let own_group = group_of(own, groups);
+        let mut neighbours = Self { groups, own_group, ..Self::default() };
+        let mut best: Vec<Option<(u64, SocketAddr)>> = vec![None; groups];
         for other in others {
-            let row = row_of(other, rows);
-            if row == own_row {
-                neighbours.row.push(*other);
+            let group = group_of(other, groups);
+            if group == own_group {
+                neighbours.group.push(*other);
                 continue;
             }
-            // NOTE: each daemon prefers others, so that all members of a row serve alike.
+            // NOTE: each daemon prefers others, so that all members of a group serve alike.
             let weight = hash_parts(&[&hash_of(own).to_le_bytes(), &hash_of(other).to_le_bytes()]);
-            if best[row].is_none_or(|(least, _)| weight < least) {
-                best[row] = Some((weight, *other));
+            if best[group].is_none_or(|(least, _)| weight < least) {
+                best[group] = Some((weight, *other));
             }
         }
-        let delegates = best.into_iter().enumerate();
-        neighbours.delegates = delegates.filter_map(|(row, found)| Some((row, found?.1))).collect();
+        let representatives = best.into_iter().enumerate();
+        neighbours.representatives =
+            representatives.filter_map(|(group, found)| Some((group, found?.1))).collect();
         neighbours
     }
 
-    /// Whether a daemon is in the same row.
-    pub fn in_row(&self, address: &SocketAddr) -> bool {
-        row_of(address, self.rows) == self.own_row
+    /// Whether a daemon is in the same group.
+    pub fn in_own_group(&self, address: &SocketAddr) -> bool {
+        group_of(address, self.groups) == self.own_group
     }
 
-    /// The row that a daemon is the delegate for.
-    pub fn delegate_row(&self, address: &SocketAddr) -> Option<usize> {
-        self.delegates.iter().find(|(_, delegate)| delegate == address).map(|(row, _)| *row)
+    /// The group that a daemon is the representative for.
+    pub fn represented_group(&self, address: &SocketAddr) -> Option<usize> {
+        self.representatives
+            .iter()
+            .find(|(_, representative)| representative == address)
+            .map(|(group, _)| *group)
     }
 
     /// All of them.
     pub fn all(&self) -> impl Iterator<Item = &SocketAddr> {
-        self.row.iter().chain(self.delegates.iter().map(|(_, delegate)| delegate))
+        self.group
+            .iter()
+            .chain(self.representatives.iter().map(|(_, representative)| representative))
     }
 }
--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -21,14 +21,14 @@
 const HEARD_ROUNDS: u32 = 3;
 /// A daemon that nobody has heard for this long is taken to be gone.
 const FORGET_AFTER: Duration = Duration::from_secs(20);
-/// Daemons of a row that watch the store for the others. Rows feed each other, so that a row
+/// Daemons of a group that watch the store for the others. Groups feed each other, so that a group
 /// whose watcher is cut off from the store still has its news.
-const ROW_WATCHERS: usize = 1;
+const GROUP_WATCHERS: usize = 1;
 /// Time between tries of an address that does not answer.
 const RETRY_EVERY: Duration = Duration::from_millis(500);
 /// Time between exchanges with somebody who is no neighbour: so parts of a fleet that have
 /// lost sight of each other meet again.
-const STRANGER_EVERY: Duration = Duration::from_secs(1);
+const RANDOM_PEER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What is known of one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,7 +47,7 @@
 
 /// Word of a daemon, passed on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PeerWord {
+pub struct PeerSummary {
     /// Where its gate listens.
     pub address: SocketAddr,
     /// This start of it.
@@ -71,19 +71,19 @@
     addresses: BTreeMap<SocketAddr, AddressState>,
     seeds: BTreeSet<SocketAddr>,
     neighbours: Neighbours,
-    stranger_at: Option<Instant>,
+    random_peer_at: Option<Instant>,
     turn: Duration,
-    calls_in_turn: usize,
+    calls_per_interval: usize,
 }
 
 impl PeerTable {
-    /// Table of the daemon at `own` that knows only seeds, and calls `calls_in_turn` daemons
+    /// Table of the daemon at `own` that knows only seeds, and calls `calls_per_interval` daemons
     /// every `turn`.
     pub fn new(
         own: SocketAddr,
         seeds: &[SocketAddr],
         turn: Duration,
-        calls_in_turn: usize,
+        calls_per_interval: usize,
     ) -> Self {
         let seeds: BTreeSet<SocketAddr> =
             seeds.iter().filter(|seed| **seed != own).copied().collect();
@@ -94,9 +94,9 @@
             addresses,
             seeds,
             neighbours: Neighbours::of(&own, &[]),
-            stranger_at: None,
+            random_peer_at: None,
             turn,
-            calls_in_turn,
+            calls_per_interval,
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Takes word of a daemon that somebody else has heard.
-    pub fn learn(&mut self, word: &PeerWord, now: Instant) {
+    pub fn learn(&mut self, word: &PeerSummary, now: Instant) {
         if word.address == self.own || word.age >= FORGET_AFTER {
             return;
         }
@@ -191,14 +191,14 @@
             })
             .collect();
         due.sort_unstable();
-        due.truncate(self.calls_in_turn);
-        if self.stranger_at.is_none_or(|at| now >= at) {
-            self.stranger_at = Some(now + STRANGER_EVERY);
+        due.truncate(self.calls_per_interval);
+        if self.random_peer_at.is_none_or(|at| now >= at) {
+            self.random_peer_at = Some(now + RANDOM_PEER_INTERVAL);
             let neighbours = &self.neighbours;
-            let strangers = self.peers.keys().filter(|address| {
-                !neighbours.in_row(address) && neighbours.delegate_row(address).is_none()
+            let random_peers = self.peers.keys().filter(|address| {
+                !neighbours.in_own_group(address) && neighbours.represented_group(address).is_none()
             });
-            due.extend(strangers.copied().choose(rng).map(|address| (None, address)));
+            due.extend(random_peers.copied().choose(rng).map(|address| (None, address)));
         }
         for (_, address) in &due {
             if let Some(state) = self.addresses.get_mut(address) {
@@ -209,9 +209,9 @@
     }
 
     /// Word of some daemons, for others.
-    pub fn words(&self, most: usize, now: Instant, rng: &mut impl Rng) -> Vec<PeerWord> {
+    pub fn words(&self, most: usize, now: Instant, rng: &mut impl Rng) -> Vec<PeerSummary> {
         let some = self.peers.iter().filter(|(_, peer)| !peer.leaving).sample(rng, most);
-        let word = |(address, peer): (&SocketAddr, &PeerRecord)| PeerWord {
+        let word = |(address, peer): (&SocketAddr, &PeerRecord)| PeerSummary {
             address: *address,
             incarnation: peer.incarnation,
             age: now.saturating_duration_since(peer.heard_at),
@@ -219,15 +219,15 @@
         some.into_iter().map(word).collect()
     }
 
-    /// Whether all daemons are in one row.
-    pub fn is_single_row(&self) -> bool {
-        self.neighbours.rows <= 1
+    /// Whether all daemons are in one group.
+    pub fn is_single_group(&self) -> bool {
+        self.neighbours.groups <= 1
     }
 
-    /// Whether this daemon is one of those of its row that watch the store for the others.
-    /// In a fleet of one row all do.
+    /// Whether this daemon is one of those of its group that watch the store for the others.
+    /// In a fleet of one group all do.
     pub fn is_watcher(&self, now: Instant) -> bool {
-        if self.is_single_row() {
+        if self.is_single_group() {
             return true;
         }
         let limit = self.heard_within();
@@ -235,41 +235,41 @@
             let met_at = self.peers.get(*address).and_then(|peer| peer.met_at);
             met_at.is_some_and(|at| now.saturating_duration_since(at) < limit)
         };
-        // NOTE: by hashes, so that the watchers of all rows are not in one availability zone.
+        // NOTE: by hashes, so that the watchers of all groups are not in one availability zone.
         let own = watch_rank(&self.own);
         let before = |address: &&SocketAddr| watch_rank(address) < own;
-        self.neighbours.row.iter().filter(met).filter(before).count() < ROW_WATCHERS
+        self.neighbours.group.iter().filter(met).filter(before).count() < GROUP_WATCHERS
     }
 
-    /// How many daemons share quotas and budgets. A row counts as heard when its delegate is.
+    /// How many daemons share quotas and budgets. A group counts as heard when its representative is.
     pub fn sharing(&self, now: Instant) -> QuotaSharing {
         let limit = self.heard_within();
         let met = |address: &SocketAddr| {
             let met_at = self.peers.get(address).and_then(|peer| peer.met_at);
             met_at.is_some_and(|at| now.saturating_duration_since(at) < limit)
         };
-        let mut rows_heard = vec![false; self.neighbours.rows.max(1)];
-        for (row, delegate) in &self.neighbours.delegates {
-            rows_heard[*row] = met(delegate);
+        let mut groups_heard = vec![false; self.neighbours.groups.max(1)];
+        for (group, representative) in &self.neighbours.representatives {
+            groups_heard[*group] = met(representative);
         }
         let (mut known, mut heard) = (1, 1);
         for (address, peer) in &self.peers {
-            let row = super::groups::row_of(address, self.neighbours.rows);
-            let is_heard = match row == self.neighbours.own_row {
+            let group = super::groups::group_of(address, self.neighbours.groups);
+            let is_heard = match group == self.neighbours.own_group {
                 true => met(address),
-                false => rows_heard[row],
+                false => groups_heard[group],
             };
             heard += usize::from(is_heard);
             known += usize::from(is_heard || !peer.leaving);
         }
-        // NOTE: news of another row are told within that row first.
-        let rounds = if self.is_single_row() { 1 } else { 2 };
+        // NOTE: news of another group are told within that group first.
+        let rounds = if self.is_single_group() { 1 } else { 2 };
         QuotaSharing { known, heard, lag: self.round() * rounds }
     }
 
     /// Time in which every neighbour is called once.
     fn round(&self) -> Duration {
-        let calls = self.neighbours.all().count().div_ceil(self.calls_in_turn.max(1)) as u32;
+        let calls = self.neighbours.all().count().div_ceil(self.calls_per_interval.max(1)) as u32;
         self.turn * calls
     }
 
--- a/src/gateway/gossip/report_source.rs
+++ b/src/gateway/gossip/report_source.rs
@@ -4,21 +4,21 @@
 
 /// Whom a tally was heard from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum TallySource {
-    /// A daemon of the own row, of itself.
+pub enum ReportSource {
+    /// A daemon of the own group, of itself.
     Daemon(IncarnationId),
-    /// The delegate in another row, of all its row.
-    Row {
-        /// Number of the row.
+    /// The representative in another group, of all its group.
+    Group {
+        /// Number of the group.
         number: usize,
-        /// The delegate: another one's sums have another start.
-        delegate: IncarnationId,
+        /// The representative: another one's sums have another start.
+        representative: IncarnationId,
     },
 }
 
-impl TallySource {
-    /// Whether it belongs to the own row.
-    pub fn is_in_row(self) -> bool {
+impl ReportSource {
+    /// Whether it belongs to the own group.
+    pub fn is_in_own_group(self) -> bool {
         matches!(self, Self::Daemon(_))
     }
 }
--- a/src/gateway/leader/endpoint_orders.rs
+++ b/src/gateway/leader/endpoint_orders.rs
@@ -1,4 +1,4 @@
-//! Orders of replicas: what the plan asks for and has not been ordered yet.
+//! Orders of endpoints: what the plan asks for and has not been ordered yet.
 
 use std::{collections::BTreeMap, collections::HashMap, time::Duration};
 
@@ -8,32 +8,32 @@
     gateway::{
         configuration::Service,
         context::GatewayContext,
-        endpoint::ReplicaState,
+        endpoint::EndpointState,
         policy::fleet_size::{
-            FleetPlanner, FleetTargets, ReplicaClass, ServiceDemand, ZoneHolding,
+            EndpointPlanner, EndpointTargets, PriceClass, ServiceDemand, ZoneHolding,
         },
     },
     ids::SharedName,
-    platform::cloud::{CloudAnswer, FleetOrder},
+    platform::cloud::{CloudAnswer, EndpointOrder},
 };
 
 /// Time between looks at the demand.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
 /// An order that was answered is given again if the list still shows another number after
-/// the replicas' start-up time and this.
+/// the endpoints' start-up time and this.
 const SHOWN_AFTER: Duration = Duration::from_millis(2_500);
-/// An order for fewer reclaimable replicas waits until it has been wanted for this long.
+/// An order for fewer reclaimable endpoints waits until it has been wanted for this long.
 const FEWER_RECLAIMABLE_AFTER: Duration = Duration::from_secs(4);
 /// An order for fewer others, which are dear, waits until it has been wanted for this long.
 const FEWER_ON_DEMAND_AFTER: Duration = Duration::from_millis(500);
 /// Weight of the newest look in the smoothed demand.
 const SMOOTHING: f64 = 0.3;
 
-type OrderKey = (SharedName, SharedName, ReplicaClass);
+type OrderKey = (SharedName, SharedName, PriceClass);
 
 #[derive(Debug)]
 struct ServiceFleet {
-    planner: FleetPlanner,
+    planner: EndpointPlanner,
     looked_at: Option<Instant>,
     read_before: u64,
     demand: ServiceDemand,
@@ -48,7 +48,7 @@
 
 /// Orders of all services at the daemon that holds the lease.
 #[derive(Debug, Default)]
-pub struct FleetOrders {
+pub struct EndpointOrders {
     services: HashMap<SharedName, ServiceFleet>,
     given: BTreeMap<OrderKey, GivenOrder>,
     fewer_since: BTreeMap<OrderKey, Instant>,
@@ -57,13 +57,13 @@
     needs_before: BTreeMap<SharedName, f64>,
 }
 
-impl FleetOrders {
+impl EndpointOrders {
     /// Orders of a new holder; `needs` is what the one before had found to be needed.
     pub fn after(needs: BTreeMap<SharedName, f64>) -> Self {
         Self { needs_before: needs, ..Self::default() }
     }
 
-    /// Replicas needed, by service.
+    /// Endpoints needed, by service.
     pub fn needs(&self) -> BTreeMap<SharedName, f64> {
         let mut needs = self.needs_before.clone();
         for (service, fleet) in &self.services {
@@ -72,7 +72,7 @@
         needs
     }
 
-    /// Replicas needed of a service.
+    /// Endpoints needed of a service.
     pub fn need(&self, service: &str) -> f64 {
         self.services.get(service).map_or(0.0, |fleet| fleet.planner.need())
     }
@@ -82,7 +82,7 @@
         &mut self,
         context: &GatewayContext,
         now: Instant,
-    ) -> BTreeMap<OrderKey, FleetOrder> {
+    ) -> BTreeMap<OrderKey, EndpointOrder> {
         let mut due = BTreeMap::new();
         let Some(configuration) = context.configuration() else { return due };
         for service in configuration.services.values() {
@@ -98,13 +98,13 @@
         context: &GatewayContext,
         service: &Service,
         now: Instant,
-        due: &mut BTreeMap<OrderKey, FleetOrder>,
+        due: &mut BTreeMap<OrderKey, EndpointOrder>,
     ) {
         let Some(spec) = &service.fleet else { return };
         let held = holdings(context, service);
         let before = self.needs_before.get(&service.name).copied();
         let fleet = self.services.entry(service.name.clone()).or_insert_with(|| ServiceFleet {
-            planner: FleetPlanner::new(before, now),
+            planner: EndpointPlanner::new(before, now),
             looked_at: None,
             read_before: 0,
             demand: ServiceDemand::default(),
@@ -120,15 +120,15 @@
         let turned_down = fleet.planner.turned_down_zones(now);
         let wait = spec.start_time + SHOWN_AFTER;
         for ((zone, class), wanted) in targets_by_growth(targets, &held) {
-            if class == ReplicaClass::Reclaimable && turned_down.contains(&zone) {
+            if class == PriceClass::Reclaimable && turned_down.contains(&zone) {
                 continue;
             }
             let key = (service.name.clone(), zone.clone(), class);
             let shown = held.get(&zone).map_or(0, |holding| number_of(*holding, class));
             if self.is_due(&key, wanted, shown, wait, now) {
-                let reclaimable = class == ReplicaClass::Reclaimable;
+                let reclaimable = class == PriceClass::Reclaimable;
                 let service = service.name.clone();
-                due.insert(key, FleetOrder { service, zone, reclaimable, count: wanted });
+                due.insert(key, EndpointOrder { service, zone, reclaimable, count: wanted });
             }
         }
     }
@@ -146,8 +146,8 @@
         if wanted < current.max(shown) && wanted <= current {
             let since = *self.fewer_since.entry(key.clone()).or_insert(now);
             let wait = match key.2 {
-                ReplicaClass::Reclaimable => FEWER_RECLAIMABLE_AFTER,
-                ReplicaClass::OnDemand => FEWER_ON_DEMAND_AFTER,
+                PriceClass::Reclaimable => FEWER_RECLAIMABLE_AFTER,
+                PriceClass::OnDemand => FEWER_ON_DEMAND_AFTER,
             };
             if now.saturating_duration_since(since) < wait {
                 return false;
@@ -170,10 +170,10 @@
     }
 
     /// The cloud has answered an order, or has not.
-    pub fn answered(&mut self, order: &FleetOrder, answer: Option<CloudAnswer>, now: Instant) {
+    pub fn answered(&mut self, order: &EndpointOrder, answer: Option<CloudAnswer>, now: Instant) {
         let class = match order.reclaimable {
-            true => ReplicaClass::Reclaimable,
-            false => ReplicaClass::OnDemand,
+            true => PriceClass::Reclaimable,
+            false => PriceClass::OnDemand,
         };
         let key = (order.service.clone(), order.zone.clone(), class);
         let answered = answer.is_some();
@@ -195,45 +195,45 @@
             return false;
         }
         self.looked_at = Some(now);
-        let replicas = context.replicas.borrow();
-        let read = replicas.tokens_sent(&service.name);
-        let running = f64::from(replicas.service_load(&service.name, now).running);
+        let endpoints = context.endpoints.borrow();
+        let read = endpoints.tokens_sent(&service.name);
+        let running = f64::from(endpoints.service_load(&service.name, now).running);
         let newest = ServiceDemand {
-            read_rate: match elapsed {
+            prefill_rate: match elapsed {
                 Some(elapsed) if read >= self.read_before => {
                     (read - self.read_before) as f64 / elapsed.as_secs_f64()
                 }
-                _ => self.demand.read_rate,
+                _ => self.demand.prefill_rate,
             },
-            replica_read_rate: replicas.read_rate(&service.name) * 1e3,
+            endpoint_read_rate: endpoints.prefill_rate(&service.name) * 1e3,
             running,
             slots: service.engine.as_ref().map_or(1.0, |engine| f64::from(engine.slots)),
         };
         self.read_before = read;
         let smooth = |before: f64, now: f64| before + (now - before) * SMOOTHING;
         self.demand = ServiceDemand {
-            read_rate: smooth(self.demand.read_rate, newest.read_rate),
+            prefill_rate: smooth(self.demand.prefill_rate, newest.prefill_rate),
             running: smooth(self.demand.running, newest.running),
             ..newest
         };
-        let serving = replicas.ready(&service.name).count();
+        let serving = endpoints.ready(&service.name).count();
         self.planner.observe(&self.demand, serving, now);
         true
     }
 }
 
-fn number_of(holding: ZoneHolding, class: ReplicaClass) -> u32 {
+fn number_of(holding: ZoneHolding, class: PriceClass) -> u32 {
     match class {
-        ReplicaClass::Reclaimable => holding.reclaimable,
-        ReplicaClass::OnDemand => holding.on_demand,
+        PriceClass::Reclaimable => holding.reclaimable,
+        PriceClass::OnDemand => holding.on_demand,
     }
 }
 
 /// Targets that ask for more come first, so that nothing is given up before it is replaced.
 fn targets_by_growth(
-    targets: FleetTargets,
+    targets: EndpointTargets,
     held: &BTreeMap<SharedName, ZoneHolding>,
-) -> Vec<((SharedName, ReplicaClass), u32)> {
+) -> Vec<((SharedName, PriceClass), u32)> {
     let mut list: Vec<_> = targets.into_iter().collect();
     list.sort_by_key(|((zone, class), wanted)| {
         let shown = held.get(zone).map_or(0, |holding| number_of(*holding, *class));
@@ -242,7 +242,7 @@
     list
 }
 
-/// Replicas of a service that are not leaving, in every zone where it may run.
+/// Endpoints of a service that are not leaving, in every zone where it may run.
 fn holdings(context: &GatewayContext, service: &Service) -> BTreeMap<SharedName, ZoneHolding> {
     let mut held = BTreeMap::new();
     if let Some(spec) = &service.fleet {
@@ -250,8 +250,8 @@
             held.insert(zone.clone(), ZoneHolding::default());
         }
     }
-    for record in &context.replica_list.borrow().replicas {
-        if record.service != service.name || record.state == ReplicaState::Draining {
+    for record in &context.endpoint_list.borrow().endpoints {
+        if record.service != service.name || record.state == EndpointState::Draining {
             continue;
         }
         let holding: &mut ZoneHolding = held.entry(record.zone.clone()).or_default();
--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -1,4 +1,4 @@
-//! The duties of the daemon that holds the lease: reports of usage, orders of replicas.
+//! The duties of the daemon that holds the lease: reports of usage, orders of endpoints.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -6,15 +6,15 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
 use super::{
-    endpoint_orders::FleetOrders,
+    endpoint_orders::EndpointOrders,
     lease_record::{LeaseRecord, UsageReport},
 };
 use crate::{
     errors::{FailureCause, StepError},
-    gateway::{context::GatewayContext, policy::leader_lease, settings::DutyKind},
+    gateway::{context::GatewayContext, policy::leader_lease, settings::LeaderTask},
     ids::SharedName,
     platform::{
-        cloud::{CloudAnswer, CloudClient, DutyHolder},
+        cloud::{CloudAnswer, CloudClient, LeaseHolder},
         store::{StoredObject, WriteResult},
     },
 };
@@ -47,7 +47,7 @@
 }
 
 /// Work of one daemon on the duties.
-pub struct DutyService {
+pub struct LeaderService {
     context: Rc<GatewayContext>,
     cloud: CloudClient,
     seen: Option<SeenLease>,
@@ -55,7 +55,7 @@
     unsure: bool,
     reported: bool,
     next_try: Instant,
-    orders: FleetOrders,
+    orders: EndpointOrders,
 }
 
 /// Takes part in the duties until the daemon stops.
@@ -63,13 +63,13 @@
     let Some(address) = context.settings.cloud_address else {
         return std::future::pending().await;
     };
-    let mut service = DutyService {
+    let mut service = LeaderService {
         cloud: CloudClient::new(address),
         seen: None,
         unsure: false,
         reported: false,
         next_try: Instant::now(),
-        orders: FleetOrders::default(),
+        orders: EndpointOrders::default(),
         context,
     };
     let mut ticks = interval(TICK);
@@ -81,7 +81,7 @@
     }
 }
 
-impl DutyService {
+impl LeaderService {
     /// Reads what the last holder wrote of the fleet: quotas depend on it from the start.
     async fn look_first(&mut self) {
         let asked = Instant::now();
@@ -168,7 +168,7 @@
             // NOTE: there never was a holder: all daemons are just starting.
             let known = self.daemons();
             self.context.fleet_size.set(self.context.fleet_size.get().or(Some(known)));
-            self.context.quotas.borrow_mut().set_crowded_before([]);
+            self.context.quotas.borrow_mut().set_throttled_before([]);
             return None;
         };
         let record: LeaseRecord = match serde_json::from_str(&object.value) {
@@ -179,7 +179,7 @@
             }
         };
         self.context.fleet_size.set(Some(record.daemons.max(1)));
-        self.context.quotas.borrow_mut().set_crowded_before(record.crowded.iter().cloned());
+        self.context.quotas.borrow_mut().set_throttled_before(record.throttled.iter().cloned());
         let since = match &self.seen {
             Some(seen) if seen.revision == object.revision => seen.since,
             _ => asked,
@@ -207,7 +207,7 @@
             renewals: 0,
             released: false,
             daemons: self.daemons(),
-            crowded: self.crowded(),
+            throttled: self.throttled(),
             needs: needs.clone(),
             report,
         };
@@ -215,7 +215,7 @@
             spdlog::info!("lease", kv: { outcome = "taken", fence });
             self.context.metrics.count("lease_taken", 1);
             self.reported = false;
-            self.orders = FleetOrders::after(needs);
+            self.orders = EndpointOrders::after(needs);
         }
         Ok(())
     }
@@ -301,8 +301,9 @@
         if due.is_some() || age > self.lease().mul_f64(RENEW_PART) {
             let report = due.clone().or(seen.record.report.clone());
             let renewals = seen.record.renewals + 1;
-            let (daemons, crowded, needs) = (self.daemons(), self.crowded(), self.orders.needs());
-            let record = LeaseRecord { renewals, report, daemons, crowded, needs, ..seen.record };
+            let (daemons, throttled, needs) =
+                (self.daemons(), self.throttled(), self.orders.needs());
+            let record = LeaseRecord { renewals, report, daemons, throttled, needs, ..seen.record };
             if !self.write(seen.revision, record).await? {
                 return Ok(());
             }
@@ -311,11 +312,11 @@
             }
         }
         self.send_report().await?;
-        self.order_replicas().await
+        self.order_endpoints().await
     }
 
-    fn crowded(&self) -> Vec<SharedName> {
-        self.context.quotas.borrow().crowded(Instant::now())
+    fn throttled(&self) -> Vec<SharedName> {
+        self.context.quotas.borrow().throttled(Instant::now())
     }
 
     fn daemons(&self) -> usize {
@@ -335,14 +336,14 @@
         }
     }
 
-    fn holder(&self) -> DutyHolder {
+    fn holder(&self) -> LeaseHolder {
         let fence = self.context.lease.borrow().fence;
-        DutyHolder { name: self.context.settings.name.clone(), fence }
+        LeaseHolder { name: self.context.settings.name.clone(), fence }
     }
 
     /// The next report that is due, once the one before has been sent.
     fn due_report(&self, record: &LeaseRecord) -> Option<UsageReport> {
-        if !self.context.settings.duties.contains(&DutyKind::UsageReports) {
+        if !self.context.settings.duties.contains(&LeaderTask::UsageReports) {
             return None;
         }
         if record.report.is_some() && !self.reported {
@@ -379,8 +380,8 @@
         Ok(())
     }
 
-    async fn order_replicas(&mut self) -> Result<(), StepError> {
-        if !self.context.settings.duties.contains(&DutyKind::FleetOrders) {
+    async fn order_endpoints(&mut self) -> Result<(), StepError> {
+        if !self.context.settings.duties.contains(&LeaderTask::EndpointOrders) {
             return Ok(());
         }
         let now = Instant::now();
--- a/src/gateway/leader/lease_record.rs
+++ b/src/gateway/leader/lease_record.rs
@@ -36,9 +36,9 @@
     #[serde(default)]
     pub daemons: usize,
     /// Accounts that were crowded at the last renewal.
-    #[serde(default)]
-    pub crowded: Vec<SharedName>,
-    /// Replicas that are needed, by service.
+    #[serde(default, rename = "crowded")]
+    pub throttled: Vec<SharedName>,
+    /// Endpoints that are needed, by service.
     #[serde(default)]
     pub needs: BTreeMap<SharedName, f64>,
     /// The newest report.
--- a/src/gateway/policy/catch_up.rs
+++ b/src/gateway/policy/catch_up.rs
@@ -1,13 +1,13 @@
 //! Whether others hold newer revisions than this daemon, and whom to ask for them.
 //!
-//! Texts of configurations and lists of replicas are long; each is asked of one daemon at a
+//! Texts of configurations and lists of endpoints are long; each is asked of one daemon at a
 //! time, so that it crosses a link once and not from every neighbour.
 
 use std::{net::SocketAddr, time::Duration};
 
 use tokio::time::Instant;
 
-use crate::gateway::{context::GatewayContext, gossip::codec::NewsWants};
+use crate::gateway::{context::GatewayContext, gossip::codec::RequestedParts};
 
 /// An answer is waited for this long before another daemon is asked.
 const ASK_AGAIN: Duration = Duration::from_millis(500);
@@ -17,13 +17,13 @@
 pub struct HeldRevisions {
     /// Of the configuration.
     pub configuration: u64,
-    /// Of the list of replicas.
-    pub replicas: u64,
+    /// Of the list of endpoints.
+    pub endpoints: u64,
 }
 
 /// The newest revision of one thing that was heard of.
 #[derive(Clone, Copy, Debug, Default)]
-struct NewestHeard {
+struct NewestKnown {
     revision: u64,
     holder: Option<SocketAddr>,
     /// When this daemon was first seen to be behind.
@@ -31,7 +31,7 @@
     asked_at: Option<Instant>,
 }
 
-impl NewestHeard {
+impl NewestKnown {
     fn hear(&mut self, holder: SocketAddr, revision: u64, now: Instant) {
         let waited = |at: Instant| now.saturating_duration_since(at) >= ASK_AGAIN;
         let unanswered = revision == self.revision && self.asked_at.is_some_and(waited);
@@ -43,14 +43,14 @@
     }
 
     /// Whether to ask now, given the own revision; notes that it was asked.
-    fn ask(&mut self, own: u64, patience: Duration, now: Instant) -> bool {
+    fn ask(&mut self, own: u64, attempt_timeout: Duration, now: Instant) -> bool {
         if own >= self.revision {
             self.behind_since = None;
             self.asked_at = None;
             return false;
         }
         let since = |at: Instant| now.saturating_duration_since(at);
-        let patient = self.behind_since.is_some_and(|at| since(at) < patience);
+        let patient = self.behind_since.is_some_and(|at| since(at) < attempt_timeout);
         let waiting = self.asked_at.is_some_and(|at| since(at) < ASK_AGAIN);
         if patient || waiting {
             return false;
@@ -62,16 +62,16 @@
 
 /// What others hold that is newer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct BehindTable {
-    configuration: NewestHeard,
-    replicas: NewestHeard,
+pub struct CatchUpState {
+    configuration: NewestKnown,
+    endpoints: NewestKnown,
 }
 
-impl BehindTable {
+impl CatchUpState {
     /// A daemon has told which revisions it holds.
     pub fn hear(&mut self, holder: SocketAddr, held: HeldRevisions, now: Instant) {
         self.configuration.hear(holder, held.configuration, now);
-        self.replicas.hear(holder, held.replicas, now);
+        self.endpoints.hear(holder, held.endpoints, now);
     }
 
     /// What to ask of the daemon at `address`, which is called now.
@@ -79,24 +79,25 @@
         &mut self,
         address: SocketAddr,
         own: HeldRevisions,
-        patience: Duration,
+        attempt_timeout: Duration,
         now: Instant,
-    ) -> NewsWants {
-        let holds = |newest: &NewestHeard| newest.holder == Some(address);
-        let configuration =
-            holds(&self.configuration) && self.configuration.ask(own.configuration, patience, now);
-        let replicas = holds(&self.replicas) && self.replicas.ask(own.replicas, patience, now);
-        NewsWants { row: false, configuration, replicas }
+    ) -> RequestedParts {
+        let holds = |newest: &NewestKnown| newest.holder == Some(address);
+        let configuration = holds(&self.configuration)
+            && self.configuration.ask(own.configuration, attempt_timeout, now);
+        let endpoints =
+            holds(&self.endpoints) && self.endpoints.ask(own.endpoints, attempt_timeout, now);
+        RequestedParts { group: false, configuration, endpoints }
     }
 
     /// Daemons that hold something newer than this one.
     pub fn ahead(&self, context: &GatewayContext) -> impl Iterator<Item = SocketAddr> + use<> {
         let own_configuration = context.configuration.borrow().revision;
-        let own_replicas = context.replica_list.borrow().revision;
+        let own_endpoints = context.endpoint_list.borrow().revision;
         let ahead =
-            |newest: &NewestHeard, own: u64| newest.holder.filter(|_| newest.revision > own);
+            |newest: &NewestKnown, own: u64| newest.holder.filter(|_| newest.revision > own);
         let configuration = ahead(&self.configuration, own_configuration);
-        let replicas = ahead(&self.replicas, own_replicas);
-        configuration.into_iter().chain(replicas.filter(move |one| Some(*one) != configuration))
+        let endpoints = ahead(&self.endpoints, own_endpoints);
+        configuration.into_iter().chain(endpoints.filter(move |one| Some(*one) != configuration))
     }
 }
--- a/src/gateway/policy/fleet_size.rs
+++ b/src/gateway/policy/fleet_size.rs
@@ -1,6 +1,6 @@
-//! How many replicas of which price class to hold in which zone.
+//! How many endpoints of which price class to hold in which zone.
 //!
-//! Reclaimable replicas cost a fraction of the others, but a whole zone of them can go at
+//! Reclaimable endpoints cost a fraction of the others, but a whole zone of them can go at
 //! once and may then not be had again for a while. So they are spread evenly over the
 //! zones, enough that what is needed is still there when the largest zone has gone; others
 //! are held only where reclaimable ones cannot be had and something would be missing.
@@ -14,63 +14,63 @@
 
 use crate::{gateway::configuration::FleetSpec, ids::SharedName};
 
-/// Busy part of a replica's reading at which it is full enough.
+/// Busy part of an endpoint's reading at which it is full enough.
 const READ_BUSY: f64 = 0.5;
-/// Taken part of a replica's slots at which it is full enough.
+/// Taken part of an endpoint's slots at which it is full enough.
 const SLOTS_TAKEN: f64 = 0.6;
 /// The need sinks by this part in a second, so that bursts find what the last one needed.
 const NEED_DECAY: f64 = 0.05;
 /// Part of the need that must still be there when the next zone is reclaimed.
 const CRITICAL_PART: f64 = 0.65;
-/// Part of the replicas found at the start that is taken to be needed, until demand is seen.
+/// Part of the endpoints found at the start that is taken to be needed, until demand is seen.
 const FOUND_PART: f64 = 0.85;
-/// The need is never put at more than this many times the replicas that serve: what full
-/// replicas show of the demand is their own slowness as well.
+/// The need is never put at more than this many times the endpoints that serve: what full
+/// endpoints show of the demand is their own slowness as well.
 const GROWTH_LIMIT: f64 = 1.5;
-/// A planner that has just begun orders nothing until the list of replicas has not grown for
-/// this long: replicas that have just started, or whose entries were lost, are not listed at
+/// A planner that has just begun orders nothing until the list of endpoints has not grown for
+/// this long: endpoints that have just started, or whose entries were lost, are not listed at
 /// once.
 const SETTLE_TIME: Duration = Duration::from_millis(1_000);
 /// A planner that has just begun orders after this time, however the list grows.
 const SETTLE_LIMIT: Duration = Duration::from_secs(5);
-/// Reclaimable replicas count as scarce for this long after an order was turned down.
+/// Reclaimable endpoints count as scarce for this long after an order was turned down.
 const SCARCE_FOR: Duration = Duration::from_secs(6);
-/// A zone whose order for reclaimable replicas was turned down is not asked again sooner.
+/// A zone whose order for reclaimable endpoints was turned down is not asked again sooner.
 const TURNED_DOWN_FOR: Duration = Duration::from_secs(2);
 
-/// Price class of a replica.
+/// Price class of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum ReplicaClass {
+pub enum PriceClass {
     /// Cheap; the cloud may take it back.
     Reclaimable,
     /// Stays until it is given up.
     OnDemand,
 }
 
-/// What the replicas of a service are asked for now.
+/// What the endpoints of a service are asked for now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceDemand {
     /// Prompt tokens to be read in a second.
-    pub read_rate: f64,
-    /// Prompt tokens that one replica reads in a second.
-    pub replica_read_rate: f64,
+    pub prefill_rate: f64,
+    /// Prompt tokens that one endpoint reads in a second.
+    pub endpoint_read_rate: f64,
     /// Requests that run.
     pub running: f64,
-    /// Requests that a replica works on at once.
+    /// Requests that an endpoint works on at once.
     pub slots: f64,
 }
 
 impl ServiceDemand {
-    /// Replicas that serve this demand within the targets.
-    pub fn replicas(&self) -> f64 {
-        let reading = self.read_rate / (self.replica_read_rate * READ_BUSY).max(1.0);
+    /// Endpoints that serve this demand within the targets.
+    pub fn endpoints(&self) -> f64 {
+        let reading = self.prefill_rate / (self.endpoint_read_rate * READ_BUSY).max(1.0);
         let running = self.running / (self.slots * SLOTS_TAKEN).max(1.0);
         // NOTE: reading slows what runs, so that the requests that run show that already.
         reading.max(running)
     }
 }
 
-/// Replicas of one service in one zone that are not leaving.
+/// Endpoints of one service in one zone that are not leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneHolding {
     /// Reclaimable ones.
@@ -80,22 +80,22 @@
 }
 
 /// Numbers to order, by zone and class.
-pub type FleetTargets = BTreeMap<(SharedName, ReplicaClass), u32>;
+pub type EndpointTargets = BTreeMap<(SharedName, PriceClass), u32>;
 
-/// Planner of one service's replicas.
+/// Planner of one service's endpoints.
 #[derive(Debug)]
-pub struct FleetPlanner {
+pub struct EndpointPlanner {
     need: f64,
-    /// Whether the need is guessed from the replicas that are held, until any demand is seen.
+    /// Whether the need is guessed from the endpoints that are held, until any demand is seen.
     is_guessed: bool,
     begun_at: Instant,
-    /// Most replicas that were listed, and since when.
+    /// Most endpoints that were listed, and since when.
     found: (u32, Instant),
     updated_at: Instant,
     turned_down: BTreeMap<SharedName, Instant>,
 }
 
-impl FleetPlanner {
+impl EndpointPlanner {
     /// Planner that knows nothing of the need yet but what the one before it, if any, had found.
     pub fn new(need_before: Option<f64>, now: Instant) -> Self {
         let turned_down = BTreeMap::new();
@@ -131,19 +131,19 @@
         unchanged >= SETTLE_TIME || begun >= SETTLE_LIMIT
     }
 
-    /// Replicas needed now.
+    /// Endpoints needed now.
     pub fn need(&self) -> f64 {
         self.need
     }
 
-    /// Takes the demand of this moment, with `serving` replicas ready. Without any demand yet
+    /// Takes the demand of this moment, with `serving` endpoints ready. Without any demand yet
     /// the need does not sink.
     pub fn observe(&mut self, demand: &ServiceDemand, serving: usize, now: Instant) {
         let lately = |at: &Instant| now.saturating_duration_since(*at) < SCARCE_FOR;
         self.turned_down.retain(|_, at| lately(at));
         let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f64();
         self.updated_at = now;
-        let wanted = demand.replicas().min(serving.max(1) as f64 * GROWTH_LIMIT);
+        let wanted = demand.endpoints().min(serving.max(1) as f64 * GROWTH_LIMIT);
         if wanted > 0.0 {
             self.is_guessed = false;
             let sunk = self.need * (1.0 - NEED_DECAY).powf(elapsed);
@@ -151,12 +151,12 @@
         }
     }
 
-    /// The cloud has no reclaimable replicas in this zone now.
+    /// The cloud has no reclaimable endpoints in this zone now.
     pub fn turned_down(&mut self, zone: &SharedName, now: Instant) {
         self.turned_down.insert(zone.clone(), now);
     }
 
-    /// Zones in which reclaimable replicas were just not to be had.
+    /// Zones in which reclaimable endpoints were just not to be had.
     pub fn turned_down_zones(&self, now: Instant) -> BTreeSet<SharedName> {
         let lately = |at: &Instant| now.saturating_duration_since(*at) < TURNED_DOWN_FOR;
         let zones = self.turned_down.iter().filter(|(_, at)| lately(at));
@@ -164,7 +164,11 @@
     }
 
     /// What to hold, given what is held.
-    pub fn plan(&self, spec: &FleetSpec, held: &BTreeMap<SharedName, ZoneHolding>) -> FleetTargets {
+    pub fn plan(
+        &self,
+        spec: &FleetSpec,
+        held: &BTreeMap<SharedName, ZoneHolding>,
+    ) -> EndpointTargets {
         match spec.reclaimable_price {
             Some(price) if price < 1.0 => self.plan_mixed(spec, held),
             _ => self.plan_on_demand(spec, held),
@@ -175,15 +179,15 @@
         &self,
         spec: &FleetSpec,
         held: &BTreeMap<SharedName, ZoneHolding>,
-    ) -> FleetTargets {
+    ) -> EndpointTargets {
         let zones = held.len().max(1);
         let others = (zones - 1).max(1) as f64;
         let least = spec.least.max(1);
         let wanted = (self.need / others).ceil() as u32;
         let wanted = wanted.clamp(least, spec.most);
-        let mut targets = FleetTargets::new();
+        let mut targets = EndpointTargets::new();
         for zone in held.keys() {
-            targets.insert((zone.clone(), ReplicaClass::Reclaimable), wanted);
+            targets.insert((zone.clone(), PriceClass::Reclaimable), wanted);
         }
         let on_demand: u32 = held.values().map(|holding| holding.on_demand).sum();
         let mut missing = self.missing(held);
@@ -210,10 +214,10 @@
             let floor = least.saturating_sub(holding.reclaimable);
             let count = share.max(floor).min(room.max(floor));
             missing = missing.saturating_sub(count);
-            targets.insert(((*zone).clone(), ReplicaClass::OnDemand), count);
+            targets.insert(((*zone).clone(), PriceClass::OnDemand), count);
             let left = spec.most.saturating_sub(count).max(least);
             if wanted > left {
-                targets.insert(((*zone).clone(), ReplicaClass::Reclaimable), left);
+                targets.insert(((*zone).clone(), PriceClass::Reclaimable), left);
             }
         }
         targets
@@ -234,11 +238,11 @@
         &self,
         spec: &FleetSpec,
         held: &BTreeMap<SharedName, ZoneHolding>,
-    ) -> FleetTargets {
+    ) -> EndpointTargets {
         let zones = held.len().max(1) as f64;
         let wanted = (self.need / zones).ceil() as u32;
         let wanted = wanted.clamp(spec.least, spec.most);
-        let class = ReplicaClass::OnDemand;
+        let class = PriceClass::OnDemand;
         held.keys().map(|zone| ((zone.clone(), class), wanted)).collect()
     }
 }
--- a/src/gateway/policy/leader_lease.rs
+++ b/src/gateway/policy/leader_lease.rs
@@ -1,4 +1,4 @@
-//! The lease of the duties: one daemon at a time reports usage and orders replicas.
+//! The lease of the duties: one daemon at a time reports usage and orders endpoints.
 //!
 //! The lease is an object in the store, renewed by conditional writes; its fence rises with
 //! every new holder. The holder stops by its own steady clock before any other may start.
@@ -19,7 +19,7 @@
 
 /// What is known of the lease.
 #[derive(Clone, Debug, Default)]
-pub struct LeaseView {
+pub struct LeaderLease {
     /// Fence of the newest holder known.
     pub fence: u64,
     /// Name of that holder.
@@ -30,7 +30,7 @@
     pub own: bool,
 }
 
-impl LeaseView {
+impl LeaderLease {
     /// Whether this daemon may act in the duties now.
     pub fn may_act(&self, lease: Duration, now: Instant) -> bool {
         let held = |at: Instant| now.saturating_duration_since(at) < lease.mul_f64(HOLD_PART);
--- a/src/gateway/policy/prompt_cache.rs
+++ b/src/gateway/policy/prompt_cache.rs
@@ -1,10 +1,10 @@
-//! Which parts of prompts a replica probably remembers.
+//! Which parts of prompts an endpoint probably remembers.
 
 use std::collections::HashMap;
 
 use crate::{gateway::request::call::PromptPart, ids::hash_parts};
 
-/// Parts remembered for each replica.
+/// Parts remembered for each endpoint.
 const PARTS_KEPT: usize = 1_024;
 
 /// Chain of a prompt's parts: each with all before it, and the tokens up to its end.
@@ -19,21 +19,21 @@
     chain
 }
 
-/// Parts that a replica was sent lately.
+/// Parts that an endpoint was sent lately.
 #[derive(Debug, Default)]
-pub struct PromptMemory {
+pub struct PromptCache {
     tick: u64,
     parts: HashMap<u64, u64>,
 }
 
-impl PromptMemory {
+impl PromptCache {
     /// Tokens of the chain that are probably remembered.
     pub fn remembered(&self, chain: &[(u64, u64)]) -> u64 {
         let known = chain.iter().take_while(|(hash, _)| self.parts.contains_key(hash));
         known.last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// The replica reads this chain.
+    /// The endpoint reads this chain.
     pub fn remember(&mut self, chain: &[(u64, u64)]) {
         self.tick += 1;
         for (hash, _) in chain {
--- a/src/gateway/policy/quota.rs
+++ b/src/gateway/policy/quota.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    gateway::{configuration::AccountQuota, gossip::report_source::TallySource},
+    gateway::{configuration::AccountQuota, gossip::report_source::ReportSource},
     ids::SharedName,
 };
 
@@ -64,11 +64,12 @@
 /// Time told to a refused client while hardly anything is admitted, in seconds.
 const CROWDED_WAIT_S: f64 = 1.0;
 /// Shortest and longest time told to a refused client.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(5));
 
 /// Units of one account since a daemon started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AccountTally {
+pub struct AccountCounters {
     /// Units admitted.
     pub spent: u64,
     /// Units asked for, admitted or not.
@@ -83,13 +84,13 @@
     burst: f64,
     /// Last time the bucket was filled; none before the first request.
     filled_at: Option<Instant>,
-    own: AccountTally,
+    own: AccountCounters,
     own_asked: AskedRate,
     /// What others have told of, by the start of their processes; ordered, so that sums over
     /// it are rounded the same way every time.
-    heard: BTreeMap<TallySource, HeardSpending>,
-    /// What others of the own row have told of.
-    row_heard: AccountTally,
+    heard: BTreeMap<ReportSource, PeerSpending>,
+    /// What others of the own group have told of.
+    group_reported: AccountCounters,
 }
 
 /// Units asked for in a second, averaged.
@@ -112,8 +113,8 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeardSpending {
-    tally: AccountTally,
+struct PeerSpending {
+    counters: AccountCounters,
     at: Instant,
     /// Units admitted in a second.
     rate: f64,
@@ -121,9 +122,9 @@
     asked_rate: f64,
 }
 
-impl HeardSpending {
-    fn new(tally: AccountTally, at: Instant) -> Self {
-        Self { tally, at, rate: 0.0, asked_rate: 0.0 }
+impl PeerSpending {
+    fn new(counters: AccountCounters, at: Instant) -> Self {
+        Self { counters, at, rate: 0.0, asked_rate: 0.0 }
     }
 
     /// Units that have probably been spent since the last word.
@@ -147,7 +148,7 @@
     /// Beyond it; there will be room after this time.
     Refused {
         /// When to come back.
-        come_back: Duration,
+        retry_after: Duration,
         /// Units in the bucket.
         level: f64,
     },
@@ -175,12 +176,12 @@
 pub struct QuotaLedger {
     accounts: HashMap<SharedName, AccountBucket>,
     /// Who has told of its accounts, and when.
-    sources: HashMap<TallySource, Instant>,
+    sources: HashMap<ReportSource, Instant>,
     /// Number of sources above which old ones are dropped.
     sources_pruned_at: usize,
     started_at: Instant,
     /// Accounts that were crowded before this daemon started, once that is known.
-    crowded_before: Option<BTreeSet<SharedName>>,
+    throttled_before: Option<BTreeSet<SharedName>>,
     tolerance: QuotaTolerance,
 }
 
@@ -201,22 +202,22 @@
             sources: HashMap::new(),
             sources_pruned_at: SOURCES_KEPT,
             started_at: now,
-            crowded_before: None,
+            throttled_before: None,
             tolerance,
         }
     }
 
     /// These accounts were crowded not long before this daemon started. Of others all of the
     /// burst may be taken for there.
-    pub fn set_crowded_before(&mut self, accounts: impl IntoIterator<Item = SharedName>) {
-        self.crowded_before.get_or_insert_with(|| accounts.into_iter().collect());
+    pub fn set_throttled_before(&mut self, accounts: impl IntoIterator<Item = SharedName>) {
+        self.throttled_before.get_or_insert_with(|| accounts.into_iter().collect());
     }
 
     /// Accounts of which much is asked, or little is left.
-    pub fn crowded(&self, now: Instant) -> Vec<SharedName> {
+    pub fn throttled(&self, now: Instant) -> Vec<SharedName> {
         let buckets = self.accounts.iter();
-        let crowded = buckets.filter(|(_, bucket)| bucket.is_crowded(now));
-        let mut names: Vec<SharedName> = crowded.map(|(name, _)| name.clone()).collect();
+        let throttled = buckets.filter(|(_, bucket)| bucket.is_throttled(now));
+        let mut names: Vec<SharedName> = throttled.map(|(name, _)| name.clone()).collect();
         names.sort_unstable();
         names
     }
@@ -239,7 +240,7 @@
         let bucket = self.accounts.entry(account.clone()).or_default();
         if bucket.filled_at.is_none() {
             // NOTE: a bucket that nobody asked yet has filled since the daemon started.
-            let calm = self.crowded_before.as_ref().is_some_and(|list| !list.contains(account));
+            let calm = self.throttled_before.as_ref().is_some_and(|list| !list.contains(account));
             bucket.level += match calm {
                 true => burst,
                 false => burst * START_LEVEL / sharing.known.max(1) as f64,
@@ -268,9 +269,10 @@
         }
         let refill = (needed - level) / rate;
         let wait = refill.max(CROWDED_WAIT_S * (1.0 - admitted_part));
-        let come_back = Duration::from_secs_f64(wait.clamp(0.0, COME_BACK.1.as_secs_f64()));
-        let come_back = come_back.max(COME_BACK.0);
-        QuotaVerdict::Refused { come_back, level }
+        let retry_after =
+            Duration::from_secs_f64(wait.clamp(0.0, RETRY_AFTER_BOUNDS.1.as_secs_f64()));
+        let retry_after = retry_after.max(RETRY_AFTER_BOUNDS.0);
+        QuotaVerdict::Refused { retry_after, level }
     }
 
     /// Gives back what a request was admitted for that never ran.
@@ -282,21 +284,21 @@
         }
     }
 
-    /// Another daemon, or a row of them, tells of its accounts. `recent` says that it has
+    /// Another daemon, or a group of them, tells of its accounts. `recent` says that it has
     /// started just now: then all that it has spent was spent just now.
     pub fn hear<'a>(
         &mut self,
-        from: TallySource,
-        tallies: impl IntoIterator<Item = (&'a SharedName, &'a AccountTally)>,
+        from: ReportSource,
+        counters: impl IntoIterator<Item = (&'a SharedName, &'a AccountCounters)>,
         recent: bool,
         now: Instant,
     ) {
         let before = self.sources.insert(from, now);
         let just_started = recent.then(|| now.checked_sub(FIRST_ELAPSED)).flatten();
         let since = before.or(just_started);
-        for (account, tally) in tallies {
+        for (account, counters) in counters {
             let bucket = self.accounts.entry(account.clone()).or_default();
-            bucket.hear(from, *tally, since, now);
+            bucket.hear(from, *counters, since, now);
         }
         let kept = |at: &mut Instant| now.saturating_duration_since(*at) < HEARD_KEPT;
         if self.sources.len() > self.sources_pruned_at {
@@ -305,23 +307,23 @@
         }
     }
 
-    /// Units of the own row, as far as heard.
-    pub fn row_tallies(&self) -> impl Iterator<Item = (SharedName, AccountTally)> {
-        let sum = |bucket: &AccountBucket| AccountTally {
-            spent: bucket.own.spent + bucket.row_heard.spent,
-            asked: bucket.own.asked + bucket.row_heard.asked,
+    /// Units of the own group, as far as heard.
+    pub fn group_counters(&self) -> impl Iterator<Item = (SharedName, AccountCounters)> {
+        let sum = |bucket: &AccountBucket| AccountCounters {
+            spent: bucket.own.spent + bucket.group_reported.spent,
+            asked: bucket.own.asked + bucket.group_reported.asked,
         };
         self.accounts.iter().map(move |(account, bucket)| (account.clone(), sum(bucket)))
     }
 
     /// Units of this daemon since it started.
-    pub fn tallies(&self) -> impl Iterator<Item = (&SharedName, AccountTally)> {
+    pub fn counters(&self) -> impl Iterator<Item = (&SharedName, AccountCounters)> {
         self.accounts.iter().map(|(account, bucket)| (account, bucket.own))
     }
 }
 
 impl AccountBucket {
-    fn is_crowded(&self, now: Instant) -> bool {
+    fn is_throttled(&self, now: Instant) -> bool {
         let Some(filled_at) = self.filled_at else { return false };
         let elapsed = now.saturating_duration_since(filled_at).as_secs_f64();
         self.level + elapsed * self.rate < self.burst * CALM_LEVEL
@@ -339,45 +341,45 @@
         (rate / asked.max(1.0)).clamp(0.0, 1.0)
     }
 
-    /// Takes what another daemon, or a row, tells. What it tells first is taken for spent
+    /// Takes what another daemon, or a group, tells. What it tells first is taken for spent
     /// after `since`.
     fn hear(
         &mut self,
-        from: TallySource,
-        tally: AccountTally,
+        from: ReportSource,
+        counters: AccountCounters,
         since: Option<Instant>,
         now: Instant,
     ) {
-        let nothing = |at| HeardSpending::new(AccountTally::default(), at);
+        let nothing = |at| PeerSpending::new(AccountCounters::default(), at);
         let known = self.heard.get(&from).copied();
         if known.is_none() {
             self.heard.retain(|_, heard| now.saturating_duration_since(heard.at) < HEARD_KEPT);
         }
         let Some(before) = known.or(since.map(nothing)) else {
             // NOTE: what a daemon spent before it was first heard may be long refilled.
-            self.heard.insert(from, HeardSpending::new(tally, now));
+            self.heard.insert(from, PeerSpending::new(counters, now));
             return;
         };
         // NOTE: units that were given back make the count sink.
-        let spent = tally.spent as f64 - before.tally.spent as f64;
+        let spent = counters.spent as f64 - before.counters.spent as f64;
         self.level -= spent;
-        let rise = AccountTally {
-            spent: tally.spent.saturating_sub(before.tally.spent),
-            asked: tally.asked.saturating_sub(before.tally.asked),
+        let rise = AccountCounters {
+            spent: counters.spent.saturating_sub(before.counters.spent),
+            asked: counters.asked.saturating_sub(before.counters.asked),
         };
-        self.note_row(from, rise);
+        self.note_group(from, rise);
         let elapsed = now.saturating_duration_since(before.at).as_secs_f64().max(LEAST_ELAPSED_S);
         let weight = if known.is_some() { RATE_WEIGHT } else { 1.0 };
         let smooth = |before: f64, newest: f64| before + (newest - before) * weight;
         let rate = smooth(before.rate, (spent / elapsed).max(0.0));
         let asked_rate = smooth(before.asked_rate, rise.asked as f64 / elapsed);
-        self.heard.insert(from, HeardSpending { tally, at: now, rate, asked_rate });
+        self.heard.insert(from, PeerSpending { counters, at: now, rate, asked_rate });
     }
 
-    fn note_row(&mut self, from: TallySource, rise: AccountTally) {
-        if from.is_in_row() {
-            self.row_heard.spent += rise.spent;
-            self.row_heard.asked += rise.asked;
+    fn note_group(&mut self, from: ReportSource, rise: AccountCounters) {
+        if from.is_in_own_group() {
+            self.group_reported.spent += rise.spent;
+            self.group_reported.asked += rise.asked;
         }
     }
 
--- a/src/gateway/policy/retry_budget.rs
+++ b/src/gateway/policy/retry_budget.rs
@@ -6,18 +6,18 @@
 use tokio::time::Instant;
 
 /// Part of the promised share and reserve that is used; the rest covers repeats that are
-/// counted differently at the replicas.
+/// counted differently at the endpoints.
 const USED_PART: f64 = 0.8;
 
 /// Budget of one service.
 #[derive(Debug)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     window: Duration,
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Budget over windows of this length.
     pub fn new(window: Duration) -> Self {
         Self { window, requests: VecDeque::new(), repeats: VecDeque::new() }
@@ -31,7 +31,7 @@
 
     /// Draws one repeat, if there is one: `share` of the window's requests and `reserve`
     /// more, both for this daemon alone.
-    pub fn draw(&mut self, share: f64, reserve: f64, now: Instant) -> bool {
+    pub fn try_withdraw(&mut self, share: f64, reserve: f64, now: Instant) -> bool {
         self.forget(now);
         let allowed = (self.requests.len() as f64 * share + reserve) * USED_PART;
         let drawn = (self.repeats.len() as f64) + 1.0 <= allowed;
--- a/src/gateway/policy/usage_counts.rs
+++ b/src/gateway/policy/usage_counts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::{gateway::gossip::report_source::TallySource, ids::SharedName};
+use crate::{gateway::gossip::report_source::ReportSource, ids::SharedName};
 
 /// Windows kept: reports are due well before so many have passed.
 const WINDOWS_KEPT: u64 = 8;
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct UsageCounts {
     own: BTreeMap<u64, WindowCounts>,
-    heard: HashMap<TallySource, BTreeMap<u64, WindowCounts>>,
+    heard: HashMap<ReportSource, BTreeMap<u64, WindowCounts>>,
 }
 
 impl UsageCounts {
@@ -31,15 +31,15 @@
         &self.own
     }
 
-    /// Another daemon's or row's counts; those of a window only rise within one life.
-    pub fn hear(&mut self, from: TallySource, window: u64, counts: WindowCounts) {
-        if let TallySource::Row { number, delegate } = from {
-            // NOTE: a new delegate tells of the same row: its word takes the other's place.
+    /// Another daemon's or group's counts; those of a window only rise within one life.
+    pub fn hear(&mut self, from: ReportSource, window: u64, counts: WindowCounts) {
+        if let ReportSource::Group { number, representative } = from {
+            // NOTE: a new representative tells of the same group: its word takes the other's place.
             self.heard.retain(|other, _| match other {
-                TallySource::Row { number: row, delegate: before } => {
-                    *row != number || *before == delegate
+                ReportSource::Group { number: group, representative: before } => {
+                    *group != number || *before == representative
                 }
-                TallySource::Daemon(_) => true,
+                ReportSource::Daemon(_) => true,
             });
         }
         let windows = self.heard.entry(from).or_default();
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Counts of the own row, by window.
-    pub fn row_totals(&self) -> BTreeMap<u64, WindowCounts> {
-        let in_row = self.heard.iter().filter(|(from, _)| from.is_in_row());
+    /// Counts of the own group, by window.
+    pub fn group_totals(&self) -> BTreeMap<u64, WindowCounts> {
+        let in_own_group = self.heard.iter().filter(|(from, _)| from.is_in_own_group());
         let mut totals = self.own.clone();
-        for (window, counts) in in_row.flat_map(|(_, windows)| windows) {
+        for (window, counts) in in_own_group.flat_map(|(_, windows)| windows) {
             let total = totals.entry(*window).or_default();
             for (account, count) in counts {
                 *total.entry(account.clone()).or_default() += count;
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -10,7 +10,7 @@
 
 use super::{
     call::{Call, CallHead},
-    refusal::{NO_REPLICA_WAIT, Refusal, SpentQuota},
+    refusal::{NO_ENDPOINT_WAIT, Refusal, SpentQuota},
 };
 use crate::gateway::{
     configuration::{Account, Configuration, Route, Service},
@@ -54,7 +54,7 @@
     let deadline = received + held.unwrap_or(DEFAULT_DEADLINE);
     let body = read_body(body, configuration.limits.body_bytes, deadline).await?;
     let service =
-        pick_service(&configuration, &route).ok_or(Refusal::NoReplica(NO_REPLICA_WAIT))?;
+        pick_service(&configuration, &route).ok_or(Refusal::NoEndpoint(NO_ENDPOINT_WAIT))?;
     let now = Instant::now();
     if let Some(account) = &account {
         spend_quota(context, account, &head, now)?;
@@ -134,13 +134,13 @@
     let mut quotas = context.quotas.borrow_mut();
     match quotas.admit(&account.name, &account.quota, units, sharing, now, &mut rand::rng()) {
         QuotaVerdict::Admitted => Ok(()),
-        QuotaVerdict::Refused { come_back, level } => Err(Refusal::QuotaSpent(SpentQuota {
+        QuotaVerdict::Refused { retry_after, level } => Err(Refusal::QuotaSpent(SpentQuota {
             account: account.name.clone(),
             units,
             level,
             heard: sharing.heard,
             known: sharing.known,
-            come_back,
+            retry_after,
         })),
     }
 }
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: a replica is chosen, connected to and asked.
+//! One attempt at a request: an endpoint is chosen, connected to and asked.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,8 +12,8 @@
 use super::{
     admission::Admitted,
     call::CallHead,
-    connection_pool::{ReplicaConnection, SendFailure},
-    refusal::{NO_REPLICA_WAIT, Refusal},
+    connection_pool::{EndpointConnection, SendFailure},
+    refusal::{NO_ENDPOINT_WAIT, Refusal},
     relay,
     request_log::RequestTrace,
     run_guard::RunGuard,
@@ -23,7 +23,7 @@
     gateway::{
         context::GatewayContext,
         policy::{
-            endpoint_choice::{ChoiceQuery, ChoiceResult, ReplicaChoice},
+            endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointChoice},
             endpoint_load::RunLoad,
         },
     },
@@ -36,49 +36,49 @@
 /// A stream that may be continued is sent elsewhere after this many times its target.
 const STREAM_PATIENCE: f64 = 1.6;
 
-/// An answer of a replica, with all that is needed to relay it.
-pub struct ReplicaAnswer {
+/// An answer of an endpoint, with all that is needed to relay it.
+pub struct EndpointAnswer {
     /// Head and body.
     pub response: Response<Incoming>,
     /// What it says.
     pub signs: AnswerSigns,
     /// Connection that it comes over.
-    pub connection: ReplicaConnection,
-    /// The run at the replica.
+    pub connection: EndpointConnection,
+    /// The run at the endpoint.
     pub guard: RunGuard,
 }
 
 /// State of the attempts at one request.
 pub struct Attempts {
-    /// Replicas that were tried.
+    /// Endpoints that were tried.
     pub tried: Vec<SharedName>,
-    /// Attempts that reached a replica.
+    /// Attempts that reached an endpoint.
     pub sent: u32,
     /// Whether an attempt ended in a way that leaves open whether the request has run.
     pub maybe_run: bool,
 }
 
-/// Whether another replica may be sent the request; draws on the budget.
+/// Whether another endpoint may be sent the request; draws on the budget.
 pub fn may_try_again(context: &GatewayContext, admitted: &Admitted, attempts: &Attempts) -> bool {
     let now = Instant::now();
     attempts.sent < admitted.route.attempts
         && now < admitted.deadline
-        && context.draw_repeat(&admitted.service.name, now)
+        && context.try_withdraw_retry(&admitted.service.name, now)
 }
 
 /// How one attempt ended.
 pub enum AttemptEnd {
-    /// A replica has answered, and the answer says that the request ran.
-    Answer(Box<ReplicaAnswer>),
+    /// An endpoint has answered, and the answer says that the request ran.
+    Answer(Box<EndpointAnswer>),
     /// Nothing was sent.
     NotSent,
-    /// The replica has not run it and never will.
+    /// The endpoint has not run it and never will.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// One attempt: chooses a replica, connects, sends, and reads the head of the answer.
+/// One attempt: chooses an endpoint, connects, sends, and reads the head of the answer.
 /// `continued` is the last event that the client has of a stream that goes on.
 pub async fn attempt(
     context: &Rc<GatewayContext>,
@@ -88,13 +88,13 @@
     trace: &mut RequestTrace,
 ) -> Result<AttemptEnd, Refusal> {
     let choice = choose(context, admitted, attempts)?;
-    let replica = choice.replica.clone();
-    attempts.tried.push(replica.id.clone());
+    let endpoint = choice.endpoint.clone();
+    attempts.tried.push(endpoint.id.clone());
     trace.attempt(&choice);
-    let load = RunLoad { unread: choice.unread, memory: memory_tokens(&admitted.call.head) };
-    let guard = RunGuard::begin(context.clone(), &replica, &admitted.call.head.parts, load);
+    let load = RunLoad { uncached: choice.uncached, memory: memory_tokens(&admitted.call.head) };
+    let guard = RunGuard::begin(context.clone(), &endpoint, &admitted.call.head.parts, load);
     let repeatable = admitted.route.kind.may_repeat();
-    let taking = context.connections.take(&replica, repeatable, admitted.deadline);
+    let taking = context.connections.take(&endpoint, repeatable, admitted.deadline);
     let mut connection = match taking.await {
         Ok(connection) => connection,
         Err(failure) => {
@@ -104,8 +104,8 @@
         }
     };
     let now = Instant::now();
-    let request = replica_request(admitted, &replica.id, continued, now);
-    let until = patience(admitted, attempts, now);
+    let request = endpoint_request(admitted, &endpoint.id, continued, now);
+    let until = attempt_timeout(admitted, attempts, now);
     match connection.send(request, until).await {
         Err(failure) => {
             trace.failed(&failure);
@@ -113,11 +113,11 @@
                 true => AttemptEnd::NotSent,
                 false => {
                     attempts.sent += 1;
-                    context.connections.distrust(&replica.id);
+                    context.connections.discard_connections(&endpoint.id);
                     AttemptEnd::Unknown
                 }
             };
-            // NOTE: a kept connection that its replica has closed says nothing of its health.
+            // NOTE: a kept connection that its endpoint has closed says nothing of its health.
             let closed = matches!(failure, SendFailure::ClosedBefore);
             guard.finish(if closed { AttemptResult::Neutral } else { AttemptResult::Failed });
             if closed {
@@ -136,7 +136,7 @@
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     response: Response<Incoming>,
-    connection: ReplicaConnection,
+    connection: EndpointConnection,
     guard: RunGuard,
     trace: &mut RequestTrace,
 ) -> AttemptEnd {
@@ -144,22 +144,22 @@
     trace.answered(response.status(), signs.meaning);
     match signs.meaning {
         AnswerMeaning::Ran => {
-            AttemptEnd::Answer(Box::new(ReplicaAnswer { response, signs, connection, guard }))
+            AttemptEnd::Answer(Box::new(EndpointAnswer { response, signs, connection, guard }))
         }
         AnswerMeaning::NotRun => {
-            context.replicas.borrow_mut().mark_full(guard.replica(), Instant::now());
+            context.endpoints.borrow_mut().mark_full(guard.endpoint(), Instant::now());
             guard.finish(AttemptResult::Neutral);
             relay::drain(context, response, connection, signs);
             AttemptEnd::NotRun
         }
-        AnswerMeaning::OtherReplica => {
-            context.replicas.borrow_mut().mark_ended(guard.replica());
-            context.connections.distrust(guard.replica());
+        AnswerMeaning::OtherEndpoint => {
+            context.endpoints.borrow_mut().mark_ended(guard.endpoint());
+            context.connections.discard_connections(guard.endpoint());
             guard.finish(AttemptResult::Failed);
             AttemptEnd::NotRun
         }
         AnswerMeaning::Foreign => {
-            context.connections.distrust(guard.replica());
+            context.connections.discard_connections(guard.endpoint());
             guard.finish(AttemptResult::Failed);
             AttemptEnd::Unknown
         }
@@ -170,14 +170,14 @@
     context: &GatewayContext,
     admitted: &Admitted,
     attempts: &Attempts,
-) -> Result<ReplicaChoice, Refusal> {
+) -> Result<EndpointChoice, Refusal> {
     let head = &admitted.call.head;
     let now = Instant::now();
     if now >= admitted.deadline {
         return Err(if attempts.maybe_run {
             Refusal::OutOfTime
         } else {
-            Refusal::Full(NO_REPLICA_WAIT)
+            Refusal::Full(NO_ENDPOINT_WAIT)
         });
     }
     let query = ChoiceQuery {
@@ -188,16 +188,16 @@
         tried: &attempts.tried,
         memory_capacity: admitted.service.engine.as_ref().map(|engine| engine.memory_tokens),
     };
-    match context.replicas.borrow().choose(&query, now, &mut rand::rng()) {
-        ChoiceResult::Replica(choice) => Ok(choice),
+    match context.endpoints.borrow().choose(&query, now, &mut rand::rng()) {
+        ChoiceResult::Endpoint(choice) => Ok(choice),
         _ if attempts.maybe_run => Err(Refusal::Unknown),
-        ChoiceResult::Full(_) => Err(Refusal::Full(come_back(admitted))),
-        ChoiceResult::None => Err(Refusal::NoReplica(NO_REPLICA_WAIT)),
+        ChoiceResult::Full(_) => Err(Refusal::Full(retry_after(admitted))),
+        ChoiceResult::None => Err(Refusal::NoEndpoint(NO_ENDPOINT_WAIT)),
     }
 }
 
-/// When a client that found all replicas full may come back: soon enough to be in time.
-pub fn come_back(admitted: &Admitted) -> Duration {
+/// When a client that found all endpoints full may come back: soon enough to be in time.
+pub fn retry_after(admitted: &Admitted) -> Duration {
     const PART_OF_TARGET: f64 = 0.5;
     admitted.route.target.mul_f64(PART_OF_TARGET)
 }
@@ -208,9 +208,9 @@
     tokens.prompt + answer
 }
 
-fn replica_request(
+fn endpoint_request(
     admitted: &Admitted,
-    replica: &str,
+    endpoint: &str,
     continued: Option<u64>,
     now: Instant,
 ) -> Request<Full<Bytes>> {
@@ -220,17 +220,17 @@
     let rank = account.map_or(0, |account| account.priority).saturating_mul(ROUTE_RANKS);
     let priority = rank.saturating_add(admitted.route.priority).min(LOWEST);
     let attempt = AttemptHead {
-        replica,
+        endpoint,
         account: account.map(|account| &*account.name),
         left: Some(admitted.deadline.saturating_duration_since(now)),
         priority: admitted.service.engine.is_some().then_some(priority),
         last_event: continued,
     };
-    ingress::replica_request(&admitted.call, &attempt, Full::new(admitted.call.body.clone()))
+    ingress::endpoint_request(&admitted.call, &attempt, Full::new(admitted.call.body.clone()))
 }
 
 /// How long the head of an answer is waited for.
-fn patience(admitted: &Admitted, attempts: &Attempts, now: Instant) -> Instant {
+fn attempt_timeout(admitted: &Admitted, attempts: &Attempts, now: Instant) -> Instant {
     let route = &admitted.route;
     let last = attempts.sent + 1 >= route.attempts;
     if last || !route.kind.may_repeat() {
--- a/src/gateway/request/connection_pool.rs
+++ b/src/gateway/request/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas, kept for further requests only after a clean exchange.
+//! Connections to endpoints, kept for further requests only after a clean exchange.
 
 use std::{cell::RefCell, collections::HashMap, io::ErrorKind, rc::Rc, time::Duration};
 
@@ -15,18 +15,18 @@
     time::{Instant, timeout},
 };
 
-use crate::{gateway::endpoint::ReplicaRecord, ids::SharedName, metrics::MetricsHandle};
+use crate::{gateway::endpoint::EndpointRecord, ids::SharedName, metrics::MetricsHandle};
 
 /// Longest wait for a new connection.
 const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Longest rest of a connection whose replica does not say how long it keeps it.
+/// Longest rest of a connection whose endpoint does not say how long it keeps it.
 const REST_LIMIT: Duration = Duration::from_secs(4);
-/// A connection is not used in the last part of the time that its replica keeps it.
+/// A connection is not used in the last part of the time that its endpoint keeps it.
 const REST_MARGIN: Duration = Duration::from_millis(900);
-/// Longest rest before a request that must not be repeated: its replica may have dropped the
+/// Longest rest before a request that must not be repeated: its endpoint may have dropped the
 /// connection without a word, or send a surplus answer late.
 const REST_BEFORE_UNREPEATABLE: Duration = Duration::from_millis(250);
-/// Connections kept for each replica.
+/// Connections kept for each endpoint.
 const KEPT_LIMIT: usize = 16;
 /// Longest wait until a connection that was just given back is ready.
 const READY_LIMIT: Duration = Duration::from_millis(5);
@@ -36,7 +36,7 @@
 /// Why a request was not sent, or what became of it.
 #[derive(Clone, Debug, derive_more::Display)]
 pub enum SendFailure {
-    /// The replica's address refuses connections.
+    /// The endpoint's address refuses connections.
     #[display("connection refused")]
     Refused,
     /// No connection came up in time; nothing was sent.
@@ -77,12 +77,12 @@
 
 /// A connection in use.
 #[derive(Debug)]
-pub struct ReplicaConnection {
-    replica: SharedName,
+pub struct EndpointConnection {
+    endpoint: SharedName,
     sender: RequestSender,
 }
 
-impl ReplicaConnection {
+impl EndpointConnection {
     /// Sends a request and waits for the head of the answer.
     pub async fn send(
         &mut self,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Pool of connections to all replicas.
+/// Pool of connections to all endpoints.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     resting: Rc<RefCell<HashMap<SharedName, Vec<RestingConnection>>>>,
@@ -116,22 +116,22 @@
         Self { resting: Rc::default(), pruned_at, metrics }
     }
 
-    /// A connection to the replica: a resting one, or, where there is none that will do, a new
+    /// A connection to the endpoint: a resting one, or, where there is none that will do, a new
     /// one. `repeatable` says whether the request may run more than once.
     pub async fn take(
         &self,
-        replica: &ReplicaRecord,
+        endpoint: &EndpointRecord,
         repeatable: bool,
         deadline: Instant,
-    ) -> Result<ReplicaConnection, SendFailure> {
-        while let Some(mut sender) = self.take_resting(&replica.id, repeatable) {
+    ) -> Result<EndpointConnection, SendFailure> {
+        while let Some(mut sender) = self.take_resting(&endpoint.id, repeatable) {
             let ready = timeout(READY_LIMIT, sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
-                return Ok(ReplicaConnection { replica: replica.id.clone(), sender });
+                return Ok(EndpointConnection { endpoint: endpoint.id.clone(), sender });
             }
         }
         let limit = deadline.min(Instant::now() + CONNECT_LIMIT);
-        let connecting = tokio::time::timeout_at(limit, TcpStream::connect(replica.address)).await;
+        let connecting = tokio::time::timeout_at(limit, TcpStream::connect(endpoint.address)).await;
         let stream = match connecting {
             Err(_) => return Err(SendFailure::NoConnection),
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -149,29 +149,29 @@
             // NOTE: what goes wrong here the request that uses the connection is told.
             let _ = connection.await;
         });
-        Ok(ReplicaConnection { replica: replica.id.clone(), sender })
+        Ok(EndpointConnection { endpoint: endpoint.id.clone(), sender })
     }
 
     /// The connection that rested shortest, if it will do.
-    fn take_resting(&self, replica: &SharedName, repeatable: bool) -> Option<RequestSender> {
+    fn take_resting(&self, endpoint: &SharedName, repeatable: bool) -> Option<RequestSender> {
         let now = Instant::now();
         let mut resting = self.resting.borrow_mut();
-        let list = resting.get_mut(replica)?;
+        let list = resting.get_mut(endpoint)?;
         list.retain(|connection| connection.until > now && !connection.sender.is_closed());
         let newest = list.pop_if(|connection| repeatable || connection.has_rested_shortly(now));
         newest.map(|connection| connection.sender)
     }
 
-    /// Keeps a connection whose exchange ended cleanly; `keep` is the time that its replica
+    /// Keeps a connection whose exchange ended cleanly; `keep` is the time that its endpoint
     /// named.
-    pub fn give_back(&self, connection: ReplicaConnection, keep: Option<Duration>) {
+    pub fn give_back(&self, connection: EndpointConnection, keep: Option<Duration>) {
         let rest = keep.map_or(REST_LIMIT, |keep| keep.saturating_sub(REST_MARGIN));
         if rest.is_zero() {
             return;
         }
         let now = Instant::now();
         let mut resting = self.resting.borrow_mut();
-        let list = resting.entry(connection.replica).or_default();
+        let list = resting.entry(connection.endpoint).or_default();
         if list.len() < KEPT_LIMIT {
             let sender = connection.sender;
             list.push(RestingConnection { sender, since: now, until: now + rest });
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Closes what rests for a replica whose exchanges are not clean.
-    pub fn distrust(&self, replica: &str) {
-        self.resting.borrow_mut().remove(replica);
+    /// Closes what rests for an endpoint whose exchanges are not clean.
+    pub fn discard_connections(&self, endpoint: &str) {
+        self.resting.borrow_mut().remove(endpoint);
     }
 }
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a client's request to its answer: checked, admitted, and run at a replica.
+//! From a client's request to its answer: checked, admitted, and run at an endpoint.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 
 use super::{
     admission::{self, Admitted, admit},
-    attempt::{AttemptEnd, Attempts, ReplicaAnswer, attempt, come_back, may_try_again},
+    attempt::{AttemptEnd, Attempts, EndpointAnswer, attempt, may_try_again, retry_after},
     refusal::Refusal,
     relay,
     request_log::RequestTrace,
@@ -81,7 +81,7 @@
     match first_answer(context, &admitted, &mut attempts, &mut trace).await {
         Ok(answer) => relay::pass_on(context, admitted, attempts, answer, trace),
         Err(refusal) => {
-            if refusal.come_back().is_some() {
+            if refusal.retry_after().is_some() {
                 admission::give_quota_back(context, &admitted);
             }
             trace.refused(&refusal);
@@ -90,13 +90,13 @@
     }
 }
 
-/// Attempts until a replica answers with something to pass on.
+/// Attempts until an endpoint answers with something to pass on.
 async fn first_answer(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     attempts: &mut Attempts,
     trace: &mut RequestTrace,
-) -> Result<ReplicaAnswer, Refusal> {
+) -> Result<EndpointAnswer, Refusal> {
     loop {
         let end = attempt(context, admitted, attempts, None, trace).await?;
         let may_go_on = |attempts: &Attempts| may_try_again(context, admitted, attempts);
@@ -118,7 +118,7 @@
             }
             AttemptEnd::NotRun => {
                 if !may_go_on(attempts) {
-                    return Err(Refusal::Full(come_back(admitted)));
+                    return Err(Refusal::Full(retry_after(admitted)));
                 }
             }
             AttemptEnd::Unknown => {
--- a/src/gateway/request/event_cutter.rs
+++ b/src/gateway/request/event_cutter.rs
@@ -1,4 +1,4 @@
-//! Cuts a stream into whole events, so that a stream can be continued at another replica
+//! Cuts a stream into whole events, so that a stream can be continued at another endpoint
 //! after the last event that went on.
 
 use bytes::{Bytes, BytesMut};
--- a/src/gateway/request/refusal.rs
+++ b/src/gateway/request/refusal.rs
@@ -44,12 +44,12 @@
     /// The account's quota is spent.
     #[display("quota spent")]
     QuotaSpent(SpentQuota),
-    /// All replicas are full; it has not run.
+    /// All endpoints are full; it has not run.
     #[display("all replicas full")]
     Full(Duration),
-    /// There is no replica to send it to; it has not run.
+    /// There is no endpoint to send it to; it has not run.
     #[display("no replica")]
-    NoReplica(Duration),
+    NoEndpoint(Duration),
     /// It may have run and must not be repeated, or all attempts have failed.
     #[display("outcome unknown")]
     Unknown,
@@ -58,8 +58,8 @@
     OutOfTime,
 }
 
-/// When a client may come back whose service has no replica now.
-pub const NO_REPLICA_WAIT: Duration = Duration::from_millis(400);
+/// When a client may come back whose service has no endpoint now.
+pub const NO_ENDPOINT_WAIT: Duration = Duration::from_millis(400);
 
 /// What decided that a quota is spent.
 #[derive(Clone, Debug, Display, PartialEq)]
@@ -76,7 +76,7 @@
     /// Daemons that are known.
     pub known: usize,
     /// When there will be room.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// Time after which a daemon that is starting may be asked again.
@@ -99,17 +99,17 @@
             | Self::Leaving
             | Self::NotFresh
             | Self::Full(_)
-            | Self::NoReplica(_) => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::NoEndpoint(_) => StatusCode::SERVICE_UNAVAILABLE,
             Self::Unknown => StatusCode::BAD_GATEWAY,
             Self::OutOfTime => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
     /// When the client may come back, where the request has not run.
-    pub fn come_back(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Self::QuotaSpent(spent) => Some(spent.come_back),
-            Self::Full(wait) | Self::NoReplica(wait) => Some(*wait),
+            Self::QuotaSpent(spent) => Some(spent.retry_after),
+            Self::Full(wait) | Self::NoEndpoint(wait) => Some(*wait),
             Self::NoConfiguration | Self::FleetUnknown | Self::NotFresh => Some(STARTING),
             Self::Leaving => Some(ELSEWHERE),
             _ => None,
@@ -126,7 +126,7 @@
 
     /// The answer to the request `id`.
     pub fn answer(&self, id: Option<&str>) -> Response<LocalBody> {
-        let head = ingress::own_answer(id, self.status(), self.come_back());
+        let head = ingress::own_answer(id, self.status(), self.retry_after());
         head.map(|()| Box::pin(whole_body(self.to_string())) as LocalBody)
     }
 }
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -1,5 +1,5 @@
-//! Passes a replica's answer on to the client as it comes; a stream that breaks is
-//! continued at another replica within the same answer where the route allows it.
+//! Passes an endpoint's answer on to the client as it comes; a stream that breaks is
+//! continued at another endpoint within the same answer where the route allows it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,8 +14,8 @@
 
 use super::{
     admission::Admitted,
-    attempt::{AttemptEnd, Attempts, ReplicaAnswer, attempt, may_try_again},
-    connection_pool::ReplicaConnection,
+    attempt::{AttemptEnd, Attempts, EndpointAnswer, attempt, may_try_again},
+    connection_pool::EndpointConnection,
     event_cutter::EventCutter,
     request_log::RequestTrace,
     run_guard::RunGuard,
@@ -62,7 +62,7 @@
 struct Upstream {
     body: Incoming,
     signs: AnswerSigns,
-    connection: ReplicaConnection,
+    connection: EndpointConnection,
     guard: RunGuard,
 }
 
@@ -78,10 +78,10 @@
     context: &Rc<GatewayContext>,
     admitted: Rc<Admitted>,
     attempts: Attempts,
-    answer: ReplicaAnswer,
+    answer: EndpointAnswer,
     trace: RequestTrace,
 ) -> Response<LocalBody> {
-    let ReplicaAnswer { response, signs, connection, guard } = answer;
+    let EndpointAnswer { response, signs, connection, guard } = answer;
     let success = response.status().is_success();
     if success && !admitted.route.kind.is_stream() {
         count_run(context, &admitted);
@@ -163,7 +163,7 @@
         self.cutter.is_none() && self.upstream.as_ref().is_some_and(at_end)
     }
 
-    /// The next piece from the replica; whole events only, where the answer is a stream.
+    /// The next piece from the endpoint; whole events only, where the answer is a stream.
     async fn next_piece(&mut self) -> NextPiece {
         let until = self.wait_until();
         let deadline = self.admitted.deadline;
@@ -208,10 +208,10 @@
         deadline.min(Instant::now() + silence)
     }
 
-    /// Continues a broken stream at another replica, if it may.
+    /// Continues a broken stream at another endpoint, if it may.
     async fn resume(&mut self) -> bool {
         if let Some(upstream) = self.upstream.take() {
-            self.context.connections.distrust(upstream.guard.replica());
+            self.context.connections.discard_connections(upstream.guard.endpoint());
             upstream.guard.finish(AttemptResult::Failed);
         }
         if self.cutter.is_none() || !self.admitted.route.kind.may_repeat() {
@@ -225,7 +225,7 @@
                 Ok(AttemptEnd::Answer(answer)) if answer.response.status().is_success() => answer,
                 Ok(_) => continue,
             };
-            let ReplicaAnswer { response, signs, connection, guard } = *answer;
+            let EndpointAnswer { response, signs, connection, guard } = *answer;
             let body = response.into_body();
             self.cutter = Some(EventCutter::default());
             self.upstream = Some(Upstream { body, signs, connection, guard });
@@ -249,7 +249,7 @@
 pub fn drain(
     context: &Rc<GatewayContext>,
     response: Response<Incoming>,
-    connection: ReplicaConnection,
+    connection: EndpointConnection,
     signs: AnswerSigns,
 ) {
     if signs.closes {
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -7,7 +7,7 @@
 
 use super::{admission::Admitted, connection_pool::SendFailure, refusal::Refusal};
 use crate::{
-    gateway::{context::GatewayContext, policy::endpoint_choice::ReplicaChoice},
+    gateway::{context::GatewayContext, policy::endpoint_choice::EndpointChoice},
     ids::SharedName,
     platform::ingress::AnswerMeaning,
 };
@@ -46,11 +46,11 @@
         self.account = admitted.account.as_ref().map(|account| account.name.clone());
     }
 
-    /// A replica was chosen.
-    pub fn attempt(&mut self, choice: &ReplicaChoice) {
-        let (replica, unread, wait) = (&choice.replica.id, choice.unread, choice.wait_ms);
+    /// An endpoint was chosen.
+    pub fn attempt(&mut self, choice: &EndpointChoice) {
+        let (endpoint, uncached, wait) = (&choice.endpoint.id, choice.uncached, choice.wait_ms);
         // NOTE: writing to a string cannot fail.
-        let _ = write!(self.steps, "{replica} unread {unread} wait {wait:.0};");
+        let _ = write!(self.steps, "{endpoint} unread {uncached} wait {wait:.0};");
         self.context.metrics.count("attempts", 1);
     }
 
@@ -61,7 +61,7 @@
         self.context.metrics.count("attempts_failed", 1);
     }
 
-    /// A replica answered.
+    /// An endpoint answered.
     pub fn answered(&mut self, status: StatusCode, meaning: AnswerMeaning) {
         let after = self.begun.elapsed().as_millis();
         let _ = write!(self.steps, " {} {meaning:?} after {after};", status.as_u16());
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -1,4 +1,4 @@
-//! One request at one replica, counted there until it ends.
+//! One request at one endpoint, counted there until it ends.
 
 use std::rc::Rc;
 
@@ -7,16 +7,16 @@
 use super::call::PromptPart;
 use crate::{
     endpoint_health::AttemptResult,
-    gateway::{context::GatewayContext, endpoint::ReplicaRecord, policy::endpoint_load::RunLoad},
+    gateway::{context::GatewayContext, endpoint::EndpointRecord, policy::endpoint_load::RunLoad},
 };
 
-/// Counts a run at its replica; dropped, the run has ended by this daemon's own choice.
+/// Counts a run at its endpoint; dropped, the run has ended by this daemon's own choice.
 pub struct RunGuard {
     context: Rc<GatewayContext>,
-    replica: Rc<ReplicaRecord>,
+    endpoint: Rc<EndpointRecord>,
     load: RunLoad,
     begun: Instant,
-    /// Whether no other prompt was known to wait at the replica.
+    /// Whether no other prompt was known to wait at the endpoint.
     alone: bool,
     result: AttemptResult,
 }
@@ -25,34 +25,34 @@
     /// Begins a run.
     pub fn begin(
         context: Rc<GatewayContext>,
-        replica: &Rc<ReplicaRecord>,
+        endpoint: &Rc<EndpointRecord>,
         parts: &[PromptPart],
         load: RunLoad,
     ) -> Self {
         let begun = Instant::now();
-        let mut replicas = context.replicas.borrow_mut();
-        let alone = replicas.is_idle(&replica.id, begun);
-        replicas.begin(&replica.id, parts, load, begun);
-        drop(replicas);
+        let mut endpoints = context.endpoints.borrow_mut();
+        let alone = endpoints.is_idle(&endpoint.id, begun);
+        endpoints.begin(&endpoint.id, parts, load, begun);
+        drop(endpoints);
         let result = AttemptResult::Neutral;
-        Self { context, replica: replica.clone(), load, begun, alone, result }
+        Self { context, endpoint: endpoint.clone(), load, begun, alone, result }
     }
 
-    /// Id of the replica.
-    pub fn replica(&self) -> &str {
-        &self.replica.id
+    /// Id of the endpoint.
+    pub fn endpoint(&self) -> &str {
+        &self.endpoint.id
     }
 
     /// The first part of the answer has come: the prompt has been read.
     pub fn prompt_read(&mut self) {
-        let unread = std::mem::take(&mut self.load.unread);
-        if unread > 0 {
-            let mut replicas = self.context.replicas.borrow_mut();
-            replicas.prompt_read(&self.replica.id, unread, self.begun.elapsed(), self.alone);
+        let uncached = std::mem::take(&mut self.load.uncached);
+        if uncached > 0 {
+            let mut endpoints = self.context.endpoints.borrow_mut();
+            endpoints.prompt_read(&self.endpoint.id, uncached, self.begun.elapsed(), self.alone);
         }
     }
 
-    /// Ends the run with what it says of the replica's health.
+    /// Ends the run with what it says of the endpoint's health.
     pub fn finish(mut self, result: AttemptResult) {
         self.result = result;
     }
@@ -60,7 +60,7 @@
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        let mut replicas = self.context.replicas.borrow_mut();
-        replicas.end(&self.replica.id, self.load, self.result, Instant::now());
+        let mut endpoints = self.context.endpoints.borrow_mut();
+        endpoints.end(&self.endpoint.id, self.load, self.result, Instant::now());
     }
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -6,11 +6,11 @@
 
 /// Duty that one daemon at a time has towards the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DutyKind {
+pub enum LeaderTask {
     /// Reports what each account has used.
     UsageReports,
-    /// Orders the number of replicas.
-    FleetOrders,
+    /// Orders the number of endpoints.
+    EndpointOrders,
 }
 
 /// Checked settings of one gateway daemon.
@@ -35,7 +35,7 @@
     /// The cloud's API, where duties are carried out.
     pub cloud_address: Option<SocketAddr>,
     /// Duties that the cloud expects.
-    pub duties: Vec<DutyKind>,
+    pub duties: Vec<LeaderTask>,
     /// Time bounds and shares that the deployment promises.
     pub bounds: ServiceBounds,
 }
@@ -48,7 +48,7 @@
     pub key_freshness: Option<Duration>,
     /// A planned stop ends after this time.
     pub stop_grace: Duration,
-    /// Share of a service's requests that may be repeated at other replicas.
+    /// Share of a service's requests that may be repeated at other endpoints.
     pub retry_share: f64,
     /// Repeats beyond that share, over all daemons.
     pub retry_reserve: f64,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::{context::GatewayContext, endpoint::ReplicaState};
+use super::{context::GatewayContext, endpoint::EndpointState};
 use crate::ids::SharedName;
 
 /// Beliefs of one daemon. Ages are in milliseconds.
@@ -27,12 +27,15 @@
     pub configuration_revision: u64,
     /// Age of the newest proof that it is the newest; none if there never was one.
     pub proof_age_ms: Option<u64>,
-    /// Revision of the list of replicas.
-    pub replica_revision: u64,
-    /// Replicas that take requests, by service.
-    pub replicas_ready: BTreeMap<SharedName, usize>,
-    /// Replicas that are leaving.
-    pub replicas_draining: usize,
+    /// Revision of the list of endpoints.
+    #[serde(rename = "replica_revision")]
+    pub endpoint_revision: u64,
+    /// Endpoints that take requests, by service.
+    #[serde(rename = "replicas_ready")]
+    pub endpoints_ready: BTreeMap<SharedName, usize>,
+    /// Endpoints that are leaving.
+    #[serde(rename = "replicas_draining")]
+    pub endpoints_draining: usize,
     /// Daemons that were heard just now, this one included.
     pub daemons_heard: usize,
     /// Daemons that are taken to run.
@@ -52,16 +55,16 @@
         let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         let configuration = context.configuration.borrow();
         let lease = context.lease.borrow();
-        let list = context.replica_list.borrow();
+        let list = context.endpoint_list.borrow();
         let sharing = context.sharing(now);
-        let mut replicas_ready: BTreeMap<SharedName, usize> = BTreeMap::new();
-        let mut replicas_draining = 0;
-        for record in &list.replicas {
+        let mut endpoints_ready: BTreeMap<SharedName, usize> = BTreeMap::new();
+        let mut endpoints_draining = 0;
+        for record in &list.endpoints {
             match record.state {
-                ReplicaState::Ready => {
-                    *replicas_ready.entry(record.service.clone()).or_default() += 1;
+                EndpointState::Ready => {
+                    *endpoints_ready.entry(record.service.clone()).or_default() += 1;
                 }
-                ReplicaState::Draining => replicas_draining += 1,
+                EndpointState::Draining => endpoints_draining += 1,
             }
         }
         Self {
@@ -73,9 +76,9 @@
             configuration_version: configuration.current.as_ref().map_or(0, |one| one.version),
             configuration_revision: configuration.revision,
             proof_age_ms: configuration.proof.map(age_ms),
-            replica_revision: list.revision,
-            replicas_ready,
-            replicas_draining,
+            endpoint_revision: list.revision,
+            endpoints_ready,
+            endpoints_draining,
             daemons_heard: sharing.heard,
             daemons_known: sharing.known,
             lease_holder: lease.holder.clone(),
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps configuration and replicas up to date from the store.
+//! Keeps configuration and endpoints up to date from the store.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -7,22 +7,22 @@
 
 use super::{
     context::GatewayContext,
-    endpoint::{ReplicaList, ReplicaRecord},
+    endpoint::{EndpointList, EndpointRecord},
 };
 use crate::{
     errors::StepError,
     ids::SharedName,
     platform::{
         configuration::{CONFIGURATION_KIND, CONFIGURATION_NAME},
-        endpoints::{self, REPLICA_KIND},
+        endpoints::{self, ENDPOINT_KIND},
         store::{ObjectChange, ObjectListing, StoredObject, WatchResult},
     },
 };
 
 /// Name of the service that keeps the configuration.
 pub const CONFIGURATION_SERVICE: &str = "configuration-watch";
-/// Name of the service that keeps the replicas.
-pub const REPLICA_SERVICE: &str = "replica-watch";
+/// Name of the service that keeps the endpoints.
+pub const ENDPOINT_SERVICE: &str = "replica-watch";
 /// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_millis(1_800);
 /// The same for the configuration where a few daemons watch for all: what they hear proves to
@@ -30,7 +30,7 @@
 const PROOF_WAIT: Duration = Duration::from_millis(1_000);
 /// Time between looks whether others still tell what the store holds.
 const FED_LOOK: Duration = Duration::from_millis(200);
-/// Time for further changes of replicas to gather before the next call.
+/// Time for further changes of endpoints to gather before the next call.
 const GATHER_TIME: Duration = Duration::from_millis(400);
 /// First pause after a failed call; each further one is twice as long.
 const PAUSE_FIRST: Duration = Duration::from_millis(50);
@@ -106,7 +106,7 @@
         }
         return Ok(Some(listing.revision));
     };
-    let wait = match context.peers.borrow().is_single_row() {
+    let wait = match context.peers.borrow().is_single_group() {
         true => WATCH_WAIT,
         false => PROOF_WAIT,
     };
@@ -140,13 +140,13 @@
     }
 }
 
-/// Keeps the list of replicas up to date until the daemon stops.
-pub async fn keep_replicas(context: Rc<GatewayContext>) {
+/// Keeps the list of endpoints up to date until the daemon stops.
+pub async fn keep_endpoints(context: Rc<GatewayContext>) {
     let mut pauses = StorePauses::default();
     let mut known = None;
     loop {
         wait_for_turn(&context).await;
-        match replica_step(&context, known.take()).await {
+        match endpoint_step(&context, known.take()).await {
             Ok(next) => {
                 pauses.succeeded(&context);
                 known = next;
@@ -156,22 +156,22 @@
     }
 }
 
-/// Replicas as this daemon's own calls have shown them.
-struct KnownReplicas {
+/// Endpoints as this daemon's own calls have shown them.
+struct KnownEndpoints {
     revision: u64,
-    by_id: BTreeMap<SharedName, Rc<ReplicaRecord>>,
+    by_id: BTreeMap<SharedName, Rc<EndpointRecord>>,
 }
 
-impl KnownReplicas {
+impl KnownEndpoints {
     fn from_listing(listing: &ObjectListing) -> Self {
-        let by_id = listing.objects.iter().filter_map(decode_replica).collect();
+        let by_id = listing.objects.iter().filter_map(decode_endpoint).collect();
         Self { revision: listing.revision, by_id }
     }
 
     fn apply(&mut self, changes: &[ObjectChange], revision: u64) {
         for change in changes {
             match change {
-                ObjectChange::Written(object) => self.by_id.extend(decode_replica(object)),
+                ObjectChange::Written(object) => self.by_id.extend(decode_endpoint(object)),
                 ObjectChange::Gone(name) => {
                     self.by_id.remove(name);
                 }
@@ -181,41 +181,41 @@
     }
 
     fn publish(&self, context: &GatewayContext) {
-        let replicas = self.by_id.values().cloned().collect();
-        let list = ReplicaList { revision: self.revision, replicas };
-        let count = list.replicas.len();
-        if context.take_replicas(list) {
+        let endpoints = self.by_id.values().cloned().collect();
+        let list = EndpointList { revision: self.revision, endpoints };
+        let count = list.endpoints.len();
+        if context.take_endpoints(list) {
             spdlog::info!("replicas", kv: { revision: = self.revision, count, source = "store" });
         }
     }
 }
 
-fn decode_replica(object: &StoredObject) -> Option<(SharedName, Rc<ReplicaRecord>)> {
+fn decode_endpoint(object: &StoredObject) -> Option<(SharedName, Rc<EndpointRecord>)> {
     match endpoints::decode(object.name.clone(), object.value.as_bytes()) {
         Ok(record) => Some((object.name.clone(), Rc::new(record))),
         Err(error) => {
-            spdlog::warn!("replica not understood: {}", error, kv: { replica: = object.name });
+            spdlog::warn!("replica not understood: {}", error, kv: { endpoint: = object.name });
             None
         }
     }
 }
 
-async fn replica_step(
+async fn endpoint_step(
     context: &GatewayContext,
-    known: Option<KnownReplicas>,
-) -> Result<Option<KnownReplicas>, StepError> {
+    known: Option<KnownEndpoints>,
+) -> Result<Option<KnownEndpoints>, StepError> {
     let Some(mut known) = known else {
-        let known = KnownReplicas::from_listing(&context.store.list(REPLICA_KIND).await?);
+        let known = KnownEndpoints::from_listing(&context.store.list(ENDPOINT_KIND).await?);
         known.publish(context);
         return Ok(Some(known));
     };
-    match context.store.watch(REPLICA_KIND, known.revision, WATCH_WAIT).await? {
+    match context.store.watch(ENDPOINT_KIND, known.revision, WATCH_WAIT).await? {
         WatchResult::HistoryGone => Ok(None),
         WatchResult::Changes(changes, revision) => {
             known.apply(&changes, revision);
             if !changes.is_empty() {
                 known.publish(context);
-                // NOTE: replicas often change together; one call then brings several changes.
+                // NOTE: endpoints often change together; one call then brings several changes.
                 sleep(GATHER_TIME).await;
             }
             Ok(Some(known))
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud's API: reports of usage and orders of replicas.
+//! Calls to the cloud's API: reports of usage and orders of endpoints.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -16,7 +16,7 @@
 
 /// In whose name, and under which fence, a call is made.
 #[derive(Clone, Debug)]
-pub struct DutyHolder {
+pub struct LeaseHolder {
     /// Name of the daemon.
     pub name: SharedName,
     /// Rises whenever the holder changes.
@@ -30,13 +30,13 @@
     Done,
     /// The fence was too low.
     Fenced,
-    /// There are no replicas to be had there now.
+    /// There are no endpoints to be had there now.
     NoneToBeHad,
 }
 
-/// Number of replicas that are wanted in one zone.
+/// Number of endpoints that are wanted in one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct FleetOrder {
+pub struct EndpointOrder {
     /// Service.
     pub service: SharedName,
     /// Availability zone.
@@ -79,7 +79,7 @@
     /// Reports what each account has used in a window.
     pub async fn report(
         &self,
-        holder: &DutyHolder,
+        holder: &LeaseHolder,
         window: u64,
         counts: &BTreeMap<SharedName, u64>,
     ) -> Result<CloudAnswer, StepError> {
@@ -88,12 +88,12 @@
         self.read_status("report usage", status, CloudAnswer::Fenced)
     }
 
-    /// Orders a number of replicas. A conflict may mean a low fence or that there are none to
+    /// Orders a number of endpoints. A conflict may mean a low fence or that there are none to
     /// be had; it is read as the latter (docs/questions.md).
     pub async fn order(
         &self,
-        holder: &DutyHolder,
-        order: &FleetOrder,
+        holder: &LeaseHolder,
+        order: &EndpointOrder,
     ) -> Result<CloudAnswer, StepError> {
         let body = ScaleBody {
             service: &order.service,
@@ -109,7 +109,7 @@
         &self,
         step: &'static str,
         path: &'static str,
-        holder: &DutyHolder,
+        holder: &LeaseHolder,
         body: &impl Serialize,
     ) -> Result<StatusCode, StepError> {
         let body = serde_json::to_vec(body).map_err(|error| {
--- a/src/platform/endpoints.rs
+++ b/src/platform/endpoints.rs
@@ -1,20 +1,20 @@
-//! Entries that replicas keep in the store.
+//! Entries that endpoints keep in the store.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
 use crate::{
-    gateway::endpoint::{ReplicaRecord, ReplicaState},
+    gateway::endpoint::{EndpointRecord, EndpointState},
     ids::SharedName,
 };
 
-/// Kind of the replicas' entries.
-pub const REPLICA_KIND: &str = "servers";
+/// Kind of the endpoints' entries.
+pub const ENDPOINT_KIND: &str = "servers";
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct ReplicaSpec {
+struct EndpointSpec {
     service: SharedName,
     address: SocketAddr,
     #[serde(default)]
@@ -26,14 +26,14 @@
     use_spot: bool,
 }
 
-/// Decodes the entry of the replica `id`.
-pub fn decode(id: SharedName, text: &[u8]) -> Result<ReplicaRecord, serde_json::Error> {
-    let spec: ReplicaSpec = serde_json::from_slice(text)?;
+/// Decodes the entry of the endpoint `id`.
+pub fn decode(id: SharedName, text: &[u8]) -> Result<EndpointRecord, serde_json::Error> {
+    let spec: EndpointSpec = serde_json::from_slice(text)?;
     let state = match spec.state.as_deref() {
-        Some("draining") => ReplicaState::Draining,
-        _ => ReplicaState::Ready,
+        Some("draining") => EndpointState::Draining,
+        _ => EndpointState::Ready,
     };
-    Ok(ReplicaRecord {
+    Ok(EndpointRecord {
         id,
         service: spec.service,
         address: spec.address,
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers, as clients and replicas of the platform write them.
+//! Heads of requests and answers, as clients and endpoints of the platform write them.
 
 use std::time::Duration;
 
@@ -225,20 +225,20 @@
 /// What the gateway adds to one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptHead<'a> {
-    /// Replica that is meant; any other refuses.
-    pub replica: &'a str,
+    /// Endpoint that is meant; any other refuses.
+    pub endpoint: &'a str,
     /// Account, if the request has one.
     pub account: Option<&'a str>,
     /// Time that is left.
     pub left: Option<Duration>,
-    /// Rank at the replica, 0 first.
+    /// Rank at the endpoint, 0 first.
     pub priority: Option<u8>,
     /// Last event that need not be sent again.
     pub last_event: Option<u64>,
 }
 
 /// Builds the request of one attempt; method, path and body stay as the client sent them.
-pub fn replica_request<B>(call: &Call, attempt: &AttemptHead<'_>, body: B) -> Request<B> {
+pub fn endpoint_request<B>(call: &Call, attempt: &AttemptHead<'_>, body: B) -> Request<B> {
     let mut request = Request::new(body);
     *request.method_mut() = call.head.method.clone();
     // NOTE: the target was parsed as one when it came in.
@@ -250,7 +250,7 @@
             headers.insert(name, value);
         }
     };
-    set(EXPECT_INSTANCE, attempt.replica.to_owned());
+    set(EXPECT_INSTANCE, attempt.endpoint.to_owned());
     if let Some(account) = attempt.account {
         set(TENANT, account.to_owned());
     }
@@ -266,25 +266,25 @@
     request
 }
 
-/// What a replica's answer says of the request.
+/// What an endpoint's answer says of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerMeaning {
     /// It belongs to this request, which has run.
     Ran,
-    /// The replica has not run the request and never will.
+    /// The endpoint has not run the request and never will.
     NotRun,
-    /// Another replica is at this address now; the request has not run.
-    OtherReplica,
+    /// Another endpoint is at this address now; the request has not run.
+    OtherEndpoint,
     /// It belongs to another request.
     Foreign,
 }
 
-/// What a replica's answer says.
+/// What an endpoint's answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerSigns {
     /// Meaning for the request.
     pub meaning: AnswerMeaning,
-    /// Time that the replica keeps the connection open, if told.
+    /// Time that the endpoint keeps the connection open, if told.
     pub keep: Option<Duration>,
     /// Whether the connection ends with this answer.
     pub closes: bool,
@@ -296,7 +296,7 @@
     let meaning = match text(headers, &REQUEST_ID) {
         Some(other) if other != id => AnswerMeaning::Foreign,
         None if answer.status().is_success() => AnswerMeaning::Foreign,
-        _ if answer.status() == StatusCode::MISDIRECTED_REQUEST => AnswerMeaning::OtherReplica,
+        _ if answer.status() == StatusCode::MISDIRECTED_REQUEST => AnswerMeaning::OtherEndpoint,
         _ if headers.contains_key(&NOT_EXECUTED) => AnswerMeaning::NotRun,
         _ => AnswerMeaning::Ran,
     };
@@ -312,7 +312,7 @@
     seconds.parse().ok().map(Duration::from_secs)
 }
 
-/// Head of a replica's answer as it goes back to the client.
+/// Head of an endpoint's answer as it goes back to the client.
 pub fn client_answer<B>(answer: Response<B>) -> (Response<()>, B) {
     let (mut parts, body) = answer.into_parts();
     remove_hop_headers(&mut parts.headers);
@@ -326,7 +326,7 @@
 pub fn own_answer(
     id: Option<&str>,
     status: StatusCode,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = status;
@@ -334,7 +334,7 @@
     if let Some(id) = id.and_then(|id| HeaderValue::from_str(id).ok()) {
         headers.insert(REQUEST_ID, id);
     }
-    if let Some(wait) = come_back {
+    if let Some(wait) = retry_after {
         let seconds = format!("{:.3}", wait.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(header::RETRY_AFTER, value);
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 
 use crate::{
-    gateway::settings::{DutyKind, GatewaySettings, ServiceBounds},
+    gateway::settings::{GatewaySettings, LeaderTask, ServiceBounds},
     ids::SharedName,
 };
 
@@ -124,10 +124,10 @@
     })
 }
 
-fn duty_kind(name: &str) -> Option<DutyKind> {
+fn duty_kind(name: &str) -> Option<LeaderTask> {
     match name {
-        "metering" => Some(DutyKind::UsageReports),
-        "autoscale" => Some(DutyKind::FleetOrders),
+        "metering" => Some(LeaderTask::UsageReports),
+        "autoscale" => Some(LeaderTask::EndpointOrders),
         _ => None,
     }
 }
--- a/tests/gateway/decoders.rs
+++ b/tests/gateway/decoders.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use willowarch::{
-    gateway::{configuration::RouteKind, endpoint::ReplicaState},
+    gateway::{configuration::RouteKind, endpoint::EndpointState},
     platform::{
         configuration, endpoints,
         ingress::{AnswerMeaning, HeadError, read_answer, read_head},
@@ -58,11 +58,11 @@
 }
 
 #[googletest::test]
-fn replica_entries_are_read() {
+fn endpoint_entries_are_read() {
     let entry = json!({"service": "s", "address": "10.0.0.1:80", "zone": "a", "version": "v1",
         "slots": 32, "state": "draining", "cold-left-ms": 0, "use-spot": true, "seq": 3});
     let read = endpoints::decode("i-1".into(), entry.to_string().as_bytes()).expect("decodes");
-    expect_that!(read.state, eq(ReplicaState::Draining));
+    expect_that!(read.state, eq(EndpointState::Draining));
     expect_that!(read.reclaimable, eq(true));
     let nameless = json!({"service": "s", "address": "host:80"});
     expect_that!(endpoints::decode("i".into(), nameless.to_string().as_bytes()).is_err(), eq(true));
@@ -137,7 +137,7 @@
     expect_that!(meaning(503, &[("x-request-id", "other")]), eq(AnswerMeaning::Foreign));
     expect_that!(meaning(503, &[mine, ("x-not-executed", "1")]), eq(AnswerMeaning::NotRun));
     expect_that!(meaning(503, &[mine]), eq(AnswerMeaning::Ran));
-    expect_that!(meaning(421, &[]), eq(AnswerMeaning::OtherReplica));
+    expect_that!(meaning(421, &[]), eq(AnswerMeaning::OtherEndpoint));
     expect_that!(meaning(504, &[mine]), eq(AnswerMeaning::Ran));
 }
 
--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -6,9 +6,9 @@
 use serde_json::{Value, json};
 
 use crate::{
-    endpoint_standin::{ReplicaManner, ReplicaStandin},
+    endpoint_standin::{EndpointManner, EndpointStandin},
     platform_standin::{CloudCall, PlatformStandin},
-    serving::{Gateway, ask, configuration, replica_entry, wait_for},
+    serving::{Gateway, ask, configuration, endpoint_entry, wait_for},
 };
 
 pub fn reports(platform: &PlatformStandin) -> Vec<CloudCall> {
@@ -29,17 +29,17 @@
     }
 }
 
-fn start_platform() -> (PlatformStandin, ReplicaStandin) {
+fn start_platform() -> (PlatformStandin, EndpointStandin) {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
-    let replica = ReplicaStandin::start("i-0", ReplicaManner::Answer);
-    platform.put("servers", "i-0", replica_entry(&replica, "ready"));
-    (platform, replica)
+    let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
+    platform.put("servers", "i-0", endpoint_entry(&endpoint, "ready"));
+    (platform, endpoint)
 }
 
 #[googletest::test]
 fn usage_is_reported_with_its_counts() {
-    let (platform, _replica) = start_platform();
+    let (platform, _endpoint) = start_platform();
     let gateway = Gateway::start("edge-1", &platform, &[]);
     gateway.wait_ready();
     for number in 0..7 {
@@ -56,7 +56,7 @@
 
 #[googletest::test]
 fn successor_repeats_reports_exactly_and_raises_the_fence() {
-    let (platform, _replica) = start_platform();
+    let (platform, _endpoint) = start_platform();
     let first = Gateway::start("edge-1", &platform, &[]);
     first.wait_ready();
     let second = Gateway::start("edge-2", &platform, &[first.peers]);
@@ -75,7 +75,7 @@
 
 #[googletest::test]
 fn reports_go_on_when_answers_of_the_store_are_lost() {
-    let (platform, _replica) = start_platform();
+    let (platform, _endpoint) = start_platform();
     let gateway = Gateway::start("edge-1", &platform, &[]);
     gateway.wait_ready();
     wait_for("first reports", || reports(&platform).len() >= 2);
@@ -86,8 +86,8 @@
 }
 
 #[googletest::test]
-fn replicas_are_ordered_as_reclaimable_ones() {
-    let (platform, replica) = start_platform();
+fn endpoints_are_ordered_as_reclaimable_ones() {
+    let (platform, endpoint) = start_platform();
     let mut with_fleet = configuration(4, &["key-1"]);
     with_fleet["services"][0]["autoscale"] = json!({
         "min": 1, "max": 6, "boot-s": 0.5, "spot-price": 0.2,
@@ -107,12 +107,12 @@
         };
         zones.into_iter().all(ordered)
     });
-    expect_that!(replica.seen().len(), eq(0));
+    expect_that!(endpoint.seen().len(), eq(0));
 }
 
 #[googletest::test]
 fn restarted_holder_goes_on_at_once_with_a_new_fence() {
-    let (platform, _replica) = start_platform();
+    let (platform, _endpoint) = start_platform();
     let bounds = serde_json::json!({ "lease-ms": 60_000 });
     let mut gateway = Gateway::start_with("edge-1", &platform, &[], bounds);
     gateway.wait_ready();
--- a/tests/gateway/endpoint_standin.rs
+++ b/tests/gateway/endpoint_standin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of one replica: answers over raw sockets, so that it can also misbehave.
+//! Stand-in of one endpoint: answers over raw sockets, so that it can also misbehave.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -10,9 +10,9 @@
     time::Duration,
 };
 
-/// What a replica does with a request.
+/// What an endpoint does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplicaManner {
+pub enum EndpointManner {
     /// Streams five events on streaming routes, answers on others.
     Serve,
     /// Answers with its id and the request's path.
@@ -23,7 +23,7 @@
     BreakAfter(u64),
     /// Turns it away as full.
     Full,
-    /// Is another replica than the one that is meant.
+    /// Is another endpoint than the one that is meant.
     Other,
     /// Fails with a status of its own.
     Fail,
@@ -37,17 +37,17 @@
     Surplus,
 }
 
-/// A request as the replica has read it.
+/// A request as the endpoint has read it.
 #[derive(Clone, Debug)]
 pub struct SeenRequest {
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether the replica began to work on it.
+    /// Whether the endpoint began to work on it.
     pub ran: bool,
 }
 
-impl ReplicaManner {
+impl EndpointManner {
     fn runs(self) -> bool {
         !matches!(self, Self::Full | Self::Other)
     }
@@ -69,16 +69,16 @@
 }
 
 /// The running stand-in.
-pub struct ReplicaStandin {
+pub struct EndpointStandin {
     pub id: String,
     pub address: SocketAddr,
-    manner: Arc<Mutex<ReplicaManner>>,
+    manner: Arc<Mutex<EndpointManner>>,
     seen: Arc<Mutex<Vec<SeenRequest>>>,
     closed_early: Arc<AtomicBool>,
 }
 
-impl ReplicaStandin {
-    pub fn start(id: &str, manner: ReplicaManner) -> Self {
+impl EndpointStandin {
+    pub fn start(id: &str, manner: EndpointManner) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
         let standin = Self {
             id: id.to_owned(),
@@ -103,7 +103,7 @@
         standin
     }
 
-    pub fn set(&self, manner: ReplicaManner) {
+    pub fn set(&self, manner: EndpointManner) {
         *self.manner.lock().expect("lock") = manner;
     }
 
@@ -119,7 +119,7 @@
 
 struct Connection {
     id: String,
-    manner: Arc<Mutex<ReplicaManner>>,
+    manner: Arc<Mutex<EndpointManner>>,
     seen: Arc<Mutex<Vec<SeenRequest>>>,
     closed_early: Arc<AtomicBool>,
 }
@@ -146,35 +146,39 @@
     }
 
     /// Answers; whether the connection goes on.
-    fn answer(&self, out: &mut TcpStream, request: &SeenRequest, manner: ReplicaManner) -> bool {
+    fn answer(&self, out: &mut TcpStream, request: &SeenRequest, manner: EndpointManner) -> bool {
         let id = request.id();
         let body = format!("{} {}", self.id, request.line);
         match manner {
-            ReplicaManner::Serve if request.is_streaming() => self.stream(out, request, 5, false),
-            ReplicaManner::Serve | ReplicaManner::Answer => {
+            EndpointManner::Serve if request.is_streaming() => self.stream(out, request, 5, false),
+            EndpointManner::Serve | EndpointManner::Answer => {
                 self.write_whole(out, "200 OK", id, &body)
             }
-            ReplicaManner::Surplus if request.is_streaming() => {
+            EndpointManner::Surplus if request.is_streaming() => {
                 self.stream(out, request, 5, false)
                     && self.write_whole(out, "200 OK", id, "surplus")
             }
-            ReplicaManner::Surplus => {
+            EndpointManner::Surplus => {
                 self.write_whole(out, "200 OK", id, &body)
                     && self.write_whole(out, "200 OK", id, "surplus")
             }
-            ReplicaManner::Foreign => self.write_whole(out, "200 OK", "another-request", "foreign"),
-            ReplicaManner::Fail => self.write_whole(out, "500 Internal Server Error", id, "failed"),
-            ReplicaManner::Full => refuse(out, "503 Service Unavailable", id, "X-Not-Executed: 1"),
-            ReplicaManner::Other => {
+            EndpointManner::Foreign => {
+                self.write_whole(out, "200 OK", "another-request", "foreign")
+            }
+            EndpointManner::Fail => {
+                self.write_whole(out, "500 Internal Server Error", id, "failed")
+            }
+            EndpointManner::Full => refuse(out, "503 Service Unavailable", id, "X-Not-Executed: 1"),
+            EndpointManner::Other => {
                 refuse(out, "421 Misdirected Request", id, "X-Instance-Id: i-other")
             }
-            ReplicaManner::Lose => false,
-            ReplicaManner::Silent => {
+            EndpointManner::Lose => false,
+            EndpointManner::Silent => {
                 std::thread::sleep(Duration::from_secs(30));
                 false
             }
-            ReplicaManner::Stream(count) => self.stream(out, request, count, false),
-            ReplicaManner::BreakAfter(count) => self.stream(out, request, count, true),
+            EndpointManner::Stream(count) => self.stream(out, request, count, false),
+            EndpointManner::BreakAfter(count) => self.stream(out, request, count, true),
         }
     }
 
--- a/tests/gateway/exchange.rs
+++ b/tests/gateway/exchange.rs
@@ -9,28 +9,28 @@
     gateway::{
         gossip::{
             codec::{
-                ConfigurationNews, DaemonNews, DaemonState, DaemonTally, LeaseNews, NewsWants,
-                read_news, write_news,
+                ConfigurationSummary, DaemonCounters, DaemonState, GossipMessage, LeaseSummary,
+                RequestedParts, read_message, write_message,
             },
-            peer_table::PeerWord,
+            peer_table::PeerSummary,
         },
-        policy::{endpoint_load::LoadSum, quota::AccountTally},
+        policy::{endpoint_load::LoadSum, quota::AccountCounters},
     },
     ids::IncarnationId,
 };
 
 use crate::{
-    endpoint_standin::{ReplicaManner, ReplicaStandin},
+    endpoint_standin::{EndpointManner, EndpointStandin},
     platform_standin::PlatformStandin,
-    serving::{Gateway, ask, configuration, replica_entry, wait_for},
+    serving::{Gateway, ask, configuration, endpoint_entry, wait_for},
 };
 
 #[googletest::test]
 fn daemon_that_the_store_turns_away_learns_from_a_peer() {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
-    let replica = ReplicaStandin::start("i-0", ReplicaManner::Answer);
-    platform.put("servers", "i-0", replica_entry(&replica, "ready"));
+    let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
+    platform.put("servers", "i-0", endpoint_entry(&endpoint, "ready"));
     let served = Gateway::start("edge-1", &platform, &[]);
     served.wait_ready();
     let refusing = PlatformStandin::start();
@@ -47,22 +47,22 @@
     expect_that!(ask(cut_off.clients, "/plain/", "d", "key-2", &[], b"").status, eq(503));
 }
 
-fn sample_tally() -> DaemonTally {
+fn sample_tally() -> DaemonCounters {
     let counts = [("kiosk".into(), 3)].into();
-    DaemonTally {
+    DaemonCounters {
         accounts: [
-            ("reader".into(), AccountTally { spent: 1_200, asked: 1_500 }),
-            ("kiosk".into(), AccountTally { spent: 7, asked: 7 }),
+            ("reader".into(), AccountCounters { spent: 1_200, asked: 1_500 }),
+            ("kiosk".into(), AccountCounters { spent: 7, asked: 7 }),
         ]
         .into(),
         windows: [(77, counts)].into(),
-        loads: [(5, LoadSum { running: 1, unread: 2, memory: 3 })].into(),
+        loads: [(5, LoadSum { running: 1, uncached: 2, memory: 3 })].into(),
         sent: [("pool".into(), 99)].into(),
     }
 }
 
-fn sample_news() -> DaemonNews {
-    DaemonNews {
+fn sample_news() -> GossipMessage {
+    GossipMessage {
         state: DaemonState {
             incarnation: IncarnationId(9),
             name: "edge-1".into(),
@@ -70,37 +70,37 @@
             address: "127.0.0.1:80".parse().expect("address"),
             sequence: 4,
             leaving: true,
-            tally: sample_tally(),
+            counters: sample_tally(),
         },
-        known: vec![PeerWord {
+        known: vec![PeerSummary {
             address: "127.0.0.1:81".parse().expect("address"),
             incarnation: IncarnationId(4),
             age: Duration::from_millis(30),
         }],
-        configuration: ConfigurationNews {
+        configuration: ConfigurationSummary {
             revision: 8,
             text: Some(b"{}".to_vec()),
             proof_age_ms: Some(12),
         },
-        replica_revision: 3,
-        replicas: None,
-        lease: Some(LeaseNews { fence: 2, holder: "edge-2".into(), age_ms: 40, daemons: 9 }),
-        wants: NewsWants { row: true, configuration: false, replicas: true },
-        row: Some(sample_tally()),
+        endpoint_revision: 3,
+        endpoints: None,
+        lease: Some(LeaseSummary { fence: 2, holder: "edge-2".into(), age_ms: 40, daemons: 9 }),
+        wants: RequestedParts { group: true, configuration: false, endpoints: true },
+        group: Some(sample_tally()),
     }
 }
 
 fn encoded() -> Vec<u8> {
     let mut message = capnp::message::Builder::new_default();
-    write_news(message.init_root(), &sample_news());
+    write_message(message.init_root(), &sample_news());
     capnp::serialize::write_message_to_words(&message)
 }
 
-fn decode(bytes: &[u8]) -> capnp::Result<DaemonNews> {
+fn decode(bytes: &[u8]) -> capnp::Result<GossipMessage> {
     let mut rest = bytes;
     let options = capnp::message::ReaderOptions::new();
     let message = capnp::serialize::read_message(&mut rest, options)?;
-    read_news(message.get_root::<news::Reader<'_>>()?)
+    read_message(message.get_root::<news::Reader<'_>>()?)
 }
 
 #[googletest::test]
@@ -111,7 +111,7 @@
     expect_that!(news.known, eq(&sample.known));
     expect_that!(news.configuration, eq(&sample.configuration));
     expect_that!(news.lease, eq(&sample.lease));
-    expect_that!(news.row, eq(&sample.row));
+    expect_that!(news.group, eq(&sample.group));
     expect_that!(news.wants, eq(sample.wants));
 }
 
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! Plan of the replicas to hold.
+//! Plan of the endpoints to hold.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,7 +7,7 @@
 use willowarch::{
     gateway::{
         configuration::FleetSpec,
-        policy::fleet_size::{FleetPlanner, ReplicaClass, ServiceDemand, ZoneHolding},
+        policy::fleet_size::{EndpointPlanner, PriceClass, ServiceDemand, ZoneHolding},
     },
     ids::SharedName,
 };
@@ -30,32 +30,32 @@
     ZONES.iter().enumerate().map(|(place, zone)| ((*zone).into(), holding(place))).collect()
 }
 
-fn planner(running: f64) -> FleetPlanner {
-    let mut planner = FleetPlanner::new(None, Instant::now());
+fn planner(running: f64) -> EndpointPlanner {
+    let mut planner = EndpointPlanner::new(None, Instant::now());
     let demand =
-        ServiceDemand { read_rate: 0.0, replica_read_rate: 40_000.0, running, slots: 10.0 };
+        ServiceDemand { prefill_rate: 0.0, endpoint_read_rate: 40_000.0, running, slots: 10.0 };
     planner.observe(&demand, 20, Instant::now());
     planner
 }
 
 fn total(
-    planner: &FleetPlanner,
+    planner: &EndpointPlanner,
     held: &BTreeMap<SharedName, ZoneHolding>,
-    class: ReplicaClass,
+    class: PriceClass,
 ) -> u32 {
     let targets = planner.plan(&spec(), held);
     targets.iter().filter(|((_, of), _)| *of == class).map(|(_, count)| count).sum()
 }
 
 #[googletest::test]
-fn reclaimable_replicas_suffice_when_a_zone_goes() {
+fn reclaimable_endpoints_suffice_when_a_zone_goes() {
     for running in [6.0, 30.0, 72.0, 100.0] {
         let planner = planner(running);
         let targets = planner.plan(&spec(), &held([0; 4], [5; 4]));
         for zone in ZONES {
             let others: u32 = targets
                 .iter()
-                .filter(|((of, class), _)| &**of != zone && *class == ReplicaClass::Reclaimable)
+                .filter(|((of, class), _)| &**of != zone && *class == PriceClass::Reclaimable)
                 .map(|(_, count)| count)
                 .sum();
             expect_that!(f64::from(others), ge(planner.need()), "{running} running, {zone} gone");
@@ -66,38 +66,38 @@
 #[googletest::test]
 fn others_stay_until_reclaimable_ones_serve_and_come_back_when_these_are_missing() {
     let planner = planner(72.0);
-    let before = total(&planner, &held([0; 4], [5; 4]), ReplicaClass::OnDemand);
+    let before = total(&planner, &held([0; 4], [5; 4]), PriceClass::OnDemand);
     expect_that!(f64::from(before), ge(planner.need()));
-    let calm = total(&planner, &held([4; 4], [0; 4]), ReplicaClass::OnDemand);
+    let calm = total(&planner, &held([4; 4], [0; 4]), PriceClass::OnDemand);
     expect_that!(calm, eq(0));
-    let zones_gone = total(&planner, &held([4, 4, 0, 0], [0; 4]), ReplicaClass::OnDemand);
+    let zones_gone = total(&planner, &held([4, 4, 0, 0], [0; 4]), PriceClass::OnDemand);
     expect_that!(zones_gone, gt(0));
 }
 
 #[googletest::test]
 fn need_sinks_slowly_and_not_without_demand() {
     let start = Instant::now();
-    let mut planner = FleetPlanner::new(None, start);
+    let mut planner = EndpointPlanner::new(None, start);
     planner.find(&held([0; 4], [5; 4]), start);
     expect_that!(planner.need(), near(17.0, 0.1));
     let later = start + Duration::from_secs(60);
     planner.observe(&ServiceDemand::default(), 20, later);
     expect_that!(planner.need(), near(17.0, 0.1));
     let little =
-        ServiceDemand { read_rate: 0.0, replica_read_rate: 1.0, running: 3.0, slots: 10.0 };
+        ServiceDemand { prefill_rate: 0.0, endpoint_read_rate: 1.0, running: 3.0, slots: 10.0 };
     planner.observe(&little, 20, later + Duration::from_secs(10));
     expect_that!(planner.need(), all!(lt(11.0), gt(9.5)));
 }
 
 #[googletest::test]
-fn zones_without_reclaimable_replicas_hold_no_room_for_them() {
+fn zones_without_reclaimable_endpoints_hold_no_room_for_them() {
     let mut planner = planner(120.0);
     let gone = held([0; 4], [5; 4]);
-    let before = total(&planner, &gone, ReplicaClass::OnDemand);
+    let before = total(&planner, &gone, PriceClass::OnDemand);
     for zone in ZONES {
         planner.turned_down(&zone.into(), Instant::now());
     }
-    let dry = total(&planner, &gone, ReplicaClass::OnDemand);
+    let dry = total(&planner, &gone, PriceClass::OnDemand);
     expect_that!(f64::from(dry), ge(planner.need()));
     expect_that!(dry, gt(before));
     for count in planner.plan(&spec(), &gone).into_values() {
@@ -106,12 +106,16 @@
 }
 
 #[googletest::test]
-fn full_replicas_do_not_make_the_need_run_away() {
+fn full_endpoints_do_not_make_the_need_run_away() {
     let start = Instant::now();
-    let mut planner = FleetPlanner::new(None, start);
-    // Few replicas, slow because they are full: more requests run than they can serve.
-    let overloaded =
-        ServiceDemand { read_rate: 4e6, replica_read_rate: 20_000.0, running: 400.0, slots: 10.0 };
+    let mut planner = EndpointPlanner::new(None, start);
+    // Few endpoints, slow because they are full: more requests run than they can serve.
+    let overloaded = ServiceDemand {
+        prefill_rate: 4e6,
+        endpoint_read_rate: 20_000.0,
+        running: 400.0,
+        slots: 10.0,
+    };
     planner.observe(&overloaded, 10, start);
     expect_that!(planner.need(), le(15.0));
     planner.observe(&overloaded, 14, start + Duration::from_secs(4));
@@ -122,7 +126,7 @@
 fn orders_wait_until_the_list_has_stopped_growing() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut planner = FleetPlanner::new(None, start);
+    let mut planner = EndpointPlanner::new(None, start);
     for (ms, count) in [(0, 1), (500, 2), (1_000, 4), (1_500, 5), (2_000, 5), (2_400, 5)] {
         planner.find(&held([0; 4], [count; 4]), at(ms));
         expect_that!(planner.is_settled(at(ms)), eq(false), "after {ms} ms");
@@ -136,7 +140,7 @@
 #[googletest::test]
 fn successor_goes_on_from_the_need_that_was_found() {
     let start = Instant::now();
-    let mut planner = FleetPlanner::new(Some(24.0), start);
+    let mut planner = EndpointPlanner::new(Some(24.0), start);
     // A zone has just gone: what is left says little of what is needed.
     planner.find(&held([2, 2, 2, 0], [0; 4]), start);
     expect_that!(planner.need(), near(24.0, 0.1));
--- a/tests/gateway/rows.rs
+++ b/tests/gateway/groups.rs
@@ -14,13 +14,13 @@
     gateway::{
         configuration::AccountQuota,
         gossip::{
-            exchange::{CALLS_IN_TURN, TURN},
-            groups::{Neighbours, ROW_SIZE, row_of},
+            exchange::{CALLS_PER_INTERVAL, GOSSIP_INTERVAL},
+            groups::{GROUP_SIZE, Neighbours, group_of},
             peer_table::PeerTable,
-            report_source::TallySource,
+            report_source::ReportSource,
         },
         policy::{
-            quota::{AccountTally, QuotaLedger, QuotaTolerance, QuotaVerdict},
+            quota::{AccountCounters, QuotaLedger, QuotaTolerance, QuotaVerdict},
             usage_counts::UsageCounts,
         },
     },
@@ -68,7 +68,7 @@
             address: address(place),
             incarnation: IncarnationId(place as u64 + 1),
             sequence: 0,
-            peers: PeerTable::new(address(place), &seeds, TURN, CALLS_IN_TURN),
+            peers: PeerTable::new(address(place), &seeds, GOSSIP_INTERVAL, CALLS_PER_INTERVAL),
             quotas: QuotaLedger::new(QuotaTolerance::default(), now),
             usage: UsageCounts::default(),
             down: false,
@@ -95,7 +95,7 @@
 
     /// One turn of every daemon.
     pub fn turn(&mut self) {
-        self.now += TURN;
+        self.now += GOSSIP_INTERVAL;
         for place in 0..self.daemons.len() {
             if self.daemons[place].down {
                 continue;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// `to` hears what `from` says; an answer holds the sums of the row of who answers.
+    /// `to` hears what `from` says; an answer holds the sums of the group of who answers.
     fn tell(&mut self, from: usize, to: usize, is_answer: bool) {
         let now = self.now;
         let teller = &mut self.daemons[from];
@@ -124,21 +124,21 @@
             (teller.address, teller.incarnation, teller.sequence);
         let words = teller.peers.words(WORDS, now, &mut self.rng);
         let spent: Vec<_> =
-            teller.quotas.tallies().map(|(name, tally)| (name.clone(), tally)).collect();
+            teller.quotas.counters().map(|(name, counters)| (name.clone(), counters)).collect();
         let windows = teller.usage.own().clone();
-        let row_spent: Vec<_> = teller.quotas.row_tallies().collect();
-        let row_windows = teller.usage.row_totals();
+        let row_spent: Vec<_> = teller.quotas.group_counters().collect();
+        let row_windows = teller.usage.group_totals();
         let hearer = &mut self.daemons[to];
         for word in &words {
             hearer.peers.learn(word, now);
         }
         hearer.peers.hear(address, incarnation, sequence, false, now);
         let neighbours = hearer.peers.neighbours();
-        let row = neighbours.delegate_row(&address).filter(|_| is_answer);
-        if neighbours.in_row(&address) {
-            hear(hearer, TallySource::Daemon(incarnation), spent, windows, now);
-        } else if let Some(number) = row {
-            let source = TallySource::Row { number, delegate: incarnation };
+        let group = neighbours.represented_group(&address).filter(|_| is_answer);
+        if neighbours.in_own_group(&address) {
+            hear(hearer, ReportSource::Daemon(incarnation), spent, windows, now);
+        } else if let Some(number) = group {
+            let source = ReportSource::Group { number, representative: incarnation };
             hear(hearer, source, row_spent, row_windows, now);
         }
     }
@@ -163,13 +163,13 @@
 
 fn hear(
     daemon: &mut TestDaemon,
-    source: TallySource,
-    tallies: Vec<(SharedName, AccountTally)>,
+    source: ReportSource,
+    counters: Vec<(SharedName, AccountCounters)>,
     windows: BTreeMap<u64, BTreeMap<SharedName, u64>>,
     now: Instant,
 ) {
-    let tallies = tallies.iter().map(|(account, tally)| (account, tally));
-    daemon.quotas.hear(source, tallies, false, now);
+    let counters = counters.iter().map(|(account, counters)| (account, counters));
+    daemon.quotas.hear(source, counters, false, now);
     for (window, counts) in windows {
         daemon.usage.hear(source, window, counts);
     }
@@ -205,11 +205,11 @@
     for count in [24, 25, 87, 300, 2_100] {
         let others: Vec<SocketAddr> = (1..count).map(address).collect();
         let neighbours = Neighbours::of(&address(0), &others);
-        let bound = (ROW_SIZE * 2) as f64 + (count as f64).sqrt() * 2.5;
+        let bound = (GROUP_SIZE * 2) as f64 + (count as f64).sqrt() * 2.5;
         expect_that!(neighbours.all().count() as f64, le(bound), "{count} daemons");
-        expect_that!(neighbours.delegates.len(), eq(neighbours.rows - 1));
-        for (row, delegate) in &neighbours.delegates {
-            expect_that!(row_of(delegate, neighbours.rows), eq(*row));
+        expect_that!(neighbours.representatives.len(), eq(neighbours.groups - 1));
+        for (group, representative) in &neighbours.representatives {
+            expect_that!(group_of(representative, neighbours.groups), eq(*group));
         }
     }
 }
--- a/tests/gateway/operations.rs
+++ b/tests/gateway/operations.rs
@@ -8,7 +8,7 @@
 use willowarch::{control::gateway, logs::LineBudget};
 
 use crate::{
-    endpoint_standin::ReplicaManner,
+    endpoint_standin::EndpointManner,
     serving::{Site, configuration, wait_for},
 };
 
@@ -20,7 +20,7 @@
 
 #[googletest::test]
 fn state_tells_versions_and_ages() {
-    let site = Site::start(&[ReplicaManner::Answer]);
+    let site = Site::start(&[EndpointManner::Answer]);
     let state: Value = serde_json::from_str(&read(&site, "/state")).expect("JSON");
     expect_that!(state["ready"], eq(&json!(true)));
     expect_that!(state["configuration_version"], eq(&json!(3)));
@@ -32,7 +32,7 @@
 
 #[googletest::test]
 fn metrics_count_what_was_refused_and_why() {
-    let site = Site::start(&[ReplicaManner::Full]);
+    let site = Site::start(&[EndpointManner::Full]);
     site.ask("/once/", "a");
     site.ask("/none/", "b");
     let text = read(&site, "/metrics");
@@ -42,7 +42,7 @@
 
 #[googletest::test]
 fn a_request_is_traced_from_its_id_to_its_cause() {
-    let site = Site::start(&[ReplicaManner::Lose]);
+    let site = Site::start(&[EndpointManner::Lose]);
     site.ask("/once/book", "lost-request");
     let log = || std::fs::read_to_string(&site.gateway.log).unwrap_or_default();
     wait_for("the line", || log().contains("lost-request"));
@@ -91,7 +91,7 @@
 
 #[googletest::test]
 fn plain_answer_of_known_length_counts_as_answered() {
-    let site = Site::start(&[ReplicaManner::Answer]);
+    let site = Site::start(&[EndpointManner::Answer]);
     expect_that!(site.ask("/plain/a", "plain-1").status, eq(200));
     expect_that!(site.ask("/plain/b", "plain-2").status, eq(200));
     let line_of = |id: &str| {
--- a/tests/gateway/platform_standin.rs
+++ b/tests/gateway/platform_standin.rs
@@ -76,7 +76,7 @@
         Self { address, state, server, threads }
     }
 
-    /// Writes an object as the operator or a replica would.
+    /// Writes an object as the operator or an endpoint would.
     pub fn put(&self, kind: &str, name: &str, spec: Value) -> u64 {
         let mut state = self.state.0.lock().expect("lock");
         let revision = state.write(kind, name, spec);
--- a/tests/gateway/pure_parts.rs
+++ b/tests/gateway/pure_parts.rs
@@ -10,15 +10,15 @@
     endpoint_health::AttemptResult,
     gateway::{
         configuration::{Configuration, Route, RouteKind},
-        endpoint::{ReplicaList, ReplicaRecord, ReplicaState},
-        gossip::report_source::TallySource,
+        endpoint::{EndpointList, EndpointRecord, EndpointState},
+        gossip::report_source::ReportSource,
         policy::{
-            catch_up::{BehindTable, HeldRevisions},
-            endpoint_choice::{ChoiceQuery, ChoiceResult, ReplicaTable, replica_number},
-            endpoint_load::{HeardState, LoadSum, RunLoad},
-            leader_lease::LeaseView,
-            prefill_rate::ReadRate,
-            retry_budget::RepeatBudget,
+            catch_up::{CatchUpState, HeldRevisions},
+            endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointTable, endpoint_number},
+            endpoint_load::{LoadSum, ReportedLoads, RunLoad},
+            leader_lease::LeaderLease,
+            prefill_rate::PrefillRate,
+            retry_budget::RetryBudget,
             usage_counts::UsageCounts,
             wall_clock::SteadyWallClock,
         },
@@ -27,8 +27,8 @@
     ids::{IncarnationId, SharedName},
 };
 
-fn daemon(number: u64) -> TallySource {
-    TallySource::Daemon(IncarnationId(number))
+fn daemon(number: u64) -> ReportSource {
+    ReportSource::Daemon(IncarnationId(number))
 }
 
 fn millis(count: u64) -> Duration {
@@ -79,7 +79,7 @@
     #[test]
     fn repeats_never_exceed_their_share(gaps in proptest::collection::vec((0_u64..400, any::<bool>()), 1..300)) {
         let (share, reserve, window) = (0.2, 5.0, Duration::from_secs(10));
-        let mut budget = RepeatBudget::new(window);
+        let mut budget = RetryBudget::new(window);
         let mut now = Instant::now();
         let mut requests: Vec<Instant> = Vec::new();
         let mut repeats: Vec<Instant> = Vec::new();
@@ -88,7 +88,7 @@
             if is_request {
                 budget.request(now);
                 requests.push(now);
-            } else if budget.draw(share, reserve, now) {
+            } else if budget.try_withdraw(share, reserve, now) {
                 repeats.push(now);
             }
             let lately = |all: &[Instant]| all.iter().filter(|at| now - **at <= window).count() as f64;
@@ -99,22 +99,22 @@
 
 // ---- choice
 
-fn record(id: &str, zone: &str) -> ReplicaRecord {
-    ReplicaRecord {
+fn record(id: &str, zone: &str) -> EndpointRecord {
+    EndpointRecord {
         id: id.into(),
         service: "pool".into(),
         address: "127.0.0.1:1".parse().expect("address"),
         zone: zone.into(),
         slots: 4,
-        state: ReplicaState::Ready,
+        state: EndpointState::Ready,
         reclaimable: false,
     }
 }
 
-fn table(records: Vec<ReplicaRecord>) -> ReplicaTable {
-    let mut table = ReplicaTable::new("a".into());
-    let replicas = records.into_iter().map(Rc::new).collect();
-    table.set_list(&ReplicaList { revision: 1, replicas });
+fn table(records: Vec<EndpointRecord>) -> EndpointTable {
+    let mut table = EndpointTable::new("a".into());
+    let endpoints = records.into_iter().map(Rc::new).collect();
+    table.set_list(&EndpointList { revision: 1, endpoints });
     table
 }
 
@@ -135,9 +135,9 @@
     }
 }
 
-fn chosen(table: &ReplicaTable, query: &ChoiceQuery<'_>, now: Instant) -> Option<SharedName> {
+fn chosen(table: &EndpointTable, query: &ChoiceQuery<'_>, now: Instant) -> Option<SharedName> {
     match table.choose(query, now, &mut SmallRng::seed_from_u64(1)) {
-        ChoiceResult::Replica(choice) => Some(choice.replica.id.clone()),
+        ChoiceResult::Endpoint(choice) => Some(choice.endpoint.id.clone()),
         _ => None,
     }
 }
@@ -158,29 +158,29 @@
 fn a_home_that_is_behind_is_left() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
-    let home = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
-    let load = RunLoad { unread: 60_000, memory: 60_000 };
-    table.begin(&home, &[], load, now);
-    expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(home))));
+    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
+    let load = RunLoad { uncached: 60_000, memory: 60_000 };
+    table.begin(&affinity, &[], load, now);
+    expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity))));
 }
 
 #[googletest::test]
 fn loads_that_others_tell_of_count_until_they_are_old() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
-    let home = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
-    let load = LoadSum { running: 4, unread: 0, memory: 0 };
-    let loads = [(replica_number(&home), load)].into();
-    let state = HeardState { at: now, loads, sent: BTreeMap::new() };
+    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
+    let load = LoadSum { running: 4, uncached: 0, memory: 0 };
+    let loads = [(endpoint_number(&affinity), load)].into();
+    let state = ReportedLoads { at: now, loads, sent: BTreeMap::new() };
     table.hear(daemon(5), state);
-    expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(home.clone()))));
+    expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity.clone()))));
     let later = now + Duration::from_secs(3);
-    expect_that!(chosen(&table, &query(&PARTS, &[]), later), eq(&Some(home)));
+    expect_that!(chosen(&table, &query(&PARTS, &[]), later), eq(&Some(affinity)));
 }
 
 #[googletest::test]
-fn full_draining_and_tried_replicas_are_not_chosen() {
-    let draining = ReplicaRecord { state: ReplicaState::Draining, ..record("i-1", "a") };
+fn full_draining_and_tried_endpoints_are_not_chosen() {
+    let draining = EndpointRecord { state: EndpointState::Draining, ..record("i-1", "a") };
     let mut table = table(vec![record("i-0", "a"), draining]);
     let now = Instant::now();
     let tried = ["i-0".into()];
@@ -199,26 +199,26 @@
 fn a_prompt_beyond_the_memory_left_goes_elsewhere() {
     let mut table = table(vec![record("i-0", "a")]);
     let now = Instant::now();
-    table.begin("i-0", &[], RunLoad { unread: 0, memory: 98_000 }, now);
+    table.begin("i-0", &[], RunLoad { uncached: 0, memory: 98_000 }, now);
     let result = table.choose(&query(&PARTS, &[]), now, &mut SmallRng::seed_from_u64(1));
     expect_that!(matches!(result, ChoiceResult::Full(_)), eq(true));
 }
 
 #[googletest::test]
-fn replica_at_whose_address_another_answers_is_not_chosen_again() {
+fn endpoint_at_whose_address_another_answers_is_not_chosen_again() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "b")]);
     let now = Instant::now();
     table.mark_ended("i-0");
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let result = table.choose(&query(&[], &[]), now, &mut rng);
-        let ChoiceResult::Replica(choice) = result else { panic!("no replica") };
-        expect_that!(&*choice.replica.id, eq("i-1"));
+        let ChoiceResult::Endpoint(choice) = result else { panic!("no replica") };
+        expect_that!(&*choice.endpoint.id, eq("i-1"));
     }
 }
 
 #[googletest::test]
-fn failing_replica_is_ejected_and_probed_again() {
+fn failing_endpoint_is_ejected_and_probed_again() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "b"), record("i-2", "b")]);
     let now = Instant::now();
     for _ in 0..3 {
@@ -228,14 +228,14 @@
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let result = table.choose(&query(&[], &[]), now, &mut rng);
-        let ChoiceResult::Replica(choice) = result else { panic!("no replica") };
-        expect_that!(&*choice.replica.id, not(eq("i-0")));
+        let ChoiceResult::Endpoint(choice) = result else { panic!("no replica") };
+        expect_that!(&*choice.endpoint.id, not(eq("i-0")));
     }
 }
 
 #[googletest::test]
 fn read_rate_is_learnt() {
-    let mut rate = ReadRate::default();
+    let mut rate = PrefillRate::default();
     for _ in 0..200 {
         rate.learn(10_000, millis(45 + 100));
     }
@@ -276,7 +276,7 @@
 fn holder_stops_before_others_may_start() {
     let lease = Duration::from_secs(3);
     let start = Instant::now();
-    let mut view = LeaseView { fence: 1, holder: None, renewed_at: Some(start), own: true };
+    let mut view = LeaderLease { fence: 1, holder: None, renewed_at: Some(start), own: true };
     expect_that!(view.may_act(lease, start + millis(2_000)), eq(true));
     expect_that!(view.may_act(lease, start + millis(2_200)), eq(false));
     expect_that!(view.is_silent(lease, start + millis(2_900)), eq(false));
@@ -321,23 +321,23 @@
 #[googletest::test]
 fn a_newer_text_is_asked_of_one_daemon_at_a_time() {
     let start = Instant::now();
-    let mut table = BehindTable::default();
-    let gate = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let newer = HeldRevisions { configuration: 9, replicas: 0 };
-    let own = HeldRevisions { configuration: 8, replicas: 0 };
-    table.hear(gate(1), newer, start);
-    table.hear(gate(2), newer, start);
-    let asks = |table: &mut BehindTable, port, patience, now| {
-        table.lag(gate(port), own, patience, now).configuration
+    let mut table = CatchUpState::default();
+    let peer_listener = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let newer = HeldRevisions { configuration: 9, endpoints: 0 };
+    let own = HeldRevisions { configuration: 8, endpoints: 0 };
+    table.hear(peer_listener(1), newer, start);
+    table.hear(peer_listener(2), newer, start);
+    let asks = |table: &mut CatchUpState, port, attempt_timeout, now| {
+        table.lag(peer_listener(port), own, attempt_timeout, now).configuration
     };
-    let patience = millis(300);
-    expect_that!(asks(&mut table, 1, patience, start + millis(100)), eq(false));
-    expect_that!(asks(&mut table, 1, patience, start + millis(300)), eq(true));
-    expect_that!(asks(&mut table, 1, patience, start + millis(400)), eq(false));
-    expect_that!(asks(&mut table, 2, patience, start + millis(400)), eq(false));
+    let attempt_timeout = millis(300);
+    expect_that!(asks(&mut table, 1, attempt_timeout, start + millis(100)), eq(false));
+    expect_that!(asks(&mut table, 1, attempt_timeout, start + millis(300)), eq(true));
+    expect_that!(asks(&mut table, 1, attempt_timeout, start + millis(400)), eq(false));
+    expect_that!(asks(&mut table, 2, attempt_timeout, start + millis(400)), eq(false));
     // The one that was asked does not answer: the next who tells of it is asked instead.
-    table.hear(gate(2), newer, start + millis(900));
-    expect_that!(asks(&mut table, 2, patience, start + millis(900)), eq(true));
-    let caught_up = table.lag(gate(2), newer, patience, start + millis(2_000));
+    table.hear(peer_listener(2), newer, start + millis(900));
+    expect_that!(asks(&mut table, 2, attempt_timeout, start + millis(900)), eq(true));
+    let caught_up = table.lag(peer_listener(2), newer, attempt_timeout, start + millis(2_000));
     expect_that!(caught_up.configuration, eq(false));
 }
