--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -8,16 +8,16 @@
 use willowarch::{
     gateway::{
         configuration::AccountQuota,
-        gossip::report_source::TallySource,
-        policy::quota::{AccountTally, QuotaLedger, QuotaSharing, QuotaTolerance, QuotaVerdict},
+        gossip::report_source::ReportSource,
+        policy::quota::{AccountCounters, QuotaLedger, QuotaSharing, QuotaTolerance, QuotaVerdict},
     },
     ids::{IncarnationId, SharedName},
 };
 
-use crate::rows::TestFleet;
+use crate::groups::TestFleet;
 
-fn daemon(number: u64) -> TallySource {
-    TallySource::Daemon(IncarnationId(number))
+fn daemon(number: u64) -> ReportSource {
+    ReportSource::Daemon(IncarnationId(number))
 }
 
 fn sharing(known: usize, heard: usize) -> QuotaSharing {
@@ -58,13 +58,13 @@
         }
         if at_ms % word_ms == 0 {
             let recent = at_ms - started_ms < 2_000;
-            let tally = |one: &QuotaLedger| one.tallies().next().map(|(_, tally)| tally);
-            let told: Vec<AccountTally> =
-                ledgers.iter().map(|one| tally(one).unwrap_or_default()).collect();
+            let counters = |one: &QuotaLedger| one.counters().next().map(|(_, counters)| counters);
+            let told: Vec<AccountCounters> =
+                ledgers.iter().map(|one| counters(one).unwrap_or_default()).collect();
             for (to, ledger) in ledgers.iter_mut().enumerate() {
-                for (from, tally) in told.iter().enumerate().filter(|(from, _)| *from != to) {
+                for (from, counters) in told.iter().enumerate().filter(|(from, _)| *from != to) {
                     let source = daemon((life * 100 + from) as u64);
-                    ledger.hear(source, [(&account, tally)], recent, now);
+                    ledger.hear(source, [(&account, counters)], recent, now);
                 }
             }
         }
@@ -112,8 +112,8 @@
         expect_that!(verdict, eq(QuotaVerdict::Admitted), "at {at_ms} ms");
         others += 15;
         for other in 1..4 {
-            let tally = AccountTally { spent: others, asked: others };
-            ledger.hear(daemon(other), [(&account, &tally)], false, now);
+            let counters = AccountCounters { spent: others, asked: others };
+            ledger.hear(daemon(other), [(&account, &counters)], false, now);
         }
     }
 }
@@ -144,12 +144,12 @@
     let mut rng = SmallRng::seed_from_u64(5);
     let mut now = start + millis(5_000);
     while ledger.admit(&account, &QUOTA, 100, one, now, &mut rng) == QuotaVerdict::Admitted {}
-    let QuotaVerdict::Refused { come_back, .. } =
+    let QuotaVerdict::Refused { retry_after, .. } =
         ledger.admit(&account, &QUOTA, 300, one, now, &mut rng)
     else {
         panic!("expected a refusal");
     };
-    now += come_back;
+    now += retry_after;
     expect_that!(
         ledger.admit(&account, &QUOTA, 300, one, now, &mut rng),
         eq(QuotaVerdict::Admitted)
@@ -245,22 +245,22 @@
 #[googletest::test]
 fn accounts_that_were_calm_are_served_at_once_after_a_restart() {
     let start = Instant::now();
-    let (calm, crowded): (SharedName, SharedName) = ("calm".into(), "crowded".into());
+    let (calm, throttled): (SharedName, SharedName) = ("calm".into(), "crowded".into());
     let alone = sharing(10, 1);
     let mut rng = SmallRng::seed_from_u64(5);
     let mut before = QuotaLedger::new(QuotaTolerance::default(), start);
     let now = start + millis(2_000);
     for _ in 0..100 {
-        before.admit(&crowded, &QUOTA, 100, sharing(1, 1), now, &mut rng);
+        before.admit(&throttled, &QUOTA, 100, sharing(1, 1), now, &mut rng);
     }
     before.admit(&calm, &QUOTA, 100, sharing(1, 1), now, &mut rng);
-    let told = before.crowded(now);
-    expect_that!(told, elements_are![eq(&crowded)]);
+    let told = before.throttled(now);
+    expect_that!(told, elements_are![eq(&throttled)]);
     let mut after = QuotaLedger::new(QuotaTolerance::default(), now);
-    after.set_crowded_before(told);
+    after.set_throttled_before(told);
     let first = after.admit(&calm, &QUOTA, 300, alone, now, &mut rng);
     expect_that!(first, eq(QuotaVerdict::Admitted));
-    let first = after.admit(&crowded, &QUOTA, 300, alone, now, &mut rng);
+    let first = after.admit(&throttled, &QUOTA, 300, alone, now, &mut rng);
     expect_that!(first, not(eq(QuotaVerdict::Admitted)));
 }
 
@@ -274,11 +274,11 @@
     for second in 1..5 {
         // Far beyond the quota, and then never heard again.
         let units = second * 2_000;
-        let tally = AccountTally { spent: units, asked: units };
-        ledger.hear(daemon(1), [(&account, &tally)], true, start + millis(second * 1_000));
+        let counters = AccountCounters { spent: units, asked: units };
+        ledger.hear(daemon(1), [(&account, &counters)], true, start + millis(second * 1_000));
     }
     let later = start + millis(120_000);
-    let nothing = AccountTally::default();
+    let nothing = AccountCounters::default();
     ledger.hear(daemon(2), [(&account, &nothing)], true, later);
     let verdict = ledger.admit(&account, &QUOTA, 100, shared, later, &mut rng);
     expect_that!(verdict, eq(QuotaVerdict::Admitted));
--- a/tests/gateway/serving.rs
+++ b/tests/gateway/serving.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    endpoint_standin::{ReplicaManner, ReplicaStandin, event},
+    endpoint_standin::{EndpointManner, EndpointStandin, event},
     platform_standin::PlatformStandin,
 };
 
@@ -159,44 +159,44 @@
     })
 }
 
-pub fn replica_entry(replica: &ReplicaStandin, state: &str) -> Value {
+pub fn endpoint_entry(endpoint: &EndpointStandin, state: &str) -> Value {
     json!({
-        "service": "pool", "address": replica.address, "zone": "hall-a", "version": "v1",
+        "service": "pool", "address": endpoint.address, "zone": "hall-a", "version": "v1",
         "slots": 4, "state": state, "cold-left-ms": 0, "seq": 1,
     })
 }
 
-/// A daemon with replicas in these manners, ready to serve.
+/// A daemon with endpoints in these manners, ready to serve.
 pub struct Site {
     pub platform: PlatformStandin,
-    pub replicas: Vec<ReplicaStandin>,
+    pub endpoints: Vec<EndpointStandin>,
     pub gateway: Gateway,
 }
 
 impl Site {
-    pub fn start(manners: &[ReplicaManner]) -> Self {
+    pub fn start(manners: &[EndpointManner]) -> Self {
         let platform = PlatformStandin::start();
         platform.put("config", "main", configuration(3, &["key-1"]));
-        let replicas: Vec<ReplicaStandin> = manners
+        let endpoints: Vec<EndpointStandin> = manners
             .iter()
             .enumerate()
-            .map(|(index, manner)| ReplicaStandin::start(&format!("i-{index}"), *manner))
+            .map(|(index, manner)| EndpointStandin::start(&format!("i-{index}"), *manner))
             .collect();
-        for replica in &replicas {
-            platform.put("servers", &replica.id, replica_entry(replica, "ready"));
+        for endpoint in &endpoints {
+            platform.put("servers", &endpoint.id, endpoint_entry(endpoint, "ready"));
         }
         let gateway = Gateway::start("edge-1", &platform, &[]);
         gateway.wait_ready();
-        Self { platform, replicas, gateway }
+        Self { platform, endpoints, gateway }
     }
 
     pub fn ask(&self, path: &str, id: &str) -> RawAnswer {
         ask(self.gateway.clients, path, id, "key-1", &[], b"")
     }
 
-    /// Requests that the replicas have seen, by replica.
+    /// Requests that the endpoints have seen, by endpoint.
     pub fn runs(&self) -> Vec<usize> {
-        self.replicas.iter().map(|replica| replica.seen().len()).collect()
+        self.endpoints.iter().map(|endpoint| endpoint.seen().len()).collect()
     }
 }
 
@@ -298,7 +298,7 @@
 
 #[googletest::test]
 fn plain_request_goes_through_unchanged() {
-    let site = Site::start(&[ReplicaManner::Answer]);
+    let site = Site::start(&[EndpointManner::Answer]);
     let headers = ["X-Extra: kept", "X-Tenant: forged", "X-Expect-Instance: forged"];
     let path = "/plain/deep/er?query=1&other=%20";
     let answer = ask(site.gateway.clients, path, "request-1", "key-1", &headers, b"the body");
@@ -306,7 +306,7 @@
     expect_that!(answer.header("x-response-seal"), some(eq("seal-i-0")));
     expect_that!(answer.header("x-request-id"), some(eq("request-1")));
     expect_that!(answer.whole, eq(true));
-    let seen = site.replicas[0].seen();
+    let seen = site.endpoints[0].seen();
     assert_eq!(seen.len(), 1);
     expect_that!(seen[0].line, eq(&format!("POST {path} HTTP/1.1")));
     expect_that!(seen[0].body, eq(b"the body"));
@@ -321,7 +321,7 @@
 
 #[googletest::test]
 fn refusals_name_what_is_wrong() {
-    let site = Site::start(&[ReplicaManner::Answer]);
+    let site = Site::start(&[EndpointManner::Answer]);
     let address = site.gateway.clients;
     expect_that!(ask(address, "/none/", "a", "key-1", &[], b"").status, eq(404));
     expect_that!(ask(address, "/plain/", "b", "other", &[], b"").status, eq(401));
@@ -333,7 +333,7 @@
 
 #[googletest::test]
 fn a_request_inside_another_is_never_run() {
-    let site = Site::start(&[ReplicaManner::Answer]);
+    let site = Site::start(&[EndpointManner::Answer]);
     let inner = "GET /plain/inner HTTP/1.1\r\nHost: site.example\r\nX-Request-Id: in\r\n\
                  Authorization: Token key-1\r\n\r\n";
     let outer = format!(
@@ -344,13 +344,13 @@
     );
     send_raw(site.gateway.clients, outer.as_bytes());
     let lines: Vec<String> =
-        site.replicas[0].seen().into_iter().map(|request| request.line).collect();
+        site.endpoints[0].seen().into_iter().map(|request| request.line).collect();
     expect_that!(lines, not(contains(contains_substring("inner"))));
 }
 
 #[googletest::test]
 fn once_only_request_is_not_repeated_after_a_lost_answer() {
-    let site = Site::start(&[ReplicaManner::Lose, ReplicaManner::Lose]);
+    let site = Site::start(&[EndpointManner::Lose, EndpointManner::Lose]);
     let answer = site.ask("/once/book", "once-1");
     expect_that!(answer.status, eq(502));
     expect_that!(answer.header("retry-after"), none());
@@ -359,7 +359,7 @@
 
 #[googletest::test]
 fn once_only_request_that_was_turned_away_is_promised_not_to_have_run() {
-    let site = Site::start(&[ReplicaManner::Full]);
+    let site = Site::start(&[EndpointManner::Full]);
     let answer = site.ask("/once/book", "once-2");
     expect_that!(answer.status, eq(503));
     expect_that!(answer.header("retry-after"), some(anything()));
@@ -367,7 +367,7 @@
 
 #[googletest::test]
 fn foreign_answer_is_never_passed_on() {
-    let site = Site::start(&[ReplicaManner::Foreign]);
+    let site = Site::start(&[EndpointManner::Foreign]);
     let answer = site.ask("/once/book", "mine");
     expect_that!(answer.status, eq(502));
     expect_that!(answer.text(), not(contains_substring("foreign")));
@@ -375,7 +375,7 @@
 
 #[googletest::test]
 fn surplus_answer_goes_to_no_request() {
-    let site = Site::start(&[ReplicaManner::Surplus]);
+    let site = Site::start(&[EndpointManner::Surplus]);
     for number in 0..4 {
         let answer = site.ask("/plain/one", &format!("request-{number}"));
         expect_that!(answer.status, eq(200));
@@ -384,9 +384,9 @@
 }
 
 #[googletest::test]
-fn repeatable_request_goes_to_another_replica() {
-    for manner in [ReplicaManner::Fail, ReplicaManner::Lose, ReplicaManner::Full] {
-        let site = Site::start(&[manner, ReplicaManner::Answer]);
+fn repeatable_request_goes_to_another_endpoint() {
+    for manner in [EndpointManner::Fail, EndpointManner::Lose, EndpointManner::Full] {
+        let site = Site::start(&[manner, EndpointManner::Answer]);
         for number in 0..4 {
             let answer = site.ask("/plain/one", &format!("request-{number}"));
             expect_that!(answer.status, eq(200), "{manner:?}");
@@ -396,7 +396,7 @@
 
 #[googletest::test]
 fn attempts_are_not_exceeded() {
-    let site = Site::start(&[ReplicaManner::Lose; 4]);
+    let site = Site::start(&[EndpointManner::Lose; 4]);
     let answer = site.ask("/plain/one", "request-1");
     expect_that!(answer.status, eq(502));
     expect_that!(site.runs().iter().sum::<usize>(), eq(2));
@@ -404,30 +404,30 @@
 
 #[googletest::test]
 fn stream_passes_whole_and_in_order() {
-    let site = Site::start(&[ReplicaManner::Stream(8)]);
+    let site = Site::start(&[EndpointManner::Stream(8)]);
     let answer = site.ask("/stream/one", "stream-1");
     expect_that!(answer.whole, eq(true));
     expect_that!(answer.text(), eq(&(1..=8).map(event).collect::<String>()));
 }
 
 #[googletest::test]
-fn broken_stream_goes_on_at_another_replica_in_the_same_answer() {
-    let site = Site::start(&[ReplicaManner::BreakAfter(3), ReplicaManner::BreakAfter(3)]);
+fn broken_stream_goes_on_at_another_endpoint_in_the_same_answer() {
+    let site = Site::start(&[EndpointManner::BreakAfter(3), EndpointManner::BreakAfter(3)]);
     let client = std::thread::spawn({
         let address = site.gateway.clients;
         move || ask(address, "/stream/one", "stream-2", "key-1", &[], b"")
     });
     wait_for("first attempt", || site.runs().iter().sum::<usize>() >= 1);
-    for replica in site.replicas.iter().filter(|replica| replica.seen().is_empty()) {
-        replica.set(ReplicaManner::Stream(5));
+    for endpoint in site.endpoints.iter().filter(|endpoint| endpoint.seen().is_empty()) {
+        endpoint.set(EndpointManner::Stream(5));
     }
     let answer = client.join().expect("client");
     expect_that!(answer.whole, eq(true));
     expect_that!(answer.text(), eq(&(1..=8).map(event).collect::<String>()));
     let resumed: Vec<String> = site
-        .replicas
+        .endpoints
         .iter()
-        .flat_map(ReplicaStandin::seen)
+        .flat_map(EndpointStandin::seen)
         .filter_map(|request| request.header("last-event-id").map(str::to_owned))
         .collect();
     expect_that!(resumed, elements_are![eq("3")]);
@@ -435,8 +435,8 @@
 
 #[googletest::test]
 fn broken_stream_that_may_not_go_on_does_not_look_complete() {
-    let site = Site::start(&[ReplicaManner::BreakAfter(3), ReplicaManner::Stream(5)]);
-    site.replicas[1].set(ReplicaManner::BreakAfter(3));
+    let site = Site::start(&[EndpointManner::BreakAfter(3), EndpointManner::Stream(5)]);
+    site.endpoints[1].set(EndpointManner::BreakAfter(3));
     let answer = site.ask("/rigid/one", "stream-3");
     expect_that!(answer.whole, eq(false));
     expect_that!(answer.text(), eq(&(1..=3).map(event).collect::<String>()));
@@ -445,7 +445,7 @@
 
 #[googletest::test]
 fn stream_of_a_client_that_left_is_cancelled() {
-    let site = Site::start(&[ReplicaManner::Stream(500)]);
+    let site = Site::start(&[EndpointManner::Stream(500)]);
     let mut stream = TcpStream::connect(site.gateway.clients).expect("connect");
     let request = "GET /rigid/one HTTP/1.1\r\nHost: site.example\r\nX-Request-Id: gone\r\n\
                    Authorization: Token key-1\r\n\r\n";
@@ -453,12 +453,12 @@
     let mut first = [0; 64];
     stream.read_exact(&mut first).expect("first bytes");
     drop(stream);
-    wait_for("cancellation", || site.replicas[0].was_cancelled());
+    wait_for("cancellation", || site.endpoints[0].was_cancelled());
 }
 
 #[googletest::test]
-fn silent_replica_is_left_for_another() {
-    let site = Site::start(&[ReplicaManner::Silent, ReplicaManner::Answer]);
+fn silent_endpoint_is_left_for_another() {
+    let site = Site::start(&[EndpointManner::Silent, EndpointManner::Answer]);
     for number in 0..3 {
         let begun = Instant::now();
         let answer = site.ask("/plain/one", &format!("request-{number}"));
@@ -468,46 +468,46 @@
 }
 
 #[googletest::test]
-fn draining_replica_gets_no_more_requests() {
-    let site = Site::start(&[ReplicaManner::Answer, ReplicaManner::Answer]);
-    site.platform.put("servers", "i-0", replica_entry(&site.replicas[0], "draining"));
+fn draining_endpoint_gets_no_more_requests() {
+    let site = Site::start(&[EndpointManner::Answer, EndpointManner::Answer]);
+    site.platform.put("servers", "i-0", endpoint_entry(&site.endpoints[0], "draining"));
     let settled = Instant::now() + Duration::from_millis(800);
     while Instant::now() < settled {
         std::thread::sleep(Duration::from_millis(50));
     }
-    let before = site.replicas[0].seen().len();
+    let before = site.endpoints[0].seen().len();
     for number in 0..10 {
         expect_that!(site.ask("/plain/one", &format!("request-{number}")).status, eq(200));
     }
-    expect_that!(site.replicas[0].seen().len(), eq(before));
+    expect_that!(site.endpoints[0].seen().len(), eq(before));
 }
 
 #[googletest::test]
-fn replica_that_is_gone_gets_no_more_requests() {
-    let site = Site::start(&[ReplicaManner::Answer, ReplicaManner::Answer]);
+fn endpoint_that_is_gone_gets_no_more_requests() {
+    let site = Site::start(&[EndpointManner::Answer, EndpointManner::Answer]);
     site.platform.remove("servers", "i-0");
     std::thread::sleep(Duration::from_millis(800));
-    let before = site.replicas[0].seen().len();
+    let before = site.endpoints[0].seen().len();
     for number in 0..10 {
         expect_that!(site.ask("/plain/one", &format!("request-{number}")).status, eq(200));
     }
-    expect_that!(site.replicas[0].seen().len(), eq(before));
+    expect_that!(site.endpoints[0].seen().len(), eq(before));
 }
 
 #[googletest::test]
-fn address_that_another_replica_has_taken_is_left() {
-    let site = Site::start(&[ReplicaManner::Other, ReplicaManner::Answer]);
+fn address_that_another_endpoint_has_taken_is_left() {
+    let site = Site::start(&[EndpointManner::Other, EndpointManner::Answer]);
     for number in 0..4 {
         expect_that!(site.ask("/plain/one", &format!("request-{number}")).status, eq(200));
     }
-    let alone = Site::start(&[ReplicaManner::Other]);
+    let alone = Site::start(&[EndpointManner::Other]);
     let answer = alone.ask("/once/book", "once-1");
     expect_that!(answer.status, eq(503));
 }
 
 #[googletest::test]
 fn configuration_changes_are_in_force_and_survive_a_dropped_history() {
-    let site = Site::start(&[ReplicaManner::Answer]);
+    let site = Site::start(&[EndpointManner::Answer]);
     site.platform.forget_history();
     site.platform.put("config", "main", configuration(5, &["key-2"]));
     let address = site.gateway.clients;
@@ -517,7 +517,7 @@
 
 #[googletest::test]
 fn older_version_never_comes_back() {
-    let site = Site::start(&[ReplicaManner::Answer]);
+    let site = Site::start(&[EndpointManner::Answer]);
     site.platform.put("config", "main", configuration(2, &["key-0"]));
     std::thread::sleep(Duration::from_millis(500));
     expect_that!(site.ask("/plain/", "a").status, eq(200));
@@ -527,8 +527,8 @@
 fn keys_are_refused_when_the_store_has_been_silent_too_long() {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
-    let replica = ReplicaStandin::start("i-0", ReplicaManner::Answer);
-    platform.put("servers", "i-0", replica_entry(&replica, "ready"));
+    let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
+    platform.put("servers", "i-0", endpoint_entry(&endpoint, "ready"));
     let bounds = json!({"revoke-ms": 2500});
     let gateway = Gateway::start_with("edge-1", &platform, &[], bounds);
     gateway.wait_ready();
@@ -554,12 +554,12 @@
 
 #[googletest::test]
 fn planned_stop_ends_what_runs_and_takes_nothing_new() {
-    let mut site = Site::start(&[ReplicaManner::Stream(60)]);
+    let mut site = Site::start(&[EndpointManner::Stream(60)]);
     let client = std::thread::spawn({
         let address = site.gateway.clients;
         move || ask(address, "/rigid/one", "long", "key-1", &[], b"")
     });
-    wait_for("run", || !site.replicas[0].seen().is_empty());
+    wait_for("run", || !site.endpoints[0].seen().is_empty());
     site.gateway.signal("-TERM");
     wait_for("not ready", || !site.gateway.is_ready());
     let answer = client.join().expect("client");
@@ -569,7 +569,7 @@
 
 #[googletest::test]
 fn reload_signal_ends_nothing() {
-    let mut site = Site::start(&[ReplicaManner::Answer]);
+    let mut site = Site::start(&[EndpointManner::Answer]);
     site.gateway.signal("-HUP");
     std::thread::sleep(Duration::from_millis(200));
     expect_that!(site.gateway.has_ended(), eq(false));
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -1,6 +1,6 @@
 //! Soak under faults: real daemons, links through loopback proxies, signals, a platform and
-//! replicas that misbehave; all drawn from a seed. What must always hold is checked from what
-//! clients, replicas and the platform have seen.
+//! endpoints that misbehave; all drawn from a seed. What must always hold is checked from what
+//! clients, endpoints and the platform have seen.
 //!
 //! `SOAK_SEEDS=50 SOAK_FIRST=1 cargo test --test gateway soak` plays more seeds.
 
@@ -17,7 +17,7 @@
 
 use crate::{
     duties::{check_reports, reports},
-    endpoint_standin::{ReplicaManner, ReplicaStandin},
+    endpoint_standin::{EndpointManner, EndpointStandin},
     loopback_proxy::{LinkState, LoopbackProxy},
     platform_standin::PlatformStandin,
     serving::{Gateway, RawAnswer, configuration, request_bytes, try_send_raw, wait_for},
@@ -26,7 +26,7 @@
 /// Seeds played where the environment names no number.
 const USUAL_SEEDS: u64 = 2;
 const DAEMONS: usize = 3;
-const REPLICAS: usize = 4;
+const ENDPOINTS: usize = 4;
 const CLIENTS: u64 = 6;
 /// Time in which faults come.
 const FAULT_TIME: Duration = Duration::from_secs(6);
@@ -81,25 +81,25 @@
     StoreLosesAnswers,
     StoreForgets,
     StoreLink(usize, LinkState),
-    ReplicaLink(usize, LinkState),
-    Manner(usize, ReplicaManner),
+    EndpointLink(usize, LinkState),
+    Manner(usize, EndpointManner),
     NewConfiguration,
 }
 
 impl Fault {
-    fn draw(rng: &mut SmallRng) -> Self {
-        const MANNERS: [ReplicaManner; 8] = [
-            ReplicaManner::Fail,
-            ReplicaManner::Full,
-            ReplicaManner::Other,
-            ReplicaManner::Lose,
-            ReplicaManner::Foreign,
-            ReplicaManner::Surplus,
-            ReplicaManner::BreakAfter(2),
-            ReplicaManner::BreakAfter(0),
+    fn try_withdraw(rng: &mut SmallRng) -> Self {
+        const MANNERS: [EndpointManner; 8] = [
+            EndpointManner::Fail,
+            EndpointManner::Full,
+            EndpointManner::Other,
+            EndpointManner::Lose,
+            EndpointManner::Foreign,
+            EndpointManner::Surplus,
+            EndpointManner::BreakAfter(2),
+            EndpointManner::BreakAfter(0),
         ];
         let daemon = rng.random_range(0..DAEMONS);
-        let replica = rng.random_range(0..REPLICAS);
+        let endpoint = rng.random_range(0..ENDPOINTS);
         let link = if rng.random_bool(0.5) { LinkState::Silent } else { LinkState::Closed };
         match rng.random_range(0..10) {
             0 => Self::Kill(daemon),
@@ -109,8 +109,8 @@
             4 => Self::StoreLosesAnswers,
             5 => Self::StoreForgets,
             6 => Self::StoreLink(daemon, link),
-            7 => Self::ReplicaLink(replica, link),
-            8 => Self::Manner(replica, MANNERS[rng.random_range(0..MANNERS.len())]),
+            7 => Self::EndpointLink(endpoint, link),
+            8 => Self::Manner(endpoint, MANNERS[rng.random_range(0..MANNERS.len())]),
             _ => Self::NewConfiguration,
         }
     }
@@ -120,8 +120,8 @@
 struct SoakSite {
     platform: PlatformStandin,
     store_links: Vec<LoopbackProxy>,
-    replicas: Vec<ReplicaStandin>,
-    replica_links: Vec<LoopbackProxy>,
+    endpoints: Vec<EndpointStandin>,
+    endpoint_links: Vec<LoopbackProxy>,
     daemons: Vec<Gateway>,
     version: u64,
 }
@@ -130,17 +130,17 @@
     fn start() -> Self {
         let platform = PlatformStandin::start();
         platform.put("config", "main", configuration(3, &["key-1"]));
-        let replicas: Vec<ReplicaStandin> = (0..REPLICAS)
-            .map(|place| ReplicaStandin::start(&format!("i-{place}"), ReplicaManner::Serve))
+        let endpoints: Vec<EndpointStandin> = (0..ENDPOINTS)
+            .map(|place| EndpointStandin::start(&format!("i-{place}"), EndpointManner::Serve))
             .collect();
-        let links = replicas.iter().map(|replica| LoopbackProxy::start(replica.address));
-        let replica_links: Vec<LoopbackProxy> = links.collect();
-        for (replica, link) in replicas.iter().zip(&replica_links) {
+        let links = endpoints.iter().map(|endpoint| LoopbackProxy::start(endpoint.address));
+        let endpoint_links: Vec<LoopbackProxy> = links.collect();
+        for (endpoint, link) in endpoints.iter().zip(&endpoint_links) {
             let entry = json!({
                 "service": "pool", "address": link.address, "zone": "hall-a", "version": "v1",
                 "slots": 8, "state": "ready", "cold-left-ms": 0, "seq": 1,
             });
-            platform.put("servers", &replica.id, entry);
+            platform.put("servers", &endpoint.id, entry);
         }
         let store_links: Vec<LoopbackProxy> =
             (0..DAEMONS).map(|_| LoopbackProxy::start(platform.address)).collect();
@@ -153,7 +153,7 @@
         for daemon in &daemons {
             daemon.wait_ready();
         }
-        Self { platform, store_links, replicas, replica_links, daemons, version: 3 }
+        Self { platform, store_links, endpoints, endpoint_links, daemons, version: 3 }
     }
 
     /// Brings a fault about for `time`, and heals it.
@@ -179,11 +179,11 @@
             Fault::StoreLosesAnswers => self.platform.lose_answers(2),
             Fault::StoreForgets => self.platform.forget_history(),
             Fault::StoreLink(place, state) => hold(&self.store_links[place], state, time),
-            Fault::ReplicaLink(place, state) => hold(&self.replica_links[place], state, time),
+            Fault::EndpointLink(place, state) => hold(&self.endpoint_links[place], state, time),
             Fault::Manner(place, manner) => {
-                self.replicas[place].set(manner);
+                self.endpoints[place].set(manner);
                 thread::sleep(time);
-                self.replicas[place].set(ReplicaManner::Serve);
+                self.endpoints[place].set(EndpointManner::Serve);
             }
             Fault::NewConfiguration => {
                 self.version += 1;
@@ -227,10 +227,10 @@
     }
 }
 
-/// What replicas have run, by the id of the request.
+/// What endpoints have run, by the id of the request.
 fn runs_by_id(site: &SoakSite) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
-    for request in site.replicas.iter().flat_map(|replica| replica.seen()) {
+    for request in site.endpoints.iter().flat_map(|endpoint| endpoint.seen()) {
         assert_eq!(request.header("x-tenant"), Some("reader"), "{}", request.line);
         assert_eq!(request.header("authorization"), None, "{}", request.line);
         if request.ran {
@@ -283,7 +283,7 @@
         })
         .collect();
     while Instant::now() < until {
-        let fault = Fault::draw(&mut rng);
+        let fault = Fault::try_withdraw(&mut rng);
         let time = Duration::from_millis(rng.random_range(200..LONGEST_FAULT_MS));
         println!("seed {seed}: {fault:?} for {time:?}");
         site.strike(fault, time);
