--- a/src/gateway/leader/endpoint_orders.rs
+++ b/src/gateway/leader/endpoint_orders.rs
@@ -14,7 +14,7 @@
         },
     },
     ids::SharedName,
-    platform::cloud::{CloudAnswer, EndpointOrder},
+    platform::cloud::{CloudOutcome, EndpointOrder},
 };
 
 /// Time between looks at the demand.
@@ -170,7 +170,7 @@
     }
 
     /// The cloud has answered an order, or has not.
-    pub fn answered(&mut self, order: &EndpointOrder, answer: Option<CloudAnswer>, now: Instant) {
+    pub fn answered(&mut self, order: &EndpointOrder, answer: Option<CloudOutcome>, now: Instant) {
         let class = match order.reclaimable {
             true => PriceClass::Reclaimable,
             false => PriceClass::OnDemand,
@@ -178,7 +178,7 @@
         let key = (order.service.clone(), order.zone.clone(), class);
         let answered = answer.is_some();
         self.given.insert(key.clone(), GivenOrder { count: order.count, at: now, answered });
-        if answer == Some(CloudAnswer::NoneToBeHad) {
+        if answer == Some(CloudOutcome::NoneToBeHad) {
             self.given.remove(&key);
             if let Some(fleet) = self.services.get_mut(&order.service) {
                 fleet.planner.turned_down(&order.zone, now);
--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -14,7 +14,7 @@
     gateway::{context::GatewayContext, policy::leader_lease, settings::LeaderTask},
     ids::SharedName,
     platform::{
-        cloud::{CloudAnswer, CloudClient, LeaseHolder},
+        cloud::{CloudClient, CloudOutcome, LeaseHolder},
         store::{StoredObject, WriteResult},
     },
 };
@@ -374,7 +374,7 @@
             window = report.window, total, outcome:? = answer, fence = self.holder().fence
         });
         match answer {
-            CloudAnswer::Fenced => self.lose("fenced"),
+            CloudOutcome::Fenced => self.lose("fenced"),
             _ => self.reported = true,
         }
         Ok(())
--- a/src/gateway/readiness.rs
+++ b/src/gateway/readiness.rs
@@ -7,7 +7,7 @@
 
 use super::{context::GatewayContext, state::GatewayState};
 use crate::{
-    http::{AnswerBody, server, whole_body},
+    http::{ResponseBody, server, whole_body},
     platform::ingress,
 };
 
@@ -19,7 +19,7 @@
 /// Path of the daemon's beliefs on the metrics address.
 const STATE_PATH: &str = "/state";
 
-fn answer(status: StatusCode, text: String) -> Response<AnswerBody> {
+fn answer(status: StatusCode, text: String) -> Response<ResponseBody> {
     let mut response = Response::new(whole_body(text));
     *response.status_mut() = status;
     response
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -28,7 +28,7 @@
         },
     },
     ids::SharedName,
-    platform::ingress::{self, AnswerMeaning, AnswerSigns, AttemptHead},
+    platform::ingress::{self, AttemptHead, ResponseMeaning, ResponseSigns},
 };
 
 /// A plain request that may be repeated is sent elsewhere after this many times its target.
@@ -37,11 +37,11 @@
 const STREAM_PATIENCE: f64 = 1.6;
 
 /// An answer of an endpoint, with all that is needed to relay it.
-pub struct EndpointAnswer {
+pub struct EndpointResponse {
     /// Head and body.
     pub response: Response<Incoming>,
     /// What it says.
-    pub signs: AnswerSigns,
+    pub signs: ResponseSigns,
     /// Connection that it comes over.
     pub connection: EndpointConnection,
     /// The run at the endpoint.
@@ -69,7 +69,7 @@
 /// How one attempt ended.
 pub enum AttemptEnd {
     /// An endpoint has answered, and the answer says that the request ran.
-    Answer(Box<EndpointAnswer>),
+    Answer(Box<EndpointResponse>),
     /// Nothing was sent.
     NotSent,
     /// The endpoint has not run it and never will.
@@ -140,25 +140,25 @@
     guard: RunGuard,
     trace: &mut RequestTrace,
 ) -> AttemptEnd {
-    let signs = ingress::read_answer(&admitted.call.head.id, &response);
+    let signs = ingress::read_response(&admitted.call.head.id, &response);
     trace.answered(response.status(), signs.meaning);
     match signs.meaning {
-        AnswerMeaning::Ran => {
-            AttemptEnd::Answer(Box::new(EndpointAnswer { response, signs, connection, guard }))
+        ResponseMeaning::Ran => {
+            AttemptEnd::Answer(Box::new(EndpointResponse { response, signs, connection, guard }))
         }
-        AnswerMeaning::NotRun => {
+        ResponseMeaning::NotRun => {
             context.endpoints.borrow_mut().mark_full(guard.endpoint(), Instant::now());
             guard.finish(AttemptResult::Neutral);
             relay::drain(context, response, connection, signs);
             AttemptEnd::NotRun
         }
-        AnswerMeaning::OtherEndpoint => {
+        ResponseMeaning::OtherEndpoint => {
             context.endpoints.borrow_mut().mark_ended(guard.endpoint());
             context.connections.discard_connections(guard.endpoint());
             guard.finish(AttemptResult::Failed);
             AttemptEnd::NotRun
         }
-        AnswerMeaning::Foreign => {
+        ResponseMeaning::Foreign => {
             context.connections.discard_connections(guard.endpoint());
             guard.finish(AttemptResult::Failed);
             AttemptEnd::Unknown
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -7,7 +7,7 @@
 
 use super::{
     admission::{self, Admitted, admit},
-    attempt::{AttemptEnd, Attempts, EndpointAnswer, attempt, may_try_again, retry_after},
+    attempt::{AttemptEnd, Attempts, EndpointResponse, attempt, may_try_again, retry_after},
     refusal::Refusal,
     relay,
     request_log::RequestTrace,
@@ -30,14 +30,14 @@
     // NOTE: the HTTP library drops a length that stands beside chunks, so a body in chunks
     // may be meant to end elsewhere. What follows it is never read as another request.
     let last = ingress::is_chunked(request.headers());
-    let mut answered = answer_one(context, request).await;
+    let mut answered = respond_to(context, request).await;
     if let (true, Ok(answer)) = (last, &mut answered) {
         ingress::close_after(answer.headers_mut());
     }
     answered
 }
 
-async fn answer_one(
+async fn respond_to(
     context: &Rc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, std::io::Error> {
@@ -78,7 +78,7 @@
 ) -> Response<LocalBody> {
     let admitted = Rc::new(admitted);
     let mut attempts = Attempts { tried: Vec::new(), sent: 0, maybe_run: false };
-    match first_answer(context, &admitted, &mut attempts, &mut trace).await {
+    match first_response(context, &admitted, &mut attempts, &mut trace).await {
         Ok(answer) => relay::pass_on(context, admitted, attempts, answer, trace),
         Err(refusal) => {
             if refusal.retry_after().is_some() {
@@ -91,12 +91,12 @@
 }
 
 /// Attempts until an endpoint answers with something to pass on.
-async fn first_answer(
+async fn first_response(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     attempts: &mut Attempts,
     trace: &mut RequestTrace,
-) -> Result<EndpointAnswer, Refusal> {
+) -> Result<EndpointResponse, Refusal> {
     loop {
         let end = attempt(context, admitted, attempts, None, trace).await?;
         let may_go_on = |attempts: &Attempts| may_try_again(context, admitted, attempts);
--- a/src/gateway/request/refusal.rs
+++ b/src/gateway/request/refusal.rs
@@ -126,7 +126,7 @@
 
     /// The answer to the request `id`.
     pub fn answer(&self, id: Option<&str>) -> Response<LocalBody> {
-        let head = ingress::own_answer(id, self.status(), self.retry_after());
+        let head = ingress::own_response(id, self.status(), self.retry_after());
         head.map(|()| Box::pin(whole_body(self.to_string())) as LocalBody)
     }
 }
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -14,7 +14,7 @@
 
 use super::{
     admission::Admitted,
-    attempt::{AttemptEnd, Attempts, EndpointAnswer, attempt, may_try_again},
+    attempt::{AttemptEnd, Attempts, EndpointResponse, attempt, may_try_again},
     connection_pool::EndpointConnection,
     event_cutter::EventCutter,
     request_log::RequestTrace,
@@ -25,7 +25,7 @@
     endpoint_health::AttemptResult,
     gateway::context::GatewayContext,
     http::{BodyError, LocalBody},
-    platform::ingress::{self, AnswerSigns},
+    platform::ingress::{self, ResponseSigns},
 };
 
 /// Longest wait for the rest of an answer that is not passed on.
@@ -61,7 +61,7 @@
 /// Where the answer comes from.
 struct Upstream {
     body: Incoming,
-    signs: AnswerSigns,
+    signs: ResponseSigns,
     connection: EndpointConnection,
     guard: RunGuard,
 }
@@ -78,15 +78,15 @@
     context: &Rc<GatewayContext>,
     admitted: Rc<Admitted>,
     attempts: Attempts,
-    answer: EndpointAnswer,
+    answer: EndpointResponse,
     trace: RequestTrace,
 ) -> Response<LocalBody> {
-    let EndpointAnswer { response, signs, connection, guard } = answer;
+    let EndpointResponse { response, signs, connection, guard } = answer;
     let success = response.status().is_success();
     if success && !admitted.route.kind.is_stream() {
         count_run(context, &admitted);
     }
-    let (head, body) = ingress::client_answer(response);
+    let (head, body) = ingress::client_response(response);
     let whole_length = body.size_hint().exact();
     let streams = success && admitted.route.kind.is_stream();
     let mut relay = Relay {
@@ -101,7 +101,7 @@
         ended: false,
         _active: context.active.enter(),
     };
-    if relay.has_whole_plain_answer() {
+    if relay.has_whole_plain_response() {
         relay.finish_cleanly();
     }
     let frames = stream::unfold(relay, |mut relay| async move {
@@ -133,7 +133,7 @@
             let piece = self.next_piece().await;
             let error = match piece {
                 NextPiece::Bytes(bytes) => {
-                    if self.has_whole_plain_answer() {
+                    if self.has_whole_plain_response() {
                         // NOTE: nobody asks for more of a body whose length is reached.
                         self.finish_cleanly();
                     }
@@ -158,7 +158,7 @@
     }
 
     /// Whether an answer that is no stream has arrived to its end.
-    fn has_whole_plain_answer(&self) -> bool {
+    fn has_whole_plain_response(&self) -> bool {
         let at_end = |upstream: &Upstream| upstream.body.is_end_stream();
         self.cutter.is_none() && self.upstream.as_ref().is_some_and(at_end)
     }
@@ -225,7 +225,7 @@
                 Ok(AttemptEnd::Answer(answer)) if answer.response.status().is_success() => answer,
                 Ok(_) => continue,
             };
-            let EndpointAnswer { response, signs, connection, guard } = *answer;
+            let EndpointResponse { response, signs, connection, guard } = *answer;
             let body = response.into_body();
             self.cutter = Some(EventCutter::default());
             self.upstream = Some(Upstream { body, signs, connection, guard });
@@ -250,7 +250,7 @@
     context: &Rc<GatewayContext>,
     response: Response<Incoming>,
     connection: EndpointConnection,
-    signs: AnswerSigns,
+    signs: ResponseSigns,
 ) {
     if signs.closes {
         return;
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -9,7 +9,7 @@
 use crate::{
     gateway::{context::GatewayContext, policy::endpoint_choice::EndpointChoice},
     ids::SharedName,
-    platform::ingress::AnswerMeaning,
+    platform::ingress::ResponseMeaning,
 };
 
 /// Trace of one request; writes its line when it ends, at the latest when it is dropped.
@@ -62,7 +62,7 @@
     }
 
     /// An endpoint answered.
-    pub fn answered(&mut self, status: StatusCode, meaning: AnswerMeaning) {
+    pub fn answered(&mut self, status: StatusCode, meaning: ResponseMeaning) {
         let after = self.begun.elapsed().as_millis();
         let _ = write!(self.steps, " {} {meaning:?} after {after};", status.as_u16());
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -25,7 +25,7 @@
 
 /// An answer read to its end.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct WholeResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Headers.
@@ -34,7 +34,7 @@
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl WholeResponse {
     /// Text of the header `name`, if present.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -165,7 +165,7 @@
         &self,
         call: &OutgoingCall,
         limit: Duration,
-    ) -> Result<WholeAnswer, StepError> {
+    ) -> Result<WholeResponse, StepError> {
         let whole = async {
             let response = self.open(call, limit).await?;
             let (head, body) = response.into_parts();
@@ -173,7 +173,7 @@
             let collected =
                 collected.map_err(|error| call.error(FailureCause::Broken(error.to_string())))?;
             let body = collected.to_bytes();
-            Ok(WholeAnswer { status: head.status, headers: head.headers, body })
+            Ok(WholeResponse { status: head.status, headers: head.headers, body })
         };
         let timed_out = FailureCause::TimedOut(limit.as_millis() as u64);
         wait_at_most(limit, whole).await.unwrap_or_else(|_| Err(call.error(timed_out)))
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -9,7 +9,7 @@
     sync::watch,
 };
 
-use super::AnswerBody;
+use super::ResponseBody;
 use crate::{
     counting::OpenCount,
     errors::{FailureCause, StepError},
@@ -59,7 +59,7 @@
 pub async fn serve<H, F>(listener: TcpListener, phase: watch::Receiver<LifePhase>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let open = OpenCount::default();
     let connections = phase.clone();
@@ -84,7 +84,7 @@
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let service = service_fn(move |request| {
         let answer = handler(request);
--- a/src/native/serve/admin.rs
+++ b/src/native/serve/admin.rs
@@ -16,7 +16,7 @@
     ticket_service::TicketMessage,
 };
 use crate::{
-    http::{AnswerBody, server, whole_body},
+    http::{ResponseBody, server, whole_body},
     ids::{IncarnationId, SharedName},
     kernel::LifePhase,
     native::{
@@ -95,7 +95,7 @@
     receiver
 }
 
-fn json_answer(value: &impl Serialize) -> Response<AnswerBody> {
+fn json_answer(value: &impl Serialize) -> Response<ResponseBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(whole_body(body));
     let kind = HeaderValue::from_static("application/json");
@@ -103,7 +103,7 @@
     response
 }
 
-async fn answer(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::GET, "/status") => json_answer(&status(&context).await),
@@ -129,7 +129,7 @@
 async fn take_notice(
     context: &Rc<ServeContext>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     use http_body_util::{BodyExt, Limited};
     const LIMIT: usize = 4_096;
     let body = Limited::new(request.into_body(), LIMIT).collect().await;
--- a/src/native/serve/answer.rs
+++ b/src/native/serve/answer.rs
@@ -14,7 +14,7 @@
 };
 use crate::{
     counting::CountGuard,
-    http::{AnswerBody, BodyError, stream_body, whole_body},
+    http::{BodyError, ResponseBody, stream_body, whole_body},
     ids::RequestName,
     kernel::LifePhase,
     native::request::{
@@ -28,7 +28,7 @@
 const STREAM_CHUNKS: usize = 32;
 
 /// JSON answer.
-pub fn json_response(value: &Value) -> Response<AnswerBody> {
+pub fn json_response(value: &Value) -> Response<ResponseBody> {
     let mut response = Response::new(whole_body(value.to_string()));
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
@@ -36,7 +36,7 @@
 }
 
 /// Answer of a plain endpoint.
-pub fn plain_response(plain: &PlainAnswer) -> Response<AnswerBody> {
+pub fn plain_response(plain: &PlainAnswer) -> Response<ResponseBody> {
     let mut response = Response::new(whole_body(plain.body.clone()));
     *response.status_mut() = StatusCode::from_u16(plain.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Ok(kind) = HeaderValue::from_str(&plain.content_type) {
@@ -149,7 +149,7 @@
     }
 
     /// A plain endpoint's answer.
-    pub async fn plain(mut self) -> Result<Response<AnswerBody>, Problem> {
+    pub async fn plain(mut self) -> Result<Response<ResponseBody>, Problem> {
         let copy = self.whole().await.ok_or_else(vanished)?;
         match copy.answer.as_deref() {
             Some(FinalAnswer::Plain(plain)) => Ok(plain_response(plain)),
@@ -159,7 +159,7 @@
     }
 
     /// The whole answer in one document.
-    pub async fn document(mut self, chat: bool) -> Result<Response<AnswerBody>, Problem> {
+    pub async fn document(mut self, chat: bool) -> Result<Response<ResponseBody>, Problem> {
         let copy = self.whole().await.ok_or_else(vanished)?;
         if let Some(problem) = copy.answer.as_deref().and_then(|end| Problem::of(end, true)) {
             return Err(problem);
@@ -184,7 +184,7 @@
 
     /// Streams events. The head waits for the first token, so that a request that comes
     /// to nothing is answered with a status that says so.
-    pub async fn events(mut self, chat: bool) -> Result<Response<AnswerBody>, Problem> {
+    pub async fn events(mut self, chat: bool) -> Result<Response<ResponseBody>, Problem> {
         let first = self.news().await.ok_or_else(vanished)?;
         if first.tokens.is_empty()
             && let Some(problem) = first.answer.as_deref().and_then(|end| Problem::of(end, true))
--- a/src/native/serve/caller_edge.rs
+++ b/src/native/serve/caller_edge.rs
@@ -22,7 +22,7 @@
     timeline::EventKind,
 };
 use crate::{
-    http::{AnswerBody, server, whole_body},
+    http::{ResponseBody, server, whole_body},
     ids::RequestName,
     kernel::SendError,
     native::{headers, request::outcome::FinalAnswer},
@@ -45,7 +45,7 @@
     .await;
 }
 
-async fn answer(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn answer(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
     let started_at = Instant::now();
     let _caller = context.callers.enter();
     let result = route(&context, request).await;
@@ -65,7 +65,7 @@
 async fn route(
     context: &Rc<ServeContext>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').splitn(3, '/').collect();
     match (request.method(), parts.as_slice()) {
@@ -88,7 +88,7 @@
 }
 
 /// For the platform's balancer: whether to send callers here.
-fn health(context: &Rc<ServeContext>) -> Response<AnswerBody> {
+fn health(context: &Rc<ServeContext>) -> Response<ResponseBody> {
     let ready = !context.is_leaving() && !context.table().is_empty();
     let mut response = Response::new(whole_body(if ready { "ready\n" } else { "not ready\n" }));
     if !ready {
@@ -100,7 +100,7 @@
 fn models(
     context: &Rc<ServeContext>,
     request: &Request<Incoming>,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let table = context.table();
     parse::account(request.headers(), &table)?;
     let services = table.services().map(|row| json!({ "id": row.name, "object": "model" }));
@@ -128,7 +128,7 @@
     context: &Rc<ServeContext>,
     request: Request<Incoming>,
     chat: bool,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let headers = request.headers().clone();
     let body = read_body(request).await?;
     let checked = parse::completion(&headers, &body, chat, &*known_table(context)?)?;
@@ -140,7 +140,7 @@
     request: Request<Incoming>,
     service: &str,
     path: &str,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let headers = request.headers().clone();
     let body = read_body(request).await?;
     let table = known_table(context)?;
@@ -170,7 +170,7 @@
 async fn tickets(
     context: &Rc<ServeContext>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let headers = request.headers().clone();
     let account = parse::account(&headers, &*known_table(context)?)?;
     let body = read_body(request).await?;
@@ -209,7 +209,7 @@
     context: &Rc<ServeContext>,
     request: &Request<Incoming>,
     key: &str,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let account = parse::account(request.headers(), &context.table())?;
     let name = RequestName::new(account.name.clone(), key);
     context.note(EventKind::CallerLeft, &name, "cancelled by its caller");
@@ -220,7 +220,7 @@
 async fn serve_once(
     context: &Rc<ServeContext>,
     checked: CheckedRequest,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     const CALLER_WAIT: Duration = Duration::from_secs(45);
     let call = std::sync::Arc::new(checked.call);
     let key = checked.key.as_deref();
@@ -239,7 +239,7 @@
 async fn serve_repeatable(
     context: &Rc<ServeContext>,
     checked: CheckedRequest,
-) -> Result<Response<AnswerBody>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let name = checked.name(&context.next_attempt().to_string());
     let keyed = checked.key.is_some();
     let call = std::sync::Arc::new(checked.call);
@@ -262,7 +262,7 @@
     Ok(with_key(response, &name))
 }
 
-fn with_key(mut response: Response<AnswerBody>, name: &RequestName) -> Response<AnswerBody> {
+fn with_key(mut response: Response<ResponseBody>, name: &RequestName) -> Response<ResponseBody> {
     if let Ok(value) = HeaderValue::from_str(&name.key) {
         response.headers_mut().insert(headers::IDEMPOTENCY_KEY, value.clone());
         response.headers_mut().insert(headers::REQUEST_ID, value);
--- a/src/native/serve/problem.rs
+++ b/src/native/serve/problem.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::{
-    http::{AnswerBody, whole_body},
+    http::{ResponseBody, whole_body},
     native::{
         headers,
         request::outcome::{FinalAnswer, NotRunProof, UnknownReason},
@@ -114,7 +114,7 @@
     }
 
     /// The problem as an HTTP answer.
-    pub fn into_response(self) -> Response<AnswerBody> {
+    pub fn into_response(self) -> Response<ResponseBody> {
         let body = serde_json::to_vec(&self).unwrap_or_default();
         let mut response = Response::new(whole_body(body));
         let status = StatusCode::from_u16(self.status);
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -25,7 +25,7 @@
 
 /// How the cloud took a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CloudAnswer {
+pub enum CloudOutcome {
     /// Done.
     Done,
     /// The fence was too low.
@@ -82,10 +82,10 @@
         holder: &LeaseHolder,
         window: u64,
         counts: &BTreeMap<SharedName, u64>,
-    ) -> Result<CloudAnswer, StepError> {
+    ) -> Result<CloudOutcome, StepError> {
         let body = ReportBody { window, counts };
         let status = self.post("report usage", "/reports", holder, &body).await?;
-        self.read_status("report usage", status, CloudAnswer::Fenced)
+        self.read_status("report usage", status, CloudOutcome::Fenced)
     }
 
     /// Orders a number of endpoints. A conflict may mean a low fence or that there are none to
@@ -94,7 +94,7 @@
         &self,
         holder: &LeaseHolder,
         order: &EndpointOrder,
-    ) -> Result<CloudAnswer, StepError> {
+    ) -> Result<CloudOutcome, StepError> {
         let body = ScaleBody {
             service: &order.service,
             zone: &order.zone,
@@ -102,7 +102,7 @@
             use_spot: order.reclaimable,
         };
         let status = self.post("order replicas", "/scale", holder, &body).await?;
-        self.read_status("order replicas", status, CloudAnswer::NoneToBeHad)
+        self.read_status("order replicas", status, CloudOutcome::NoneToBeHad)
     }
 
     async fn post(
@@ -130,11 +130,11 @@
         &self,
         step: &'static str,
         status: StatusCode,
-        conflict: CloudAnswer,
-    ) -> Result<CloudAnswer, StepError> {
+        conflict: CloudOutcome,
+    ) -> Result<CloudOutcome, StepError> {
         match status {
             StatusCode::CONFLICT => Ok(conflict),
-            status if status.is_success() => Ok(CloudAnswer::Done),
+            status if status.is_success() => Ok(CloudOutcome::Done),
             status => {
                 let cause = FailureCause::Status(status.as_u16());
                 Err(StepError::new(step, self.address.to_string(), cause))
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -268,7 +268,7 @@
 
 /// What an endpoint's answer says of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerMeaning {
+pub enum ResponseMeaning {
     /// It belongs to this request, which has run.
     Ran,
     /// The endpoint has not run the request and never will.
@@ -281,9 +281,9 @@
 
 /// What an endpoint's answer says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerSigns {
+pub struct ResponseSigns {
     /// Meaning for the request.
-    pub meaning: AnswerMeaning,
+    pub meaning: ResponseMeaning,
     /// Time that the endpoint keeps the connection open, if told.
     pub keep: Option<Duration>,
     /// Whether the connection ends with this answer.
@@ -291,19 +291,19 @@
 }
 
 /// Reads what an answer to the request `id` says.
-pub fn read_answer<B>(id: &str, answer: &Response<B>) -> AnswerSigns {
+pub fn read_response<B>(id: &str, answer: &Response<B>) -> ResponseSigns {
     let headers = answer.headers();
     let meaning = match text(headers, &REQUEST_ID) {
-        Some(other) if other != id => AnswerMeaning::Foreign,
-        None if answer.status().is_success() => AnswerMeaning::Foreign,
-        _ if answer.status() == StatusCode::MISDIRECTED_REQUEST => AnswerMeaning::OtherEndpoint,
-        _ if headers.contains_key(&NOT_EXECUTED) => AnswerMeaning::NotRun,
-        _ => AnswerMeaning::Ran,
+        Some(other) if other != id => ResponseMeaning::Foreign,
+        None if answer.status().is_success() => ResponseMeaning::Foreign,
+        _ if answer.status() == StatusCode::MISDIRECTED_REQUEST => ResponseMeaning::OtherEndpoint,
+        _ if headers.contains_key(&NOT_EXECUTED) => ResponseMeaning::NotRun,
+        _ => ResponseMeaning::Ran,
     };
     let closes = text(headers, &header::CONNECTION).is_some_and(|value| {
         value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"))
     });
-    AnswerSigns { meaning, keep: read_keep(headers), closes }
+    ResponseSigns { meaning, keep: read_keep(headers), closes }
 }
 
 fn read_keep(headers: &HeaderMap) -> Option<Duration> {
@@ -313,7 +313,7 @@
 }
 
 /// Head of an endpoint's answer as it goes back to the client.
-pub fn client_answer<B>(answer: Response<B>) -> (Response<()>, B) {
+pub fn client_response<B>(answer: Response<B>) -> (Response<()>, B) {
     let (mut parts, body) = answer.into_parts();
     remove_hop_headers(&mut parts.headers);
     let mut head = Response::new(());
@@ -323,7 +323,7 @@
 }
 
 /// Head of an answer of the gateway's own to the request `id`.
-pub fn own_answer(
+pub fn own_response(
     id: Option<&str>,
     status: StatusCode,
     retry_after: Option<Duration>,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     errors::{FailureCause, StepError},
-    http::client::{HttpClient, OutgoingCall, WholeAnswer},
+    http::client::{HttpClient, OutgoingCall, WholeResponse},
     ids::SharedName,
 };
 
@@ -171,7 +171,7 @@
         self.calls.get()
     }
 
-    async fn fetch(&self, call: OutgoingCall, limit: Duration) -> Result<WholeAnswer, StepError> {
+    async fn fetch(&self, call: OutgoingCall, limit: Duration) -> Result<WholeResponse, StepError> {
         self.calls.set(self.calls.get() + 1);
         self.http.fetch(&call, limit).await
     }
@@ -261,7 +261,7 @@
 fn decode<T>(
     step: &'static str,
     peer: SocketAddr,
-    answer: &WholeAnswer,
+    answer: &WholeResponse,
     decoder: impl FnOnce(&[u8]) -> Result<T, serde_json::Error>,
 ) -> Result<T, StepError> {
     let error = |cause| StepError::new(step, peer.to_string(), cause);
--- a/src/standin/endpoint.rs
+++ b/src/standin/endpoint.rs
@@ -21,7 +21,7 @@
 };
 use crate::{
     errors::StepError,
-    http::{AnswerBody, server},
+    http::{ResponseBody, server},
     kernel::LifePhase,
     native::{
         endpoint::{CacheEvent, LoadReport},
@@ -187,7 +187,7 @@
         let _ = thawed.wait_for(|thawed| *thawed).await;
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         if request.uri().path() == "/faults" {
             return self.set_faults(request).await;
         }
@@ -218,7 +218,7 @@
         }
     }
 
-    fn refusal(&self) -> Option<Response<AnswerBody>> {
+    fn refusal(&self) -> Option<Response<ResponseBody>> {
         let refuses = self.state.borrow().faults.refuse;
         refuses.then(|| {
             let mut answer = reply::empty(StatusCode::SERVICE_UNAVAILABLE);
@@ -228,7 +228,7 @@
         })
     }
 
-    async fn set_faults(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn set_faults(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let current = self.state.borrow().faults.clone();
         match reply::change_faults(request, &current).await {
             Ok(faults) => {
@@ -242,7 +242,7 @@
     }
 
     /// Obeys a fenced order; refuses one whose epoch is older than the newest seen.
-    async fn obey(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn obey(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let Some(order) = reply::read_json::<Value>(request).await else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
@@ -255,7 +255,7 @@
         reply::json(StatusCode::OK, &json!({ "epoch": epoch }))
     }
 
-    async fn plain_call(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn plain_call(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         if let Some(refusal) = self.refusal() {
             return refusal;
         }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -12,7 +12,7 @@
 use super::{endpoint::EndpointStandin, engine_model::answer_token, reply};
 use crate::{
     http::{
-        AnswerBody, BodyError,
+        BodyError, ResponseBody,
         client::{HttpClient, OutgoingCall},
     },
     native::{
@@ -59,7 +59,7 @@
 pub async fn complete(
     endpoint: &EndpointStandin,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let id = reply::header(&request, headers::REQUEST_ID).unwrap_or("none").to_owned();
     let attempt = reply::header(&request, headers::ATTEMPT_ID).unwrap_or("none").to_owned();
     let Some(order) = reply::read_json::<EngineOrder>(request).await else {
@@ -160,7 +160,7 @@
 pub async fn import_cache(
     endpoint: &EndpointStandin,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     const IMPORT_LIMIT: Duration = Duration::from_secs(30);
     let Some(order) = reply::read_json::<ImportOrder>(request).await else {
         return reply::empty(StatusCode::BAD_REQUEST);
@@ -185,7 +185,7 @@
 pub async fn export_cache(
     endpoint: &EndpointStandin,
     request: &Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let tokens = reply::query(request).get("tokens").copied().unwrap_or(0);
     let blocks = tokens / crate::native::decide::prefix::BLOCK_TOKENS as u64;
     sleep(Duration::from_millis(blocks * MOVE_BLOCK_MS)).await;
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -22,7 +22,7 @@
 };
 use crate::{
     errors::StepError,
-    http::{AnswerBody, server},
+    http::{ResponseBody, server},
     ids::SharedName,
     kernel::LifePhase,
     native::cloud_api::messages::{
@@ -174,7 +174,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         let method = request.method().clone();
@@ -209,7 +209,7 @@
         }
     }
 
-    async fn set_faults(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn set_faults(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let current = self.state.borrow().faults.clone();
         match reply::change_faults(request, &current).await {
             Ok(faults) => {
@@ -231,7 +231,7 @@
         admitted
     }
 
-    fn list(&self, kind: &str) -> Response<AnswerBody> {
+    fn list(&self, kind: &str) -> Response<ResponseBody> {
         if !self.admit_read() {
             return reply::empty(StatusCode::TOO_MANY_REQUESTS);
         }
@@ -242,7 +242,7 @@
         reply::json(StatusCode::OK, &state.store.list(kind))
     }
 
-    fn read(&self, kind: &str, name: &str) -> Response<AnswerBody> {
+    fn read(&self, kind: &str, name: &str) -> Response<ResponseBody> {
         if !self.admit_read() {
             return reply::empty(StatusCode::TOO_MANY_REQUESTS);
         }
@@ -261,7 +261,7 @@
         kind: &str,
         name: &str,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let condition = match (
             reply::header(&request, "if-none-match"),
             reply::header(&request, "if-match").and_then(|text| text.parse().ok()),
@@ -297,7 +297,7 @@
         }
     }
 
-    async fn watch(&self, kind: &str, request: &Request<Incoming>) -> Response<AnswerBody> {
+    async fn watch(&self, kind: &str, request: &Request<Incoming>) -> Response<ResponseBody> {
         self.state.borrow_mut().counts.watches += 1;
         if !self.admit_read() {
             return reply::empty(StatusCode::TOO_MANY_REQUESTS);
@@ -333,7 +333,7 @@
         timeout(wait, waiting).await.ok()
     }
 
-    fn list_vms(&self) -> Response<AnswerBody> {
+    fn list_vms(&self) -> Response<ResponseBody> {
         let mut state = self.state.borrow_mut();
         state.counts.cloud += 1;
         let lag = Duration::from_millis(state.faults.list_lag_ms);
@@ -342,7 +342,7 @@
         reply::json(StatusCode::OK, &list)
     }
 
-    async fn start_vm(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn start_vm(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let Some(order) = reply::read_json::<StartOrder>(request).await else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
@@ -373,7 +373,7 @@
         reply::json(StatusCode::OK, &vm)
     }
 
-    fn gone(&self, id: &str) -> Response<AnswerBody> {
+    fn gone(&self, id: &str) -> Response<ResponseBody> {
         let mut state = self.state.borrow_mut();
         if let Some(index) = state.vms.iter().position(|vm| &*vm.id == id) {
             let vm = state.vms.remove(index);
@@ -385,7 +385,7 @@
         reply::json(StatusCode::OK, &json!({}))
     }
 
-    async fn reclaim(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn reclaim(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let Some(order) = reply::read_json::<ReclaimOrder>(request).await else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
@@ -410,7 +410,7 @@
         reply::json(StatusCode::OK, &leaving)
     }
 
-    async fn notices(&self, request: &Request<Incoming>) -> Response<AnswerBody> {
+    async fn notices(&self, request: &Request<Incoming>) -> Response<ResponseBody> {
         self.state.borrow_mut().counts.cloud += 1;
         let query = reply::query(request);
         let after = query.get("after").copied().unwrap_or(0) as usize;
@@ -424,7 +424,7 @@
         reply::json(StatusCode::OK, &NoticeList { notices })
     }
 
-    fn load_weights(&self) -> Response<AnswerBody> {
+    fn load_weights(&self) -> Response<ResponseBody> {
         let admitted = self.state.borrow_mut().weights.admit();
         let status = if admitted { StatusCode::OK } else { StatusCode::TOO_MANY_REQUESTS };
         reply::json(status, &json!({ "admitted": admitted }))
--- a/src/standin/reply.rs
+++ b/src/standin/reply.rs
@@ -8,12 +8,12 @@
 use serde::{Serialize, de::DeserializeOwned};
 use serde_json::Value;
 
-use crate::http::{AnswerBody, server::CloseConnection, whole_body};
+use crate::http::{ResponseBody, server::CloseConnection, whole_body};
 
 const BODY_LIMIT: usize = 4 * 1024 * 1024;
 
 /// JSON answer.
-pub fn json(status: StatusCode, value: &impl Serialize) -> Response<AnswerBody> {
+pub fn json(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = Response::new(whole_body(body));
     *answer.status_mut() = status;
@@ -23,14 +23,14 @@
 }
 
 /// Answer without a body.
-pub fn empty(status: StatusCode) -> Response<AnswerBody> {
+pub fn empty(status: StatusCode) -> Response<ResponseBody> {
     let mut answer = Response::new(whole_body(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
 /// Answer that never arrives: its connection closes instead.
-pub fn lost() -> Response<AnswerBody> {
+pub fn lost() -> Response<ResponseBody> {
     let mut answer = empty(StatusCode::OK);
     answer.extensions_mut().insert(CloseConnection);
     answer
@@ -51,7 +51,7 @@
 pub async fn change_faults<T: Serialize + DeserializeOwned>(
     request: Request<Incoming>,
     faults: &T,
-) -> Result<T, Response<AnswerBody>> {
+) -> Result<T, Response<ResponseBody>> {
     let change = read_json::<Value>(request).await;
     let merged = change.and_then(|change| merge(faults, &change));
     merged.ok_or_else(|| empty(StatusCode::BAD_REQUEST))
--- a/tests/gateway/decoders.rs
+++ b/tests/gateway/decoders.rs
@@ -8,7 +8,7 @@
     gateway::{configuration::RouteKind, endpoint::EndpointState},
     platform::{
         configuration, endpoints,
-        ingress::{AnswerMeaning, HeadError, read_answer, read_head},
+        ingress::{HeadError, ResponseMeaning, read_head, read_response},
         settings, store,
     },
 };
@@ -121,24 +121,24 @@
     expect_that!(head(&tokens), err(eq(HeadError::BadHeader("X-Token-Counts"))));
 }
 
-fn meaning(status: u16, headers: &[(&str, &str)]) -> AnswerMeaning {
+fn meaning(status: u16, headers: &[(&str, &str)]) -> ResponseMeaning {
     let mut answer = Response::builder().status(status);
     for (name, value) in headers {
         answer = answer.header(*name, *value);
     }
-    read_answer("mine", &answer.body(()).expect("answer")).meaning
+    read_response("mine", &answer.body(()).expect("answer")).meaning
 }
 
 #[googletest::test]
 fn answers_mean_what_the_protocol_says() {
     let mine = ("x-request-id", "mine");
-    expect_that!(meaning(200, &[mine]), eq(AnswerMeaning::Ran));
-    expect_that!(meaning(200, &[]), eq(AnswerMeaning::Foreign));
-    expect_that!(meaning(503, &[("x-request-id", "other")]), eq(AnswerMeaning::Foreign));
-    expect_that!(meaning(503, &[mine, ("x-not-executed", "1")]), eq(AnswerMeaning::NotRun));
-    expect_that!(meaning(503, &[mine]), eq(AnswerMeaning::Ran));
-    expect_that!(meaning(421, &[]), eq(AnswerMeaning::OtherEndpoint));
-    expect_that!(meaning(504, &[mine]), eq(AnswerMeaning::Ran));
+    expect_that!(meaning(200, &[mine]), eq(ResponseMeaning::Ran));
+    expect_that!(meaning(200, &[]), eq(ResponseMeaning::Foreign));
+    expect_that!(meaning(503, &[("x-request-id", "other")]), eq(ResponseMeaning::Foreign));
+    expect_that!(meaning(503, &[mine, ("x-not-executed", "1")]), eq(ResponseMeaning::NotRun));
+    expect_that!(meaning(503, &[mine]), eq(ResponseMeaning::Ran));
+    expect_that!(meaning(421, &[]), eq(ResponseMeaning::OtherEndpoint));
+    expect_that!(meaning(504, &[mine]), eq(ResponseMeaning::Ran));
 }
 
 /// Replaces the value at a random place of a JSON text by another one.
