--- a/src/bin/willowarchd.rs
+++ b/src/bin/willowarchd.rs
@@ -26,7 +26,7 @@
     xflags::xflags! {
         /// Entry daemon of willowarch: accepts requests and passes them to endpoints.
         cmd willowarchd {
-            /// Settings file, in JSON (docs/settings.md).
+            /// Settings file, in JSON (docs/native/settings.md).
             optional --settings path: PathBuf
             /// Serve on the users' platform, with its settings file.
             optional --gateway
