--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -3,6 +3,9 @@
 //!
 //!     cargo bench --bench fleet [-- SIZE...]
 
+#[path = "../tests/native/in_memory_fleet.rs"]
+#[allow(dead_code, reason = "the tests use more of it")]
+mod in_memory_fleet;
 #[path = "../tests/native/process_usage.rs"]
 mod process_usage;
 
@@ -13,6 +16,7 @@
     time::{Duration, Instant},
 };
 
+use in_memory_fleet::InMemoryFleet;
 use process_usage::cpu_and_rss;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use willowarch::{
@@ -36,7 +40,6 @@
         },
         serve::timeline::{EventKind, TimelineHandle},
     },
-    standin::fleet::InMemoryFleet,
 };
 
 const ZONES: usize = 8;
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -6,8 +6,6 @@
 pub mod endpoint;
 pub mod engine;
 pub mod engine_model;
-pub mod fleet;
 pub mod object_store;
-
 pub mod platform;
 pub mod reply;
--- a/tests/native/cluster_model.rs
+++ b/tests/native/cluster_model.rs
@@ -10,10 +10,9 @@
         items::{ItemKey, ItemKind, ItemStore, SpreadItem},
         members::{MemberList, MemberRecord, MemberStatus, MemberView},
     },
-    standin::fleet::InMemoryFleet,
 };
 
-use crate::cases;
+use crate::{cases, in_memory_fleet::InMemoryFleet};
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
--- a/src/standin/fleet.rs
+++ b/tests/native/in_memory_fleet.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use tokio::time::Instant;
 
-use crate::{
+use willowarch::{
     ids::{IncarnationId, SharedName},
     native::cluster::{
         core::ClusterCore,
@@ -145,7 +145,10 @@
             .nodes
             .iter()
             .flat_map(|node| {
-                node.core.items().of_kind(crate::native::cluster::items::ItemKind::Member).cloned()
+                node.core
+                    .items()
+                    .of_kind(willowarch::native::cluster::items::ItemKind::Member)
+                    .cloned()
             })
             .collect();
         for node in &mut self.nodes {
@@ -360,7 +363,7 @@
         }
         let own_versions = own.versions_in(&differing);
         let their_versions = their.versions_in(&differing);
-        let fetch = |items: &crate::native::cluster::items::ItemStore, keys: Vec<(_, u64)>| {
+        let fetch = |items: &willowarch::native::cluster::items::ItemStore, keys: Vec<(_, u64)>| {
             keys.iter().filter_map(|(key, _)| items.get(key).cloned()).collect::<Vec<SpreadItem>>()
         };
         let wanted = fetch(their, newer_than(&their_versions, &own_versions));
--- a/tests/native/main.rs
+++ b/tests/native/main.rs
@@ -3,6 +3,7 @@
 
 mod cluster_model;
 mod harness;
+mod in_memory_fleet;
 
 mod daemon_parts;
 mod decisions;
