--- a/src/http.rs
+++ b/src/http.rs
@@ -1,8 +1,10 @@
-//! HTTP/1.1 over `hyper`: the server loop and the client that every process uses.
+//! HTTP/1.1 over `hyper`: server loop, client, and the client of JSON APIs; shared by the
+//! gateway, the native interface and the stand-ins.
 //!
-//! `hyper` stands in for the house style's `tiny_http` and `ureq` where answers
-//! stream; docs/design/http.md has the measurement behind it.
+//! `hyper` is used in place of the house style's `tiny_http` and `ureq` because responses
+//! stream: docs/design/http.md has the measurement.
 
+pub mod api_client;
 pub mod client;
 pub mod server;
 
@@ -15,10 +17,10 @@
 /// Why a body ended before its end; its connection is closed.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Body of every answer that a server here sends.
+/// Body of every response that a server here sends.
 pub type ResponseBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Body of an answer that stays on the thread of its daemon.
+/// Body of a response that stays on the thread of its daemon.
 pub type LocalBody = std::pin::Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = BodyError>>>;
 
 /// Body that holds `bytes` whole.
@@ -26,8 +28,8 @@
     Full::new(bytes.into()).map_err(BodyError::from).boxed_unsync()
 }
 
-/// Body that is sent piece by piece as `sender` gives them. The sender is told when
-/// the other side has left.
+/// Body that is sent chunk by chunk as they come from the returned sender, of which
+/// `capacity` may wait. Sending fails once the other side has closed the connection.
 pub fn stream_body(capacity: usize) -> (mpsc::Sender<Result<Bytes, BodyError>>, ResponseBody) {
     let (sender, mut receiver) = mpsc::channel(capacity);
     let stream = futures::stream::poll_fn(move |task| receiver.poll_recv(task));
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,10 +1,15 @@
-//! Client for endpoints and the platform: pooled connections, every wait bounded.
+//! HTTP client of every process here: pooled connections, every wait bounded, no retries.
+//!
+//! Both paths use it: the native interface for its endpoints and the platform, the gateway
+//! for the platform only (its endpoints need control over single connections, see
+//! `gateway::request`). A call that fails says how: see [`FailureCause`] for what each cause
+//! tells of whether the other side may have acted.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
-use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri, body::Incoming};
+use hyper::{Method, Request, Response, StatusCode, Uri, body::Incoming};
 use hyper_util::{
     client::legacy::{Client, connect::HttpConnector},
     rt::TokioExecutor,
@@ -17,41 +22,57 @@
 };
 
 /// Longest wait for a TCP connection.
+///
+/// Basis: chosen, not measured: all peers are in one region, so a connection that takes
+/// longer hardly comes at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest time an unused connection stays open.
+///
+/// Basis: chosen, not measured: longer than the pause between two watches (10 s).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest answer read whole, in bytes.
-const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
+/// Largest response read whole, in bytes; longer ones fail as broken.
+///
+/// Basis: chosen, not measured: bounds what a faulty peer can make this process hold.
+const RESPONSE_LIMIT: usize = 8 * 1024 * 1024;
 
-/// An answer read to its end.
+/// A response read to its end.
 #[derive(Clone, Debug)]
 pub struct WholeResponse {
     /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
-    pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
 impl WholeResponse {
-    /// Text of the header `name`, if present.
-    pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.get(name)?.to_str().ok()
+    /// Fails for a status that means failure; `step` and `peer` are for the error.
+    pub fn check_status(&self, step: &'static str, peer: &str) -> Result<(), StepError> {
+        if self.status.is_success() {
+            return Ok(());
+        }
+        Err(StepError::new(step, peer, FailureCause::Status(self.status.as_u16())))
     }
 
-    /// Body decoded from JSON; a failing status is an error.
-    pub fn json<T: DeserializeOwned>(
+    /// Body as read by `decoder`; a status that means failure is an error.
+    pub fn decode<T>(
         &self,
         step: &'static str,
         peer: &str,
+        decoder: impl FnOnce(&[u8]) -> Result<T, serde_json::Error>,
     ) -> Result<T, StepError> {
-        if !self.status.is_success() {
-            return Err(StepError::new(step, peer, FailureCause::Status(self.status.as_u16())));
-        }
-        serde_json::from_slice(&self.body)
+        self.check_status(step, peer)?;
+        decoder(&self.body)
             .map_err(|error| StepError::new(step, peer, FailureCause::Malformed(error.to_string())))
     }
+
+    /// Body decoded from JSON; a status that means failure is an error.
+    pub fn json<T: DeserializeOwned>(
+        &self,
+        step: &'static str,
+        peer: &str,
+    ) -> Result<T, StepError> {
+        self.decode(step, peer, |body| serde_json::from_slice(body))
+    }
 }
 
 /// One request to send.
@@ -98,7 +119,8 @@
         self
     }
 
-    fn error(&self, cause: FailureCause) -> StepError {
+    /// Error of this call.
+    pub fn error(&self, cause: FailureCause) -> StepError {
         StepError::new(self.step, self.peer.as_str(), cause)
     }
 
@@ -128,7 +150,7 @@
 }
 
 impl HttpClient {
-    /// Client with the bounds above; it never repeats a request by itself.
+    /// Client with the bounds above; it never retries a request by itself.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -141,7 +163,7 @@
         Self { client }
     }
 
-    /// Sends `call` and waits at most `limit` for the head of the answer.
+    /// Sends `call` and waits at most `limit` for the head of the response.
     pub async fn open(
         &self,
         call: &OutgoingCall,
@@ -160,7 +182,7 @@
         }
     }
 
-    /// Sends `call` and reads the answer whole, all within `limit`.
+    /// Sends `call` and reads the response whole, all within `limit`.
     pub async fn fetch(
         &self,
         call: &OutgoingCall,
@@ -169,11 +191,11 @@
         let whole = async {
             let response = self.open(call, limit).await?;
             let (head, body) = response.into_parts();
-            let collected = Limited::new(body, ANSWER_LIMIT).collect().await;
+            let collected = Limited::new(body, RESPONSE_LIMIT).collect().await;
             let collected =
                 collected.map_err(|error| call.error(FailureCause::Broken(error.to_string())))?;
             let body = collected.to_bytes();
-            Ok(WholeResponse { status: head.status, headers: head.headers, body })
+            Ok(WholeResponse { status: head.status, body })
         };
         let timed_out = FailureCause::TimedOut(limit.as_millis() as u64);
         wait_at_most(limit, whole).await.unwrap_or_else(|_| Err(call.error(timed_out)))
--- a/src/native/cloud_api.rs
+++ b/src/native/cloud_api.rs
@@ -1,4 +1,6 @@
-//! The platform's services as willowarch meets them: object API, cloud API, VM list.
+//! The platform's services as the native interface meets them: object API, cloud API, VM
+//! list. `standin::platform` serves the same wire; the gateway's platform is another one
+//! (`crate::platform`).
 
 pub mod client;
 pub mod messages;
--- a/src/native/cloud_api/messages.rs
+++ b/src/native/cloud_api/messages.rs
@@ -1,4 +1,4 @@
-//! What the platform's services send and take, as JSON.
+//! JSON bodies of the platform's services, shared by the client, the tool and the stand-in.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -1,4 +1,9 @@
-//! Calls to the cloud's API: reports of usage and orders of endpoints.
+//! Calls to the cloud's API, as the gateway's leader makes them: reports of usage and orders
+//! of endpoints.
+//!
+//! Each call carries the leader's name and fence, so that the cloud can refuse a leader that
+//! has been replaced. A call that times out may have been carried out; both calls may be
+//! retried, since they state a total and not a change.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -6,12 +11,15 @@
 use serde::Serialize;
 
 use crate::{
-    errors::{FailureCause, StepError},
-    http::client::{HttpClient, OutgoingCall},
+    errors::StepError,
+    http::api_client::{ApiClient, ApiResponse},
     ids::SharedName,
 };
 
-/// Longest wait for an answer.
+/// Longest wait for a response.
+///
+/// Basis: chosen, not measured: a call that begins at 0.7 of the shortest lease in use (3 s)
+/// must be over before another daemon may take the lease.
 const CALL_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// In whose name, and under which fence, a call is made.
@@ -23,18 +31,18 @@
     pub fence: u64,
 }
 
-/// How the cloud took a call.
+/// What the cloud made of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloudOutcome {
     /// Done.
     Done,
-    /// The fence was too low.
+    /// Refused: another holder has a higher fence.
     Fenced,
-    /// There are no endpoints to be had there now.
-    NoneToBeHad,
+    /// Refused: there is no capacity in that zone now.
+    NoCapacity,
 }
 
-/// Number of endpoints that are wanted in one zone.
+/// Number of endpoints of one service that are required in one zone, in total.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EndpointOrder {
     /// Service.
@@ -43,7 +51,7 @@
     pub zone: SharedName,
     /// Whether the cloud may take them back.
     pub reclaimable: bool,
-    /// How many.
+    /// Endpoints required.
     pub count: u32,
 }
 
@@ -59,6 +67,7 @@
     service: &'a str,
     zone: &'a str,
     desired: u32,
+    /// Whether the cloud may reclaim them; left out for on-demand ones.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     use_spot: bool,
 }
@@ -66,14 +75,13 @@
 /// Client of the cloud's API.
 #[derive(Clone, Debug)]
 pub struct CloudClient {
-    http: HttpClient,
-    address: SocketAddr,
+    api: ApiClient,
 }
 
 impl CloudClient {
     /// Client of the API at `address`.
     pub fn new(address: SocketAddr) -> Self {
-        Self { http: HttpClient::new(), address }
+        Self { api: ApiClient::new(address) }
     }
 
     /// Reports what each account has used in a window.
@@ -84,12 +92,14 @@
         counts: &BTreeMap<SharedName, u64>,
     ) -> Result<CloudOutcome, StepError> {
         let body = ReportBody { window, counts };
-        let status = self.post("report usage", "/reports", holder, &body).await?;
-        self.read_status("report usage", status, CloudOutcome::Fenced)
+        let response = self.post("report usage", "/reports", holder, &body).await?;
+        read_outcome(&response, CloudOutcome::Fenced)
     }
 
-    /// Orders a number of endpoints. A conflict may mean a low fence or that there are none to
-    /// be had; it is read as the latter (docs/questions.md).
+    /// Orders a number of endpoints.
+    ///
+    /// A conflict may mean a low fence or that there is no capacity; it is read as the
+    /// latter (docs/questions.md).
     pub async fn order(
         &self,
         holder: &LeaseHolder,
@@ -101,8 +111,8 @@
             desired: order.count,
             use_spot: order.reclaimable,
         };
-        let status = self.post("order replicas", "/scale", holder, &body).await?;
-        self.read_status("order replicas", status, CloudOutcome::NoneToBeHad)
+        let response = self.post("order endpoints", "/scale", holder, &body).await?;
+        read_outcome(&response, CloudOutcome::NoCapacity)
     }
 
     async fn post(
@@ -111,34 +121,24 @@
         path: &'static str,
         holder: &LeaseHolder,
         body: &impl Serialize,
-    ) -> Result<StatusCode, StepError> {
-        let body = serde_json::to_vec(body).map_err(|error| {
-            StepError::new(
-                step,
-                self.address.to_string(),
-                FailureCause::Malformed(error.to_string()),
-            )
-        })?;
-        let call = OutgoingCall::get(step, self.address, path)
-            .with_json(Method::POST, body)
+    ) -> Result<ApiResponse, StepError> {
+        let call = self
+            .api
+            .send(step, Method::POST, path, body)?
             .with_header("x-duty-holder", &holder.name)
             .with_header("x-fencing-token", holder.fence);
-        Ok(self.http.fetch(&call, CALL_LIMIT).await?.status)
+        self.api.fetch(call, CALL_LIMIT).await
     }
+}
 
-    fn read_status(
-        &self,
-        step: &'static str,
-        status: StatusCode,
-        conflict: CloudOutcome,
-    ) -> Result<CloudOutcome, StepError> {
-        match status {
-            StatusCode::CONFLICT => Ok(conflict),
-            status if status.is_success() => Ok(CloudOutcome::Done),
-            status => {
-                let cause = FailureCause::Status(status.as_u16());
-                Err(StepError::new(step, self.address.to_string(), cause))
-            }
-        }
+/// Outcome by status alone; `on_conflict` is what 409 means for this call.
+fn read_outcome(
+    response: &ApiResponse,
+    on_conflict: CloudOutcome,
+) -> Result<CloudOutcome, StepError> {
+    if response.status() == StatusCode::CONFLICT {
+        return Ok(on_conflict);
     }
+    response.check_status()?;
+    Ok(CloudOutcome::Done)
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,21 +1,26 @@
-//! Calls to the platform's metadata store.
+//! Calls to the platform's metadata store, as the gateway makes them.
+//!
+//! The store keeps JSON objects by kind and name. Each change raises one revision counter of
+//! the whole store; an object carries the revision of its last change, and a write may be
+//! made conditional on it. The native interface speaks another wire (`native::cloud_api`);
+//! connections and errors are the same (`http::api_client`).
 
-use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
+use std::{net::SocketAddr, time::Duration};
 
 use hyper::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use crate::{
-    errors::{FailureCause, StepError},
-    http::client::{HttpClient, OutgoingCall, WholeResponse},
-    ids::SharedName,
-};
+use crate::{errors::StepError, http::api_client::ApiClient, ids::SharedName};
 
-/// Longest wait for an answer that is given at once. The store may be fifty times as slow
-/// as usual and still answer.
+/// Longest wait for a response that the store gives at once.
+///
+/// Basis: chosen, not measured: the store may be fifty times as slow as usual and still
+/// answer.
 const CALL_LIMIT: Duration = Duration::from_millis(1_200);
-/// How much later than asked a waiting watch may answer.
+/// How much later than asked a waiting watch may respond.
+///
+/// Basis: chosen, not measured: as `CALL_LIMIT`, less what a connection already open saves.
 const WATCH_MARGIN: Duration = Duration::from_millis(700);
 
 /// One object with its revision.
@@ -41,7 +46,7 @@
 /// A change that a watch has seen.
 #[derive(Clone, Debug)]
 pub enum ObjectChange {
-    /// The object was made or replaced.
+    /// The object was created or replaced.
     Written(StoredObject),
     /// The object is gone.
     Gone(SharedName),
@@ -91,6 +96,7 @@
     items: Vec<ObjectBody<'a>>,
     #[serde(default)]
     more: bool,
+    /// Revision of the store.
     at: u64,
 }
 
@@ -98,6 +104,7 @@
 struct WatchBody<'a> {
     #[serde(borrow)]
     events: Vec<EventBody<'a>>,
+    /// Revision to watch from next.
     at: u64,
 }
 
@@ -110,9 +117,9 @@
 }
 
 #[derive(Serialize)]
-struct NewObject<'a> {
+struct NewObject<'a, T> {
     metadata: NewMetadata<'a>,
-    spec: &'a RawValue,
+    spec: &'a T,
 }
 
 #[derive(Serialize)]
@@ -142,62 +149,65 @@
     Ok((ObjectListing { objects, revision: page.at }, page.more))
 }
 
-/// Decodes the answer to a watch.
+/// Decodes the response to a watch.
 pub fn decode_watch(body: &[u8]) -> Result<(Vec<ObjectChange>, u64), serde_json::Error> {
-    let answer: WatchBody<'_> = serde_json::from_slice(body)?;
+    let response: WatchBody<'_> = serde_json::from_slice(body)?;
     let to_change = |event: EventBody<'_>| match event.gone {
         true => ObjectChange::Gone(event.object.metadata.name),
         false => ObjectChange::Written(event.object.into_object()),
     };
-    Ok((answer.events.into_iter().map(to_change).collect(), answer.at))
+    Ok((response.events.into_iter().map(to_change).collect(), response.at))
 }
 
 /// Client of the store.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
-    http: HttpClient,
-    address: SocketAddr,
-    calls: Rc<Cell<u64>>,
+    api: ApiClient,
 }
 
 impl StoreClient {
     /// Client of the store at `address`.
     pub fn new(address: SocketAddr) -> Self {
-        Self { http: HttpClient::new(), address, calls: Rc::default() }
+        Self { api: ApiClient::new(address) }
     }
 
     /// Calls made since the start.
     pub fn calls(&self) -> u64 {
-        self.calls.get()
+        self.api.calls()
     }
 
-    async fn fetch(&self, call: OutgoingCall, limit: Duration) -> Result<WholeResponse, StepError> {
-        self.calls.set(self.calls.get() + 1);
-        self.http.fetch(&call, limit).await
-    }
-
-    /// Lists all objects of a kind, as of a moment after the call was made.
+    /// Lists all objects of a kind, page by page, as of a moment after the call was made.
     pub async fn list(&self, kind: &str) -> Result<ObjectListing, StepError> {
-        const STEP: &str = "list objects";
         let mut listing = ObjectListing::default();
         loop {
-            let after = listing.objects.last().map(|object| format!("?after-rev={}", object.name));
-            let path = format!("/-/objects/{kind}{}", after.unwrap_or_default());
-            let answer =
-                self.fetch(OutgoingCall::get(STEP, self.address, path), CALL_LIMIT).await?;
-            let (page, more) = decode(STEP, self.address, &answer, decode_page)?;
-            // NOTE: a watch from the first page's revision sees all that changed since.
+            let last_name = listing.objects.last().map(|object| &object.name);
+            let (page, more) = self.list_page(kind, last_name).await?;
+            // A watch from the first page's revision sees all that changed since.
             if listing.revision == 0 {
                 listing.revision = page.revision;
             }
-            let last = page.objects.is_empty() || !more;
+            let is_last = page.objects.is_empty() || !more;
             listing.objects.extend(page.objects);
-            if last {
+            if is_last {
                 return Ok(listing);
             }
         }
     }
 
+    async fn list_page(
+        &self,
+        kind: &str,
+        last_name: Option<&SharedName>,
+    ) -> Result<(ObjectListing, bool), StepError> {
+        // Despite its name, `after-rev` takes the name of the last object of the page before.
+        let path = match last_name {
+            None => format!("/-/objects/{kind}"),
+            Some(name) => format!("/-/objects/{kind}?after-rev={name}"),
+        };
+        let call = self.api.get("list objects", path);
+        self.api.fetch(call, CALL_LIMIT).await?.decode(decode_page)
+    }
+
     /// Waits at most `wait` for changes of a kind after `revision`.
     pub async fn watch(
         &self,
@@ -205,26 +215,24 @@
         revision: u64,
         wait: Duration,
     ) -> Result<WatchResult, StepError> {
-        const STEP: &str = "watch objects";
         let path = format!("/-/objects/{kind}?watch={revision}&wait-ms={}", wait.as_millis());
-        let call = OutgoingCall::get(STEP, self.address, path);
-        let answer = self.fetch(call, wait + WATCH_MARGIN).await?;
-        if answer.status == StatusCode::GONE {
+        let call = self.api.get("watch objects", path);
+        let response = self.api.fetch(call, wait + WATCH_MARGIN).await?;
+        if response.status() == StatusCode::GONE {
             return Ok(WatchResult::HistoryGone);
         }
-        let (changes, revision) = decode(STEP, self.address, &answer, decode_watch)?;
+        let (changes, revision) = response.decode(decode_watch)?;
         Ok(WatchResult::Changes(changes, revision))
     }
 
     /// Reads one object; none if it does not exist.
     pub async fn read(&self, kind: &str, name: &str) -> Result<Option<StoredObject>, StepError> {
-        const STEP: &str = "read object";
-        let path = format!("/-/objects/{kind}/{name}");
-        let answer = self.fetch(OutgoingCall::get(STEP, self.address, path), CALL_LIMIT).await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        let call = self.api.get("read object", format!("/-/objects/{kind}/{name}"));
+        let response = self.api.fetch(call, CALL_LIMIT).await?;
+        if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        decode(STEP, self.address, &answer, decode_object).map(Some)
+        response.decode(decode_object).map(Some)
     }
 
     /// Writes one object if it is still at `revision` (0: if it does not exist).
@@ -235,38 +243,18 @@
         revision: u64,
         value: &impl Serialize,
     ) -> Result<WriteResult, StepError> {
-        const STEP: &str = "write object";
-        let peer = self.address.to_string();
-        let malformed = |error: serde_json::Error| {
-            StepError::new(STEP, peer.as_str(), FailureCause::Malformed(error.to_string()))
-        };
-        let spec = serde_json::value::to_raw_value(value).map_err(malformed)?;
         let known = (revision > 0).then_some(revision);
-        let object = NewObject { metadata: NewMetadata { name, revision: known }, spec: &spec };
-        let body = serde_json::to_vec(&object).map_err(malformed)?;
         let (method, path) = match known {
             None => (Method::POST, format!("/-/objects/{kind}")),
             Some(_) => (Method::PUT, format!("/-/objects/{kind}/{name}")),
         };
-        let call = OutgoingCall::get(STEP, self.address, path).with_json(method, body);
-        let answer = self.fetch(call, CALL_LIMIT).await?;
-        if matches!(answer.status, StatusCode::CONFLICT | StatusCode::NOT_FOUND) {
+        let object = NewObject { metadata: NewMetadata { name, revision: known }, spec: value };
+        let call = self.api.send("write object", method, path, &object)?;
+        let response = self.api.fetch(call, CALL_LIMIT).await?;
+        if matches!(response.status(), StatusCode::CONFLICT | StatusCode::NOT_FOUND) {
             return Ok(WriteResult::Conflict);
         }
-        let object = decode(STEP, self.address, &answer, decode_object)?;
+        let object = response.decode(decode_object)?;
         Ok(WriteResult::Written(object.revision))
     }
 }
-
-fn decode<T>(
-    step: &'static str,
-    peer: SocketAddr,
-    answer: &WholeResponse,
-    decoder: impl FnOnce(&[u8]) -> Result<T, serde_json::Error>,
-) -> Result<T, StepError> {
-    let error = |cause| StepError::new(step, peer.to_string(), cause);
-    if !answer.status.is_success() {
-        return Err(error(FailureCause::Status(answer.status.as_u16())));
-    }
-    decoder(&answer.body).map_err(|cause| error(FailureCause::Malformed(cause.to_string())))
-}
