--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -77,17 +77,12 @@
     spec: Option<&'a RawValue>,
 }
 
-#[derive(Deserialize, Serialize)]
+/// The store sends more (`made`, `finalizers`, `deleting`); the gateway needs none of it.
+#[derive(Deserialize)]
 struct Metadata {
     name: SharedName,
     #[serde(default)]
     revision: u64,
-    #[serde(default)]
-    made: u64,
-    #[serde(default)]
-    finalizers: Vec<String>,
-    #[serde(default)]
-    deleting: bool,
 }
 
 #[derive(Deserialize)]
