--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -10,4 +10,5 @@
 pub mod refusal;
 pub mod relay;
 pub mod request_log;
+pub mod response_meaning;
 pub mod run_guard;
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -11,11 +11,12 @@
 
 use super::{
     admission::Admitted,
-    call::CallHead,
+    call::{AttemptHead, CallHead},
     connection_pool::{EndpointConnection, SendFailure},
     refusal::{NO_ENDPOINT_WAIT, Refusal},
     relay,
     request_log::RequestTrace,
+    response_meaning::{ResponseMeaning, ResponseSigns},
     run_guard::RunGuard,
 };
 use crate::{
@@ -28,7 +29,7 @@
         },
     },
     ids::SharedName,
-    platform::ingress::{self, AttemptHead, ResponseMeaning, ResponseSigns},
+    platform::ingress,
 };
 
 /// A plain request that may be repeated is sent elsewhere after this many times its target.
--- a/src/gateway/request/call.rs
+++ b/src/gateway/request/call.rs
@@ -1,8 +1,12 @@
-//! One client's request, as the gateway handles it.
+//! One client's request as the gateway handles it, and what one attempt adds to it.
+//!
+//! The platform's adapter decodes a request's headers into these types and writes them out
+//! again for an endpoint; names on the wire stay there.
 
 use std::time::Duration;
 
 use bytes::Bytes;
+use derive_more::{Display, Error};
 use hyper::{HeaderMap, Method};
 
 use crate::ids::SharedName;
@@ -76,3 +80,41 @@
     /// Body, read to its end.
     pub body: Bytes,
 }
+
+/// What the gateway adds to one attempt.
+#[derive(Clone, Debug)]
+pub struct AttemptHead<'a> {
+    /// Endpoint that is meant; any other refuses.
+    pub endpoint: &'a str,
+    /// Account, if the request has one.
+    pub account: Option<&'a str>,
+    /// Time left until the request's deadline.
+    pub left: Option<Duration>,
+    /// Rank in the endpoint's queue; 0 is the most urgent. None for services without an engine.
+    pub priority: Option<u8>,
+    /// Last event of a resumed stream that the client already has.
+    pub last_event: Option<u64>,
+}
+
+/// Why a request's head is refused.
+#[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
+pub enum HeadError {
+    /// It carries no id.
+    #[display("no request id")]
+    NoId,
+    /// It names no host.
+    #[display("no host")]
+    NoHost,
+    /// Its length is told in two ways, or in one that nobody can rely on.
+    #[display("ambiguous length")]
+    AmbiguousLength,
+    /// Its target is no path.
+    #[display("malformed target")]
+    BadTarget,
+    /// A header that the gateway reads cannot be read.
+    #[display("malformed header {_0}")]
+    BadHeader(#[error(not(source))] &'static str),
+    /// An upgrade or tunnel is asked for.
+    #[display("method not allowed")]
+    BadMethod,
+}
--- a/src/gateway/request/refusal.rs
+++ b/src/gateway/request/refusal.rs
@@ -5,6 +5,7 @@
 use derive_more::Display;
 use hyper::{Response, StatusCode};
 
+use super::call::HeadError;
 use crate::{
     http::{LocalBody, whole_body},
     ids::SharedName,
@@ -16,7 +17,7 @@
 pub enum Refusal {
     /// Its head cannot be used.
     #[display("bad request: {_0}")]
-    BadHead(ingress::HeadError),
+    BadHead(HeadError),
     /// Its body is too long.
     #[display("body too long")]
     BodyTooLong,
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -18,6 +18,7 @@
     connection_pool::EndpointConnection,
     event_cutter::EventCutter,
     request_log::RequestTrace,
+    response_meaning::ResponseSigns,
     run_guard::RunGuard,
 };
 use crate::{
@@ -25,7 +26,7 @@
     endpoint_health::AttemptResult,
     gateway::context::GatewayContext,
     http::{BodyError, LocalBody},
-    platform::ingress::{self, ResponseSigns},
+    platform::ingress,
 };
 
 /// Longest wait for the rest of an answer that is not passed on.
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -5,11 +5,13 @@
 use hyper::StatusCode;
 use tokio::time::Instant;
 
-use super::{admission::Admitted, connection_pool::SendFailure, refusal::Refusal};
+use super::{
+    admission::Admitted, connection_pool::SendFailure, refusal::Refusal,
+    response_meaning::ResponseMeaning,
+};
 use crate::{
     gateway::{context::GatewayContext, policy::endpoint_choice::EndpointChoice},
     ids::SharedName,
-    platform::ingress::ResponseMeaning,
 };
 
 /// Trace of one request; writes its line when it ends, at the latest when it is dropped.
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -2,7 +2,6 @@
 
 use std::time::Duration;
 
-use derive_more::{Display, Error};
 use hyper::{
     HeaderMap, Method, Request, Response, StatusCode, Version,
     header::{self, HeaderName, HeaderValue},
@@ -10,7 +9,10 @@
 };
 
 use crate::{
-    gateway::request::call::{Call, CallHead, PromptPart, TokenCounts},
+    gateway::request::{
+        call::{AttemptHead, Call, CallHead, HeadError, PromptPart, TokenCounts},
+        response_meaning::{ResponseMeaning, ResponseSigns},
+    },
     ids::SharedName,
 };
 
@@ -52,29 +54,6 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Why a request's head is refused.
-#[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum HeadError {
-    /// It carries no id.
-    #[display("no request id")]
-    NoId,
-    /// It names no host.
-    #[display("no host")]
-    NoHost,
-    /// Its length is told in two ways, or in one that nobody can rely on.
-    #[display("ambiguous length")]
-    AmbiguousLength,
-    /// Its target is no path.
-    #[display("malformed target")]
-    BadTarget,
-    /// A header that the gateway reads cannot be read.
-    #[display("malformed header {_0}")]
-    BadHeader(#[error(not(source))] &'static str),
-    /// An upgrade or tunnel is asked for.
-    #[display("method not allowed")]
-    BadMethod,
-}
-
 /// Reads the head of a client's request.
 pub fn read_head(parts: Parts) -> Result<CallHead, HeadError> {
     check_framing(&parts)?;
@@ -222,21 +201,6 @@
     }
 }
 
-/// What the gateway adds to one attempt.
-#[derive(Clone, Debug)]
-pub struct AttemptHead<'a> {
-    /// Endpoint that is meant; any other refuses.
-    pub endpoint: &'a str,
-    /// Account, if the request has one.
-    pub account: Option<&'a str>,
-    /// Time that is left.
-    pub left: Option<Duration>,
-    /// Rank at the endpoint, 0 first.
-    pub priority: Option<u8>,
-    /// Last event that need not be sent again.
-    pub last_event: Option<u64>,
-}
-
 /// Builds the request of one attempt; method, path and body stay as the client sent them.
 pub fn endpoint_request<B>(call: &Call, attempt: &AttemptHead<'_>, body: B) -> Request<B> {
     let mut request = Request::new(body);
@@ -266,30 +230,6 @@
     request
 }
 
-/// What an endpoint's answer says of the request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseMeaning {
-    /// It belongs to this request, which has run.
-    Ran,
-    /// The endpoint has not run the request and never will.
-    NotRun,
-    /// Another endpoint is at this address now; the request has not run.
-    OtherEndpoint,
-    /// It belongs to another request.
-    Foreign,
-}
-
-/// What an endpoint's answer says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ResponseSigns {
-    /// Meaning for the request.
-    pub meaning: ResponseMeaning,
-    /// Time that the endpoint keeps the connection open, if told.
-    pub keep: Option<Duration>,
-    /// Whether the connection ends with this answer.
-    pub closes: bool,
-}
-
 /// Reads what an answer to the request `id` says.
 pub fn read_response<B>(id: &str, answer: &Response<B>) -> ResponseSigns {
     let headers = answer.headers();
--- a/tests/gateway/decoders.rs
+++ b/tests/gateway/decoders.rs
@@ -5,10 +5,14 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use willowarch::{
-    gateway::{configuration::RouteKind, endpoint::EndpointState},
+    gateway::{
+        configuration::RouteKind,
+        endpoint::EndpointState,
+        request::{call::HeadError, response_meaning::ResponseMeaning},
+    },
     platform::{
         configuration, endpoints,
-        ingress::{HeadError, ResponseMeaning, read_head, read_response},
+        ingress::{read_head, read_response},
         settings, store,
     },
 };
