--- /dev/null
+++ b/src/platform/ingress/endpoint.rs
@@ -0,0 +1,85 @@
+//! Writes the request of one attempt at an endpoint, and reads the response to it.
+
+use std::time::Duration;
+
+use hyper::{
+    HeaderMap, Request, Response, StatusCode,
+    header::{self, HeaderName, HeaderValue},
+};
+
+use super::headers::{
+    DEADLINE, EXPECT_INSTANCE, KEEP_ALIVE, LAST_EVENT, NOT_EXECUTED, PRIORITY, REQUEST_ID, TENANT,
+    remove_hop_headers, text,
+};
+use crate::gateway::request::{
+    call::{AttemptHead, Call},
+    response_meaning::{ResponseMeaning, ResponseSigns},
+};
+
+/// Builds the request of one attempt; method, path and body stay as the client sent them.
+pub fn endpoint_request<B>(call: &Call, attempt: &AttemptHead<'_>, body: B) -> Request<B> {
+    let mut request = Request::new(body);
+    *request.method_mut() = call.head.method.clone();
+    // Cannot fail: the target is the text of a parsed path that begins with a slash.
+    *request.uri_mut() = call.head.target.parse().unwrap_or_default();
+    let headers = request.headers_mut();
+    *headers = call.head.headers.clone();
+    let mut set = |name: HeaderName, value: String| {
+        // Names from the store with control characters cannot be sent; the endpoint then
+        // judges the request without them.
+        if let Ok(value) = HeaderValue::from_str(&value) {
+            headers.insert(name, value);
+        }
+    };
+    set(EXPECT_INSTANCE, attempt.endpoint.to_owned());
+    if let Some(account) = attempt.account {
+        set(TENANT, account.to_owned());
+    }
+    if let Some(left) = attempt.left {
+        set(DEADLINE, left.as_millis().to_string());
+    }
+    if let Some(priority) = attempt.priority {
+        set(PRIORITY, priority.to_string());
+    }
+    if let Some(last) = attempt.last_event {
+        set(LAST_EVENT, last.to_string());
+    }
+    request
+}
+
+/// Reads what a response to the request `id` says.
+pub fn read_response<B>(id: &str, response: &Response<B>) -> ResponseSigns {
+    let headers = response.headers();
+    let closes = text(headers, &header::CONNECTION).is_some_and(|value| {
+        value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"))
+    });
+    ResponseSigns { meaning: read_meaning(id, response), keep: read_keep_alive(headers), closes }
+}
+
+fn read_meaning<B>(id: &str, response: &Response<B>) -> ResponseMeaning {
+    let headers = response.headers();
+    match text(headers, &REQUEST_ID) {
+        Some(other) if other != id => ResponseMeaning::Foreign,
+        // An endpoint repeats the id in each success; failures may lack it.
+        None if response.status().is_success() => ResponseMeaning::Foreign,
+        _ if response.status() == StatusCode::MISDIRECTED_REQUEST => ResponseMeaning::OtherEndpoint,
+        _ if headers.contains_key(&NOT_EXECUTED) => ResponseMeaning::NotRun,
+        _ => ResponseMeaning::Ran,
+    }
+}
+
+fn read_keep_alive(headers: &HeaderMap) -> Option<Duration> {
+    let value = text(headers, &KEEP_ALIVE)?;
+    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    seconds.parse().ok().map(Duration::from_secs)
+}
+
+/// Head of an endpoint's response as it goes back to the client, and its body.
+pub fn client_response<B>(response: Response<B>) -> (Response<()>, B) {
+    let (mut parts, body) = response.into_parts();
+    remove_hop_headers(&mut parts.headers);
+    let mut head = Response::new(());
+    *head.status_mut() = parts.status;
+    *head.headers_mut() = parts.headers;
+    (head, body)
+}
--- /dev/null
+++ b/src/platform/ingress/headers.rs
@@ -0,0 +1,89 @@
+//! Names of the platform's headers, and which of them do not travel through the gateway.
+
+use hyper::{
+    HeaderMap,
+    header::{self, HeaderName},
+};
+
+/// Id of one client attempt; endpoints repeat it in their responses.
+pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+/// Time left until the deadline, in milliseconds.
+pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
+/// Tokens of the prompt and most tokens of the output, as `PROMPT,OUTPUT`.
+pub const TOKENS: HeaderName = HeaderName::from_static("x-token-counts");
+/// Parts of the prompt that may be cached, as `ID:TOKENS,...` with the id in hexadecimal.
+pub const PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
+/// The client's estimate of the output's tokens.
+pub const LENGTH_HINT: HeaderName = HeaderName::from_static("x-length-hint");
+/// Last event that the client already has.
+pub const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+/// Client account.
+pub const TENANT: HeaderName = HeaderName::from_static("x-tenant");
+/// Endpoint that is meant; any other one at the address refuses with 421.
+pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
+/// Rank in the endpoint's queue; 0 is the most urgent.
+pub const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
+/// An endpoint sets it on a response to a request that it has not run and never will.
+pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
+/// `timeout=SECONDS`: how long the endpoint keeps an idle connection.
+pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+
+/// Headers that the gateway sets itself, or that only a gateway may set; those of a client
+/// are dropped.
+const GATEWAY_HEADERS: [HeaderName; 8] = [
+    TENANT,
+    EXPECT_INSTANCE,
+    PRIORITY,
+    HeaderName::from_static("kv-from"),
+    HeaderName::from_static("x-kv-hold"),
+    HeaderName::from_static("x-kv-backup"),
+    HeaderName::from_static("x-pin-ms"),
+    HeaderName::from_static("kv-fetch"),
+];
+/// Headers that concern one connection only.
+const HOP_HEADERS: [HeaderName; 9] = [
+    header::CONNECTION,
+    KEEP_ALIVE,
+    header::TE,
+    header::TRAILER,
+    header::TRANSFER_ENCODING,
+    header::UPGRADE,
+    header::PROXY_AUTHENTICATE,
+    header::PROXY_AUTHORIZATION,
+    HeaderName::from_static("proxy-connection"),
+];
+
+/// Text of a header without surrounding spaces; none if absent or not ASCII.
+pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+    headers.get(name)?.to_str().ok().map(str::trim)
+}
+
+/// A client's headers without those of its connection, its key, and those that the gateway
+/// writes anew for each attempt.
+pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+    remove_hop_headers(&mut headers);
+    headers.remove(header::AUTHORIZATION);
+    headers.remove(header::CONTENT_LENGTH);
+    headers.remove(header::EXPECT);
+    headers.remove(DEADLINE);
+    for name in &GATEWAY_HEADERS {
+        headers.remove(name);
+    }
+    headers
+}
+
+/// Removes the headers of one connection, those that `Connection` names among them.
+pub fn remove_hop_headers(headers: &mut HeaderMap) {
+    let named: Vec<HeaderName> = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        // Nobody may have a message lose what identifies it.
+        .filter(|name| *name != REQUEST_ID && *name != header::HOST)
+        .collect();
+    for name in HOP_HEADERS.iter().chain(&named) {
+        headers.remove(name);
+    }
+}
--- /dev/null
+++ b/src/platform/ingress/own_response.rs
@@ -0,0 +1,46 @@
+//! Heads of the responses that the gateway makes itself.
+
+use std::time::Duration;
+
+use hyper::{
+    HeaderMap, Response, StatusCode,
+    header::{self, HeaderValue},
+};
+
+use super::headers::REQUEST_ID;
+
+/// Path at which the balancer asks for readiness.
+const READINESS_PATH: &str = "/-/readiness";
+
+/// Head of a response of the gateway's own to the request `id`.
+pub fn own_response(
+    id: Option<&str>,
+    status: StatusCode,
+    retry_after: Option<Duration>,
+) -> Response<()> {
+    let mut head = Response::new(());
+    *head.status_mut() = status;
+    let headers = head.headers_mut();
+    // The id came in as a header, so it can go out as one.
+    if let Some(id) = id.and_then(|id| HeaderValue::from_str(id).ok()) {
+        headers.insert(REQUEST_ID, id);
+    }
+    if let Some(wait) = retry_after {
+        // In seconds, with a fraction.
+        let seconds = format!("{:.3}", wait.as_secs_f64());
+        if let Ok(value) = HeaderValue::from_str(&seconds) {
+            headers.insert(header::RETRY_AFTER, value);
+        }
+    }
+    head
+}
+
+/// Marks a response as the last one of its connection.
+pub fn close_after(headers: &mut HeaderMap) {
+    headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
+}
+
+/// Whether `path` asks for readiness.
+pub fn is_readiness(path: &str) -> bool {
+    path == READINESS_PATH
+}
