--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -23,12 +23,12 @@
 
 /// Longest wait for a TCP connection.
 ///
-/// Basis: chosen, not measured: all peers are in one region, so a connection that takes
-/// longer hardly comes at all.
+/// Basis: chosen, not measured: shorter than any limit of a whole call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest time an unused connection stays open.
 ///
-/// Basis: chosen, not measured: longer than the pause between two watches (10 s).
+/// Basis: chosen, not measured: longer than any watch, so that one connection carries
+/// watch after watch.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Largest response read whole, in bytes; longer ones fail as broken.
 ///
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,6 +1,13 @@
-//! The users' platform: its names, formats and calls, translated to the gateway's types.
+//! Adapter to the users' platform: the one place that knows its names, formats and calls, and
+//! translates them to the gateway's types.
 //!
-//! Nothing here decides, and nothing outside knows the platform's names.
+//! - `settings`: the settings file of a daemon.
+//! - `store`, `cloud`: calls to the metadata store and to the cloud's API.
+//! - `configuration`, `endpoints`: objects in the store.
+//! - `ingress`: heads of requests and responses.
+//!
+//! Nothing here decides, keeps state or retries. Where a value cannot be translated without
+//! loss, the decoder's comment says what is used instead and why.
 
 pub mod cloud;
 pub mod configuration;
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -18,8 +18,8 @@
 
 /// Longest wait for a response.
 ///
-/// Basis: chosen, not measured: a call that begins at 0.7 of the shortest lease in use (3 s)
-/// must be over before another daemon may take the lease.
+/// Basis: chosen, not measured: a call that begins at 0.7 of a lease of 3 s is over before
+/// another daemon may take the lease (docs/design/platform.md).
 const CALL_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// In whose name, and under which fence, a call is made.
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,4 +1,10 @@
-//! The operators' configuration, as it lies in the store.
+//! Decodes the operators' configuration, as it lies in the store, into the gateway's types.
+//!
+//! The specs below keep the names of the wire; their units are in the names (`_ms`, `_s`,
+//! `per_s`). Unknown keys are ignored, since the platform adds some with later versions. A
+//! value of the wrong type refuses the whole configuration, so the one in use stays. A
+//! duration that is negative or too long to represent counts as zero, and one log line for
+//! each decoded configuration says so.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,6 +23,15 @@
 /// Name of the object that holds the configuration.
 pub const CONFIGURATION_NAME: &str = "main";
 
+/// Target latency of a route that names none.
+///
+/// Basis: chosen, not measured: a route without a target is judged like an interactive one.
+const DEFAULT_TARGET: Duration = Duration::from_secs(1);
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1e3;
+/// `unit` of accounts whose quota counts tokens; any other counts requests.
+const TOKEN_UNIT: &str = "tokens";
+
 #[derive(Deserialize)]
 struct ConfigurationSpec {
     version: u64,
@@ -37,17 +52,25 @@
     host: SharedName,
     path_prefix: SharedName,
     kind: KindSpec,
+    /// Longest time that the gateway holds a request, retries included; 0 sets no limit.
     timeout_ms: Option<f64>,
+    /// Time within which the first part of a response has its full worth.
     target_latency_ms: Option<f64>,
+    /// Longest pause between events of a stream that keeps it in time.
     gap_target_ms: Option<f64>,
+    /// Rank; 0 is the most urgent.
     #[serde(default)]
     priority: u8,
+    /// Goes before `traffic_split` where both are there.
     service: Option<SharedName>,
     #[serde(default)]
     traffic_split: Vec<SplitSpec>,
+    /// Most endpoints that one request may go to.
     attempts: Option<u32>,
+    /// Needs no key.
     #[serde(default)]
     public: bool,
+    /// Another endpoint may continue a broken stream after its last event.
     #[serde(default)]
     stream_resume: bool,
 }
@@ -78,17 +101,22 @@
 #[serde(rename_all = "kebab-case")]
 struct EngineSection {
     slots: u32,
+    /// Tokens that an endpoint's memory holds.
     kv_capacity: u64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct AutoscaleSection {
+    /// Fewest endpoints in each zone.
     min: u32,
+    /// Most endpoints in each zone.
     max: u32,
     #[serde(default)]
     boot_s: f64,
+    /// Price of a reclaimable endpoint as a share of the zone's price.
     spot_price: Option<f64>,
+    /// Price of an endpoint second.
     #[serde(default)]
     zone_prices: BTreeMap<SharedName, f64>,
 }
@@ -102,8 +130,11 @@
     #[serde(default)]
     priority: u8,
     unit: Option<String>,
+    /// Tokens that a request counts as which names no sizes.
     plain_tokens: Option<u64>,
+    /// Units a second; 0 or none sets no quota.
     per_s: Option<f64>,
+    /// Units that may be spent at once beyond the rate.
     burst: Option<f64>,
 }
 
@@ -116,40 +147,66 @@
     idle_timeout_ms: Option<f64>,
 }
 
+/// Converts durations and counts those that do not fit.
+#[derive(Default)]
+struct DurationReader {
+    rejected: u32,
+}
+
+impl DurationReader {
+    fn seconds(&mut self, value: f64) -> Duration {
+        Duration::try_from_secs_f64(value).unwrap_or_else(|_| {
+            self.rejected += 1;
+            Duration::ZERO
+        })
+    }
+
+    fn millis(&mut self, value: f64) -> Duration {
+        self.seconds(value / MS_PER_S)
+    }
+
+    fn log_rejected(&self, version: u64) {
+        if self.rejected > 0 {
+            let durations = self.rejected;
+            spdlog::warn!("configuration: negative or too long, read as 0", kv: { version, durations });
+        }
+    }
+}
+
 /// Decodes a configuration.
 pub fn decode(text: &[u8]) -> Result<Configuration, serde_json::Error> {
     let spec: ConfigurationSpec = serde_json::from_slice(text)?;
-    let mut configuration = Configuration::new(spec.version, limits(spec.limits.as_ref()));
+    let mut durations = DurationReader::default();
+    let limits = to_limits(spec.limits.as_ref(), &mut durations);
+    let mut configuration = Configuration::new(spec.version, limits);
     for route in spec.routes {
-        configuration.add_route(to_route(route));
+        configuration.add_route(to_route(route, &mut durations));
     }
     for service in spec.services {
-        configuration.add_service(to_service(service));
+        configuration.add_service(to_service(service, &mut durations));
     }
     for tenant in spec.tenants {
         let keys = tenant.api_keys.clone();
         configuration.add_account(to_account(tenant), keys);
     }
+    durations.log_rejected(spec.version);
     Ok(configuration)
 }
 
-fn millis(value: f64) -> Duration {
-    Duration::try_from_secs_f64(value / 1e3).unwrap_or_default()
-}
-
-fn limits(spec: Option<&LimitsSpec>) -> ClientLimits {
+fn to_limits(spec: Option<&LimitsSpec>, durations: &mut DurationReader) -> ClientLimits {
     let default = ClientLimits::default();
     let Some(spec) = spec else { return default };
     ClientLimits {
         head_bytes: spec.max_header_bytes.unwrap_or(default.head_bytes),
         body_bytes: spec.max_body_bytes.unwrap_or(default.body_bytes),
-        head_time: spec.header_timeout_ms.map_or(default.head_time, millis),
-        idle_time: spec.idle_timeout_ms.map_or(default.idle_time, millis),
+        head_time: spec
+            .header_timeout_ms
+            .map_or(default.head_time, |value| durations.millis(value)),
+        idle_time: spec.idle_timeout_ms.map_or(default.idle_time, |value| durations.millis(value)),
     }
 }
 
-fn to_route(spec: RouteSpec) -> Route {
-    const DEFAULT_TARGET: Duration = Duration::from_secs(1);
+fn to_route(spec: RouteSpec, durations: &mut DurationReader) -> Route {
     let mut split: Vec<(SharedName, u32)> =
         spec.traffic_split.into_iter().map(|part| (part.service, part.weight)).collect();
     if let Some(service) = spec.service {
@@ -165,9 +222,9 @@
         host: spec.host,
         prefix: spec.path_prefix,
         kind,
-        limit: spec.timeout_ms.filter(|value| *value > 0.0).map(millis),
-        target: spec.target_latency_ms.map_or(DEFAULT_TARGET, millis),
-        gap_target: spec.gap_target_ms.map(millis),
+        limit: spec.timeout_ms.filter(|value| *value > 0.0).map(|value| durations.millis(value)),
+        target: spec.target_latency_ms.map_or(DEFAULT_TARGET, |value| durations.millis(value)),
+        gap_target: spec.gap_target_ms.map(|value| durations.millis(value)),
         priority: spec.priority,
         split,
         attempts: spec.attempts.unwrap_or(1).max(1),
@@ -175,14 +232,14 @@
     }
 }
 
-fn to_service(spec: ServiceSpec) -> Service {
+fn to_service(spec: ServiceSpec, durations: &mut DurationReader) -> Service {
     let engine = spec
         .engine
         .map(|engine| EngineSpec { slots: engine.slots.max(1), memory_tokens: engine.kv_capacity });
     let fleet = spec.autoscale.map(|fleet| FleetSpec {
         least: fleet.min,
         most: fleet.max.max(fleet.min),
-        start_time: Duration::try_from_secs_f64(fleet.boot_s).unwrap_or_default(),
+        start_time: durations.seconds(fleet.boot_s),
         reclaimable_price: fleet.spot_price,
         zone_prices: fleet.zone_prices.into_iter().collect(),
     });
@@ -193,7 +250,7 @@
     let quota = AccountQuota {
         rate: spec.per_s.filter(|rate| *rate > 0.0),
         burst: spec.burst.unwrap_or(0.0).max(0.0),
-        in_tokens: spec.unit.as_deref() == Some("tokens"),
+        in_tokens: spec.unit.as_deref() == Some(TOKEN_UNIT),
         plain_tokens: spec.plain_tokens.unwrap_or(1),
     };
     Account { name: spec.name, priority: spec.priority, quota }
--- a/src/platform/endpoints.rs
+++ b/src/platform/endpoints.rs
@@ -1,4 +1,5 @@
-//! Entries that endpoints keep in the store.
+//! Decodes the entries that endpoints keep of themselves in the store. Keys that the gateway
+//! does not use (`version`, `cold-left-ms`, `seq`) are ignored.
 
 use std::net::SocketAddr;
 
@@ -21,7 +22,9 @@
     zone: SharedName,
     #[serde(default)]
     slots: u32,
+    /// `draining`, or anything else for an endpoint that takes requests.
     state: Option<String>,
+    /// Whether the cloud may reclaim its VM.
     #[serde(default)]
     use_spot: bool,
 }
@@ -31,6 +34,8 @@
     let spec: EndpointSpec = serde_json::from_slice(text)?;
     let state = match spec.state.as_deref() {
         Some("draining") => EndpointState::Draining,
+        // A state that we do not know must not take a working endpoint out of use; one that
+        // does not want a request refuses it as not run.
         _ => EndpointState::Ready,
     };
     Ok(EndpointRecord {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,5 @@
-//! The platform's settings file.
+//! Parses the platform's settings file into the gateway's settings. Unknown keys are ignored;
+//! a bound that is not above 0, or a missing address, is an error that names its key.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,8 +13,17 @@
 
 /// Environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "WILLOWARCH_BOOT";
-/// Port at which metrics are read, on the daemon's own address.
+/// Port at which metrics are read where `port-range` names none, on the address at which
+/// peers connect.
+///
+/// Basis: chosen, not measured; deployments give a range.
 const METRICS_PORT: u16 = 7699;
+/// Bounds in the file are below this, in their own unit.
+///
+/// Basis: chosen, not measured: 30 years in seconds, and far from what a duration can hold.
+const BOUND_LIMIT: f64 = 1e9;
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1e3;
 
 /// Settings that cannot be used.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
@@ -36,6 +46,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct SettingsFile {
+    /// Name of the VM.
     node: SharedName,
     zone: SharedName,
     listen: ListenSection,
@@ -44,6 +55,7 @@
     #[serde(default)]
     port_range: Vec<u16>,
     bounds: BoundsSection,
+    /// The metadata store.
     platform: AddressSection,
     #[serde(default)]
     cloud_api: Option<CloudSection>,
@@ -51,8 +63,11 @@
 
 #[derive(Deserialize)]
 struct ListenSection {
+    /// For clients.
     front: SocketAddr,
+    /// For the balancer.
     readiness: SocketAddr,
+    /// For other daemons.
     control: SocketAddr,
 }
 
@@ -64,6 +79,7 @@
 #[derive(Deserialize)]
 struct CloudSection {
     address: SocketAddr,
+    /// Leader tasks that the cloud expects.
     #[serde(default)]
     duties: Vec<String>,
 }
@@ -71,18 +87,29 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 struct BoundsSection {
+    /// A planned stop ends after this time.
     grace_s: f64,
+    /// Whether keys without a recent freshness proof are refused; see `revoke_ms`.
     strict_revoke: bool,
+    /// Longest time that a revoked key may still be used.
     revoke_ms: f64,
+    /// Retries allowed as a share of requests.
     retry_ratio: f64,
+    /// Time over which retries are counted.
     retry_window_s: f64,
+    /// Retries allowed beyond the share.
     retry_slack: f64,
+    /// Length of the leader lease.
     lease_ms: f64,
+    /// Share by which a quota may be exceeded over all daemons.
     quota_overage: f64,
+    /// Units by which a quota may be exceeded beyond that.
     quota_slack: f64,
+    /// Length of a usage report's window.
     report_window_s: f64,
 }
 
+/// For keys that a file leaves out.
 impl Default for BoundsSection {
     fn default() -> Self {
         Self {
@@ -100,7 +127,7 @@
     }
 }
 
-/// Reads the text of a settings file.
+/// Parses the text of a settings file.
 pub fn parse(text: &str) -> Result<GatewaySettings, SettingsError> {
     let file: SettingsFile =
         serde_json::from_str(text).map_err(|error| SettingsError::Malformed(error.to_string()))?;
@@ -119,31 +146,36 @@
         seeds: file.seeds,
         store_address: file.platform.address,
         cloud_address: file.cloud_api.as_ref().map(|cloud| cloud.address),
-        duties: duties.filter_map(|name| duty_kind(name)).collect(),
+        duties: duties.filter_map(|name| leader_task(name)).collect(),
         bounds,
     })
 }
 
-fn duty_kind(name: &str) -> Option<LeaderTask> {
+/// Task of a name; one that this version does not know is left to a later one.
+fn leader_task(name: &str) -> Option<LeaderTask> {
     match name {
         "metering" => Some(LeaderTask::UsageReports),
         "autoscale" => Some(LeaderTask::EndpointOrders),
-        _ => None,
+        unknown => {
+            spdlog::warn!("settings: unknown leader task ignored", kv: { task = unknown });
+            None
+        }
     }
 }
 
 fn check_bounds(section: &BoundsSection) -> Result<ServiceBounds, SettingsError> {
     let revoke = positive("bounds.revoke-ms", section.revoke_ms)?;
     Ok(ServiceBounds {
-        key_freshness: section.strict_revoke.then(|| Duration::from_secs_f64(revoke / 1e3)),
+        key_freshness: section.strict_revoke.then(|| Duration::from_secs_f64(revoke / MS_PER_S)),
         stop_grace: Duration::from_secs_f64(positive("bounds.grace-s", section.grace_s)?),
+        // Negative shares and reserves mean none.
         retry_share: section.retry_ratio.max(0.0),
         retry_reserve: section.retry_slack.max(0.0),
         retry_window: Duration::from_secs_f64(positive(
             "bounds.retry-window-s",
             section.retry_window_s,
         )?),
-        lease: Duration::from_secs_f64(positive("bounds.lease-ms", section.lease_ms)? / 1e3),
+        lease: Duration::from_secs_f64(positive("bounds.lease-ms", section.lease_ms)? / MS_PER_S),
         quota_overage: section.quota_overage.max(0.0),
         quota_slack: section.quota_slack.max(0.0),
         usage_window: Duration::from_secs_f64(positive(
@@ -154,8 +186,7 @@
 }
 
 fn positive(key: &'static str, value: f64) -> Result<f64, SettingsError> {
-    const LARGEST: f64 = 1e9;
-    if value > 0.0 && value < LARGEST {
+    if value > 0.0 && value < BOUND_LIMIT {
         return Ok(value);
     }
     Err(SettingsError::NotAllowed { key, value: value.to_string(), allowed: "above 0" })
