--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,12 +1,18 @@
-//! Waits that a pause of this process does not end too early.
+//! Waits that a pause of this process (a frozen VM, a starved core) does not end too early.
+//! Used for every call whose late response is still worth having.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// A wait that ends this much too late was overtaken by a pause of the process.
+///
+/// Basis: chosen, not measured; with it a holder frozen beyond its time limit hands over the
+/// response that had already arrived (commit bc64275).
 const PAUSE_SIGN: Duration = Duration::from_millis(200);
 /// What arrived during a pause gets this time to be read after it.
+///
+/// Basis: chosen, not measured; see `PAUSE_SIGN`.
 const AFTER_PAUSE: Duration = Duration::from_millis(500);
 
 /// The wait is over.
@@ -15,9 +21,9 @@
 
 /// Waits at most `limit` for `future`.
 ///
-/// If the process was paused (a frozen VM), the limit has passed when it goes on, but the
-/// answer may have arrived meanwhile and only waits to be read: then it gets a little
-/// longer, so that work that was done is not given up.
+/// If the process was paused, the limit has passed when it goes on, but the response may have
+/// arrived meanwhile and only wait to be read. The wait is then extended by `AFTER_PAUSE`;
+/// without that, work that was done would be reported as unknown.
 pub async fn wait_at_most<F: Future>(limit: Duration, future: F) -> Result<F::Output, WaitOver> {
     let deadline = Instant::now() + limit;
     tokio::pin!(future);
--- a/src/counting.rs
+++ b/src/counting.rs
@@ -1,4 +1,4 @@
-//! Counts of what is open or in progress.
+//! Counts of what is open or in progress on one thread: connections, requests.
 
 use std::{cell::Cell, rc::Rc};
 
--- a/src/endpoint_health.rs
+++ b/src/endpoint_health.rs
@@ -1,25 +1,39 @@
-//! Health of an endpoint: ejection after repeated failures, probes to recover.
+//! Decides whether an endpoint may be given requests, from the results of earlier attempts at
+//! it alone: ejection after failures in a row, then one probe at a time until one succeeds.
+//!
+//! Both paths keep one `EndpointHealth` for each endpoint (`native::decide::routing`,
+//! `gateway::policy::endpoint_choice`). An endpoint without results counts as healthy; results
+//! are not shared between daemons.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 /// Failures in a row after which an endpoint is ejected.
+///
+/// Basis: chosen, not measured; part of the retry rules in docs/measurements/README.md.
 const FAILURES_TO_EJECT: u32 = 3;
 /// First ejection; each further one without a success in between is twice as long.
+///
+/// Basis: chosen, not measured.
 const EJECT_FIRST: Duration = Duration::from_secs(1);
 /// Longest ejection.
+///
+/// Basis: chosen, not measured: a recovered endpoint gets requests again within it.
 const EJECT_LONGEST: Duration = Duration::from_secs(30);
+/// Most doublings; the ejection has reached `EJECT_LONGEST` long before.
+///
+/// Basis: keeps the power of two within 32 bits.
+const DOUBLING_LIMIT: u32 = 8;
 
-/// How an attempt ended, as far as the endpoint's health goes.
+/// What the end of an attempt says about the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// It answered.
+    /// The endpoint responded.
     Succeeded,
     /// It failed, broke or timed out.
     Failed,
-    /// It refused before starting, or the daemon ended the attempt by its own choice:
-    /// says nothing about health.
+    /// Nothing: the endpoint refused before starting, or the daemon ended the attempt.
     Neutral,
 }
 
@@ -28,7 +42,7 @@
 pub enum HealthState {
     /// Takes requests.
     Healthy,
-    /// Ejected; one request may go to it as a probe.
+    /// The ejection is over; one request may go to it as a probe.
     Probing,
     /// Ejected for now.
     Ejected,
@@ -63,7 +77,7 @@
         self.probing = true;
     }
 
-    /// Takes note of a finished attempt.
+    /// Records a finished attempt. A failed probe ejects at once.
     pub fn record(&mut self, result: AttemptResult, now: Instant) {
         let probed = std::mem::take(&mut self.probing);
         match result {
@@ -79,7 +93,7 @@
     }
 
     fn eject(&mut self, now: Instant) {
-        let doublings = self.ejections.min(8);
+        let doublings = self.ejections.min(DOUBLING_LIMIT);
         let pause = (EJECT_FIRST * 2_u32.pow(doublings)).min(EJECT_LONGEST);
         self.ejections += 1;
         self.failures = 0;
--- a/src/errors.rs
+++ b/src/errors.rs
@@ -1,4 +1,5 @@
-//! Errors carry the step and the peer at which they arose.
+//! Errors of calls to other processes: the step, the peer and the cause. The cause tells
+//! whether the other side may have acted, which decides whether a call may be retried.
 
 use derive_more::{Display, Error};
 
@@ -10,16 +11,16 @@
     /// No connection could be made: nothing was sent.
     #[display("connection refused: {_0}")]
     Unreachable(#[error(not(source))] String),
-    /// The peer did not answer in time; it may have acted.
+    /// No response in time, in milliseconds; the peer may have acted.
     #[display("no answer within {_0} ms")]
     TimedOut(#[error(not(source))] u64),
-    /// The connection broke after the request was begun.
+    /// The connection broke after the request was begun; the peer may have acted.
     #[display("connection broke: {_0}")]
     Broken(#[error(not(source))] String),
-    /// The peer answered with a status that means failure.
+    /// The peer responded with a status that means failure.
     #[display("answered status {_0}")]
     Status(#[error(not(source))] u16),
-    /// The peer's answer could not be decoded.
+    /// The peer's response could not be decoded, or the request not be encoded.
     #[display("malformed answer: {_0}")]
     Malformed(#[error(not(source))] String),
     /// A conditional write lost against another.
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -23,7 +23,7 @@
 
 /// Longest wait for a TCP connection.
 ///
-/// Basis: chosen, not measured: shorter than any limit of a whole call.
+/// Basis: chosen, not measured: as long as the shortest limit of a whole call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest time an unused connection stays open.
 ///
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,9 @@
-//! Server loop: accepts connections and answers each request with a handler.
+//! Server loop: accepts connections and responds to each request with a handler.
+//!
+//! The native interface, the operators' and metrics ports of both paths and the stand-ins use
+//! it; the gateway's own client port needs control over single connections and has its own
+//! loop (`gateway::request::client_listener`). Everything runs on the thread of the caller's
+//! `LocalSet`.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,6 +12,7 @@
 use tokio::{
     net::{TcpListener, TcpStream},
     sync::watch,
+    time::Instant,
 };
 
 use super::ResponseBody;
@@ -14,16 +20,33 @@
     counting::OpenCount,
     errors::{FailureCause, StepError},
     kernel::LifePhase,
+    logs::LineBudget,
 };
 
-/// Longest time a caller may take to send a request head.
+/// Longest time a client may take to send a request head.
+///
+/// Basis: chosen, not measured: slow networks pass, a client that sends nothing does not hold
+/// its connection for long.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 /// Largest request head, in bytes.
+///
+/// Basis: chosen, not measured.
 const HEAD_LIMIT: usize = 32 * 1024;
-/// Most connections open at once; more wait in the listen queue.
+/// Most connections open at once; further ones are closed as soon as they are accepted.
+///
+/// Basis: chosen, not measured: bounds the memory and the descriptors that clients can take.
 const CONNECTION_LIMIT: usize = 8_192;
+/// Pause after a failed accept. The usual cause is a lack of descriptors, which lasts: without
+/// a pause the loop would take the whole core.
+///
+/// Basis: chosen, not measured.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Log lines a second about failed accepts.
+///
+/// Basis: chosen, not measured: one tells an operator all there is to know.
+const ACCEPT_LINES: u32 = 1;
 
-/// Marker on an answer: close the connection instead of sending it.
+/// Marker on a response: close the connection instead of sending it.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseConnection;
 
@@ -35,27 +58,32 @@
     })
 }
 
-/// Accepts connections and hands each to `take`, until the phase is `Stopping`.
+/// Accepts connections and hands each to `start`, until the phase is `Stopping`.
 pub async fn accept_each(
     listener: TcpListener,
     mut phase: watch::Receiver<LifePhase>,
-    mut take: impl FnMut(TcpStream),
+    mut start: impl FnMut(TcpStream),
 ) {
+    let mut failure_lines = LineBudget::new(ACCEPT_LINES, Instant::now());
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             _ = phase.wait_for(|phase| *phase == LifePhase::Stopping) => return,
         };
         match accepted {
-            Ok((stream, _)) => take(stream),
-            // NOTE: out of descriptors; accepting again at once would spin.
-            Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
+            Ok((stream, _)) => start(stream),
+            Err(error) => {
+                if failure_lines.allows(Instant::now()) {
+                    spdlog::warn!("accept failed", kv: { error: });
+                }
+                tokio::time::sleep(ACCEPT_PAUSE).await;
+            }
         }
     }
 }
 
 /// Serves `listener` until the phase is `Stopping`; while draining, connections close
-/// after the answer in progress.
+/// after the response in progress.
 pub async fn serve<H, F>(listener: TcpListener, phase: watch::Receiver<LifePhase>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -67,6 +95,7 @@
         if open.get() >= CONNECTION_LIMIT {
             return;
         }
+        // Fails only on a socket that is already broken, which the connection then sees.
         let _ = stream.set_nodelay(true);
         let guard = open.enter();
         let connection = serve_connection(stream, connections.clone(), handler.clone());
@@ -87,12 +116,12 @@
     F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let service = service_fn(move |request| {
-        let answer = handler(request);
+        let response = handler(request);
         async move {
-            let answer = answer.await;
-            match answer.extensions().get::<CloseConnection>() {
-                Some(_) => Err(std::io::Error::other("closed instead of answering")),
-                None => Ok(answer),
+            let response = response.await;
+            match response.extensions().get::<CloseConnection>() {
+                Some(_) => Err(std::io::Error::other("closed instead of responding")),
+                None => Ok(response),
             }
         }
     });
@@ -100,6 +129,7 @@
     builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(HEAD_LIMIT);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
+    // A connection that breaks concerns its client only, who sees it too.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = phase.wait_for(|phase| *phase >= LifePhase::Draining) => {}
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -3,11 +3,7 @@
 //! Names are shared immutable strings (`Arc<str>`), so that copying one into an
 //! event, a table snapshot or a message costs a reference count.
 
-use std::{
-    fmt,
-    sync::Arc,
-    time::{SystemTime, UNIX_EPOCH},
-};
+use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
@@ -21,14 +17,15 @@
 
 impl IncarnationId {
     /// Number of random low bits that tell apart two starts in one millisecond.
+    ///
+    /// Basis: chosen, not measured: a million values, and milliseconds fit above them until
+    /// the year 2500.
     const RANDOM_BITS: u32 = 20;
 
     /// New number from the wall clock (milliseconds) and random low bits.
     pub fn generate() -> Self {
-        let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let millis = elapsed.as_millis() as u64;
         let noise: u64 = rand::random();
-        Self(millis << Self::RANDOM_BITS | noise >> (u64::BITS - Self::RANDOM_BITS))
+        Self(crate::wall_clock_ms() << Self::RANDOM_BITS | noise >> (u64::BITS - Self::RANDOM_BITS))
     }
 }
 
@@ -38,12 +35,12 @@
     }
 }
 
-/// A request as its caller names it; keys are scoped to the client account.
+/// A request as its client names it; keys are scoped to the client account.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestName {
     /// Client account that sent the request.
     pub account: SharedName,
-    /// `Idempotency-Key` of the caller, or one made by the daemon.
+    /// `Idempotency-Key` of the client, or one made by the daemon.
     pub key: SharedName,
 }
 
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -1,5 +1,5 @@
-//! Micro-kernel: starts services, lets them find each other by name, drains and
-//! stops them.
+//! Starts the services of a daemon, lets them find each other by name, drains and stops them.
+//! Both paths run on it.
 //!
 //! A service is a task on the process's one runtime thread that owns its state and
 //! reads typed messages from its inbox. A service that ends before the kernel has
@@ -15,6 +15,8 @@
 };
 
 /// Messages that may wait in one inbox before senders are told it is full.
+///
+/// Basis: chosen, not measured: bounds the memory of a service that falls behind.
 const INBOX_CAPACITY: usize = 16_384;
 
 /// Name under which a service is found.
@@ -23,12 +25,12 @@
 /// Receiving end of a service's mailbox.
 pub type ServiceInbox<M> = mpsc::Receiver<M>;
 
-/// Where the daemon stands on its way out.
+/// Phase of the daemon's life; it only moves forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LifePhase {
     /// Serves.
     Running,
-    /// Takes nothing new, finishes what it has.
+    /// Accepts nothing new, finishes what is in progress.
     Draining,
     /// Everything ends now.
     Stopping,
@@ -80,9 +82,9 @@
         &self,
         make: impl FnOnce(tokio::sync::oneshot::Sender<R>) -> M,
     ) -> Result<R, SendError> {
-        let (reply, answer) = tokio::sync::oneshot::channel();
+        let (reply, response) = tokio::sync::oneshot::channel();
         self.send(make(reply))?;
-        answer.await.map_err(|_| SendError::Ended(self.name))
+        response.await.map_err(|_| SendError::Ended(self.name))
     }
 }
 
@@ -141,7 +143,7 @@
         let handle = tokio::task::spawn_local(task);
         tokio::task::spawn_local(async move {
             if handle.await.is_err_and(|error| error.is_panic()) {
-                // NOTE: the kernel may already be gone; then there is nobody to tell.
+                // Fails only when the kernel has already ended, and the daemon with it.
                 let _ = failures.send(format!("{name} (child task)"));
             }
         });
@@ -204,7 +206,7 @@
             tokio::select! {
                 ended = self.tasks.join_next_with_id() => match ended {
                     None => return KernelExit::Stopped,
-                    Some(result) => if let Some(exit) = self.judge(result) { return exit },
+                    Some(result) => if let Some(exit) = self.exit_after(result) { return exit },
                 },
                 Some(name) = self.failures.recv() => return KernelExit::Panicked(name),
                 _ = phase.wait_for(|phase| *phase == LifePhase::Stopping) => {
@@ -215,7 +217,8 @@
         }
     }
 
-    fn judge(
+    /// Whether the end of a service ends the daemon, and how.
+    fn exit_after(
         &self,
         result: Result<(tokio::task::Id, ServiceName), JoinError>,
     ) -> Option<KernelExit> {
@@ -228,6 +231,7 @@
                 let name = self.names.get(&error.id()).copied().unwrap_or("unnamed");
                 Some(KernelExit::Panicked(name.to_owned()))
             }
+            // Aborted, which only the kernel itself does while it stops.
             Err(_) => None,
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,13 @@
 //! Willowarch: a serving system on reclaimable VMs.
 //!
-//! Entry daemons (`willowarchd`) accept callers' requests, choose endpoints, and hold
-//! and release VMs, all steered by one table that operators edit. docs/architecture.md
-//! has the picture.
+//! Entry daemons (`willowarchd`) accept clients' requests, choose endpoints, and hold and
+//! release VMs. They run on one of two paths, which share the modules beside them:
+//!
+//! - [`gateway`], started with `--gateway`, on the users' platform, which [`platform`] adapts;
+//! - [`native`], the product's own interface, steered by one table that operators edit.
+//!
+//! [`control`] is the operators' tool, [`standin`] what stands in for the outside of the
+//! native interface in tests and examples. docs/architecture.md has the picture.
 
 pub mod clock;
 pub mod control;
@@ -36,5 +41,6 @@
 /// platform dates, never for ordering.
 pub fn wall_clock_ms() -> u64 {
     let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    // A clock before 1970 counts as 1970.
     elapsed.unwrap_or_default().as_millis() as u64
 }
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,5 @@
-//! Structured logs: one JSON object a line.
+//! Structured logs, one JSON object a line: the gateway's to standard output, the native
+//! interface's to standard error. `LineBudget` bounds lines whose number clients decide.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,11 +13,13 @@
 use crate::native::options::settings::LogLevel;
 
 /// Lines that wait to be written; more are dropped.
+///
+/// Basis: chosen, not measured: ten seconds of request lines at their own bound (400/s).
 const WAITING_LINES: usize = 4_096;
 
 /// Sends the process's logs to standard output as JSON lines. A thread of its own writes
-/// them, so that a reader who stops reading holds nothing up; lines beyond those that may
-/// wait are dropped.
+/// them, so that a reader that stops reading does not block the daemon; lines beyond
+/// `WAITING_LINES` are dropped.
 pub fn set_up_stdout() -> Result<(), spdlog::Error> {
     let stream = StdStreamSink::builder()
         .std_stream(StdStream::Stdout)
@@ -40,28 +43,33 @@
     spdlog::default_logger().flush();
 }
 
+/// How long a budget lasts before it is full again.
+///
+/// Basis: budgets are given in lines a second.
+const BUDGET_PERIOD: Duration = Duration::from_secs(1);
+
 /// Number of lines of a kind that may be written in a second; the rest is counted.
 #[derive(Debug)]
 pub struct LineBudget {
-    a_second: u32,
+    lines_per_s: u32,
     second_began: Instant,
     written: u32,
     dropped: u64,
 }
 
 impl LineBudget {
-    /// Budget of so many lines a second.
-    pub fn new(a_second: u32, now: Instant) -> Self {
-        Self { a_second, second_began: now, written: 0, dropped: 0 }
+    /// Budget of `lines_per_s`.
+    pub fn new(lines_per_s: u32, now: Instant) -> Self {
+        Self { lines_per_s, second_began: now, written: 0, dropped: 0 }
     }
 
     /// Whether a line may be written now.
     pub fn allows(&mut self, now: Instant) -> bool {
-        if now.saturating_duration_since(self.second_began) >= Duration::from_secs(1) {
+        if now.saturating_duration_since(self.second_began) >= BUDGET_PERIOD {
             self.second_began = now;
             self.written = 0;
         }
-        let allowed = self.written < self.a_second;
+        let allowed = self.written < self.lines_per_s;
         match allowed {
             true => self.written += 1,
             false => self.dropped += 1,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters, gauges and histograms, shown in the usual text format.
+//! Counters, gauges and histograms of one daemon, rendered in Prometheus' text format. Both
+//! paths use it; names get the prefix `willowarch_`. Updates cannot fail and touch no I/O.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write, rc::Rc, time::Duration};
 
@@ -6,8 +7,14 @@
 
 /// Quantiles shown of each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
-/// Significant digits kept.
+/// Significant digits kept in histograms.
+///
+/// Basis: chosen, not measured: quantiles within 1%.
 const PRECISION: u8 = 2;
+/// Longest duration told apart in histograms, in microseconds: an hour.
+///
+/// Basis: chosen, not measured: longer than any request; longer durations count as this.
+const HIGHEST_US: u64 = 3_600_000_000;
 
 #[derive(Debug, Default)]
 struct MetricsState {
@@ -55,7 +62,7 @@
     pub fn render(&self) -> String {
         let state = self.state.borrow();
         let mut text = String::new();
-        // NOTE: writing to a string cannot fail.
+        // Writing to a string cannot fail.
         for (name, value) in &state.counters {
             let _ = writeln!(text, "willowarch_{name} {value}");
         }
@@ -74,7 +81,6 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    const HIGHEST_US: u64 = 3_600_000_000;
-    // NOTE: the arguments are constants within the allowed bounds.
+    // The arguments are constants within the allowed bounds.
     Histogram::new_with_max(HIGHEST_US, PRECISION).expect("constant histogram bounds")
 }
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -25,7 +25,7 @@
 
 /// Target latency of a route that names none.
 ///
-/// Basis: chosen, not measured: a route without a target is judged like an interactive one.
+/// Basis: chosen, not measured.
 const DEFAULT_TARGET: Duration = Duration::from_secs(1);
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
--- a/src/rpc_transport.rs
+++ b/src/rpc_transport.rs
@@ -1,4 +1,5 @@
-//! Cap'n Proto RPC over one TCP connection, with its bytes counted.
+//! Cap'n Proto RPC over one TCP connection, with its bytes counted: for the native peers
+//! (schema/peer.capnp) and for the gateway's gossip (schema/exchange.capnp).
 
 use std::{
     cell::Cell,
@@ -31,7 +32,7 @@
     }
 }
 
-/// One half of a connection.
+/// One half of a connection; adds what passes through it to the counter.
 struct CountedHalf<T> {
     inner: T,
     counter: TrafficCounter,
@@ -76,7 +77,7 @@
     bootstrap: Option<capnp::capability::Client>,
     counter: &TrafficCounter,
 ) -> RpcSystem<Side> {
-    // NOTE: fails only on a socket that is already broken, which the RPC system sees.
+    // Fails only on a socket that is already broken, which the RPC system sees.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     let reader = CountedHalf { inner: reader.compat(), counter: counter.clone() };
