--- a/src/control/declaration.rs
+++ b/src/control/declaration.rs
@@ -12,7 +12,7 @@
 use crate::native::options::rows::{TableRow, parse_table};
 
 /// Field that holds the mark.
-const MARK: &str = "applied";
+pub const MARK: &str = "applied";
 
 /// What applying a declaration does to one row.
 #[derive(Clone, Debug, PartialEq, Serialize)]
