--- a/src/control/calls.rs
+++ b/src/control/calls.rs
@@ -1,19 +1,22 @@
-//! Blocking calls to the object API and to daemons' operators' ports.
+//! Blocking calls to the object API and to daemons' operators' ports, over `ureq`: the tool
+//! asks one thing at a time and needs no runtime. The daemons' own client is
+//! `http::client`; errors are the same.
 
 use std::{net::SocketAddr, time::Duration};
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
+use ureq::http::StatusCode;
 
 use crate::{
     errors::{FailureCause, StepError},
     native::cloud_api::messages::{ObjectEntry, ObjectList, WriteReceipt},
 };
 
-/// Longest wait for an answer.
+/// Longest wait for a response, in which an operator may watch the tool do nothing.
+///
+/// Basis: chosen, not measured.
 const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// Status of a conditional write that lost.
-const PRECONDITION_FAILED: u16 = 412;
 
 /// Client for the tool's calls.
 #[derive(Clone, Debug)]
@@ -36,18 +39,19 @@
 fn decode<T: DeserializeOwned>(
     step: &'static str,
     peer: SocketAddr,
-    answer: CallResult,
+    result: CallResult,
 ) -> Result<T, StepError> {
     let error = |cause| StepError::new(step, peer.to_string(), cause);
-    let mut answer = answer.map_err(|cause| error(to_cause(&cause)))?;
-    let status = answer.status().as_u16();
-    if status == PRECONDITION_FAILED {
+    let mut response = result.map_err(|cause| error(to_cause(&cause)))?;
+    let status = response.status();
+    // A conditional write lost against another.
+    if status == StatusCode::PRECONDITION_FAILED {
         return Err(error(FailureCause::Conflict));
     }
-    if !answer.status().is_success() {
-        return Err(error(FailureCause::Status(status)));
+    if !status.is_success() {
+        return Err(error(FailureCause::Status(status.as_u16())));
     }
-    let body = answer.body_mut().read_to_vec();
+    let body = response.body_mut().read_to_vec();
     let body = body.map_err(|cause| error(FailureCause::Broken(cause.to_string())))?;
     serde_json::from_slice(&body).map_err(|cause| error(FailureCause::Malformed(cause.to_string())))
 }
@@ -96,7 +100,8 @@
         self.get("list objects", api, &format!("/objects/{kind}"))
     }
 
-    /// Writes (`Some`) or deletes an object that is at `version`; 0 means absent.
+    /// Writes (`Some`) or deletes an object that is at `version`; 0 means absent. Fails with
+    /// `FailureCause::Conflict` if it is at another one.
     pub fn write(
         &self,
         api: SocketAddr,
@@ -106,7 +111,7 @@
         version: u64,
     ) -> Result<WriteReceipt, StepError> {
         let url = format!("http://{api}/objects/{kind}/{name}");
-        let answer = match value {
+        let result = match value {
             None => self.agent.delete(url).header("if-match", version.to_string()).call(),
             Some(value) => {
                 let request = self.agent.put(url).header("content-type", "application/json");
@@ -117,6 +122,6 @@
                 request.send(value.to_string())
             }
         };
-        decode("write object", api, answer)
+        decode("write object", api, result)
     }
 }
--- a/src/control/declaration.rs
+++ b/src/control/declaration.rs
@@ -1,4 +1,5 @@
-//! Declarations: the table as a JSON file under version control.
+//! Declarations: the table as a JSON file under version control, compared with the table and
+//! applied to it.
 //!
 //! Each row that is applied carries a mark: the digest of what was applied. A row whose
 //! content no longer matches its mark was changed by somebody else since, and applying
@@ -59,6 +60,7 @@
 
 /// Row with all defaults filled in, so that rows compare by meaning.
 fn normal_form(row: &TableRow) -> Value {
+    // Cannot fail: a row has only text, numbers and flags.
     serde_json::to_value(row).unwrap_or_default()
 }
 
@@ -76,6 +78,7 @@
         let change = match found.map(|index| current.swap_remove(index)) {
             None => RowChange::Create { name, to },
             Some(entry) => {
+                // A list holds no deleted rows; one would count as changed since.
                 let value = entry.value.unwrap_or_default();
                 let from = plain_row(&value);
                 if from == to {
--- a/src/control/gateway.rs
+++ b/src/control/gateway.rs
@@ -1,4 +1,5 @@
-//! What `willowctl gateway` does: state of daemons, checks of files, traces from logs.
+//! Views of gateway daemons and checks of their files: state, traces from logs, settings,
+//! configuration.
 
 use std::net::SocketAddr;
 
@@ -66,7 +67,8 @@
     let lines = logs.iter().flat_map(|text| text.lines());
     let mut found: Vec<Value> = lines
         .filter(|line| line.contains(id))
-        // NOTE: whatever stands before the object (a host, a time) is the collector's.
+        // Log collectors may put a host or a time before the object. Lines that are no JSON
+        // are not ours.
         .filter_map(|line| serde_json::from_str(&line[line.find('{')?..]).ok())
         .filter(|line: &Value| line["kv"]["id"] == id)
         .collect();
--- a/src/control/spreadsheet.rs
+++ b/src/control/spreadsheet.rs
@@ -1,4 +1,5 @@
-//! The table as a spreadsheet file (CSV): out, edited, and in again row by row.
+//! The table as a spreadsheet file (CSV): written out, edited by an operator, and read in
+//! again row by row, each on condition that it still has the version it was written with.
 
 use std::path::Path;
 
@@ -9,6 +10,10 @@
 
 /// Column that holds the version a row had when it was written out; 0 for new rows.
 const VERSION: &str = "version";
+/// Column for the operator's own remarks; not read in.
+const NOTE: &str = "note";
+/// Columns whose cells are text, also where they look like numbers.
+const TEXT_COLUMNS: [&str; 4] = ["kind", "name", "api_key", "service_type"];
 /// Columns, in the order in which operators want them.
 const COLUMNS: [&str; 17] = [
     VERSION,
@@ -27,7 +32,7 @@
     "shortage_cost",
     "zone_loss_per_hour",
     "replace_minutes",
-    "note",
+    NOTE,
 ];
 
 fn file_error(path: &Path, error: impl std::fmt::Display) -> EditError {
@@ -48,6 +53,7 @@
     let mut writer = csv::Writer::from_path(path).map_err(|error| file_error(path, error))?;
     writer.write_record(COLUMNS).map_err(|error| file_error(path, error))?;
     for row in &rows {
+        // A list holds no deleted rows; one would be a line of empty cells.
         let value = row.value.clone().unwrap_or_default();
         let cells = COLUMNS.map(|column| match column {
             VERSION => row.version.to_string(),
@@ -66,15 +72,14 @@
 }
 
 fn read_cell(column: &str, text: &str) -> Option<Value> {
-    const TEXTS: [&str; 4] = ["kind", "name", "api_key", "service_type"];
     if text.is_empty() {
         return None;
     }
-    if TEXTS.contains(&column) {
+    if TEXT_COLUMNS.contains(&column) {
         return Some(json!(text));
     }
-    // NOTE: what is neither a number nor a truth value is kept as text, for the check
-    // to name it.
+    // What is neither a number nor a truth value is kept as text, for the check of the row to
+    // name it.
     let lower = text.to_ascii_lowercase();
     Some(serde_json::from_str(&lower).unwrap_or_else(|_| json!(text)))
 }
@@ -94,7 +99,7 @@
                 } else {
                     text.parse().map_err(|_| file_error(path, format!("version: {text}")))?
                 };
-            } else if let Some(value) = read_cell(column, text).filter(|_| column != "note") {
+            } else if let Some(value) = read_cell(column, text).filter(|_| column != NOTE) {
                 object.insert(column.to_owned(), value);
             }
         }
@@ -123,6 +128,7 @@
     let mut written = Vec::new();
     for (version, row) in checked {
         let name = row.object_name();
+        // Cannot fail: a row has only text, numbers and flags.
         let value = serde_json::to_value(&row).unwrap_or_default();
         let entry = current.iter().find(|entry| *entry.name == *name);
         if entry.is_some_and(|entry| entry.value.as_ref().map(plain_row) == Some(value.clone())) {
@@ -145,11 +151,11 @@
     if known == version {
         return Ok(());
     }
-    let theirs = entry.and_then(|entry| entry.value.as_ref()).map(plain_row);
+    let theirs = entry.and_then(|entry| entry.value.as_ref()).map_or(Value::Null, plain_row);
     Err(EditError::Conflict(Box::new(RowConflict {
         name: name.into(),
         yours: yours.clone(),
-        theirs: theirs.unwrap_or_default(),
+        theirs,
         version: known,
     })))
 }
--- a/src/control/table.rs
+++ b/src/control/table.rs
@@ -1,4 +1,6 @@
-//! Edits of the table's rows: conditional, and settled when an answer is lost.
+//! Edits of the rows of the native interface's table. Each edit is conditional on the version
+//! that it was made from, and carries a random `edit_id`: when the response to a write is
+//! lost, reading the row back tells whether the write took effect.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,9 +20,18 @@
     },
 };
 
-/// Tries to read back a write whose answer was lost.
+/// Tries to read back a write whose response was lost.
+///
+/// Basis: chosen, not measured: about three seconds together.
 const READ_BACK_TRIES: u32 = 10;
+/// Pause between these tries.
+///
+/// Basis: chosen, not measured; see `READ_BACK_TRIES`.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(300);
+/// Bits of an edit id.
+///
+/// Basis: JSON numbers travel through other programs as doubles, which are exact to 53 bits.
+const EXACT_BITS: u32 = 53;
 
 /// An edit that was not made.
 #[derive(Debug, Display, Error, From)]
@@ -36,7 +47,7 @@
     #[display("{_0}")]
     #[from]
     Call(StepError),
-    /// The write's answer was lost and it could not be read back.
+    /// The write's response was lost and it could not be read back.
     #[display("{_0}; the row may have been written, run the command again to see")]
     Unsettled(StepError),
     /// There is no such row.
@@ -101,8 +112,6 @@
     /// beside the row's own fields.
     pub fn write(&self, row: &Value, version: u64, marks: &Value) -> Result<u64, EditError> {
         let name = TableRow::parse(&plain_row(row), "row")?.object_name();
-        // NOTE: as JSON numbers travel through other programs as doubles, 53 bits.
-        const EXACT_BITS: u32 = 53;
         let edit_id = rand::random::<u64>() >> (u64::BITS - EXACT_BITS);
         let mut value = plain_row(row);
         value["edit_id"] = json!(edit_id);
@@ -129,8 +138,8 @@
         }
     }
 
-    /// Finds out by reading back whether a write took effect: its edit id is there, or
-    /// another's.
+    /// Finds out by reading the row back whether a write took effect: it did if its edit id is
+    /// there. Another one may also mean that a later edit replaced it; that is a conflict too.
     fn settle(
         &self,
         name: &str,
@@ -152,21 +161,22 @@
     }
 }
 
-/// Whether the failure means that nothing was written, by itself.
+/// Whether the failure itself means that nothing was written.
 fn is_settled(error: &StepError) -> bool {
     match error.cause {
         FailureCause::Unreachable(_) => true,
-        // NOTE: the object API answers these before it writes.
-        FailureCause::Status(status) => status == 429 || status == 400,
+        // The object API responds with these before it writes.
+        FailureCause::Status(status) => [400, 429].contains(&status),
         _ => false,
     }
 }
 
 fn conflict(name: &str, yours: &Value, current: ObjectEntry) -> EditError {
+    // A row that was deleted meanwhile is shown as null.
     EditError::Conflict(Box::new(RowConflict {
         name: name.into(),
         yours: plain_row(yours),
-        theirs: current.value.as_ref().map(plain_row).unwrap_or_default(),
+        theirs: current.value.as_ref().map_or(Value::Null, plain_row),
         version: current.version,
     }))
 }
--- a/src/control/views.rs
+++ b/src/control/views.rs
@@ -1,4 +1,4 @@
-//! What `willowctl` shows of daemons: status, and one time line over all of them.
+//! Views of daemons of the native interface: status, and one time line over all of them.
 
 use std::net::SocketAddr;
 
@@ -44,6 +44,7 @@
 /// One event on one line.
 pub fn render_event(event: &TimelineEvent) -> String {
     let subject = event.subject.as_deref().unwrap_or("-");
+    // Cannot fail: a kind is one of a closed set of names.
     let kind = serde_json::to_value(event.kind).unwrap_or_default();
     let kind = kind.as_str().unwrap_or("?");
     format!("{} {} {kind:<15} {subject}  {}", event.at_ms, event.daemon, event.detail)
