--- a/src/native/endpoint.rs
+++ b/src/native/endpoint.rs
@@ -1,4 +1,6 @@
-//! What endpoints take and send, apart from callers' own bodies.
+//! JSON that endpoints of the native interface accept and send, apart from clients' own
+//! bodies; shared by the daemon and the stand-ins. The gateway passes bodies through and
+//! knows none of this.
 
 pub mod sse;
 
@@ -6,7 +8,7 @@
 
 use super::decide::routing::CacheChange;
 
-/// Order for a completion, as the daemon sends it to an engine.
+/// Request for a completion, as the daemon sends it to an engine.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct EngineOrder {
     /// Prompt.
@@ -16,7 +18,7 @@
     /// Seed of the sampling, so that a resumed answer goes on alike.
     #[serde(default)]
     pub seed: u64,
-    /// Order among those that wait: lower goes first.
+    /// Rank among those that wait; lower goes first.
     #[serde(default)]
     pub priority: u8,
     /// Tokens already produced elsewhere; the stream goes on after them.
@@ -36,7 +38,7 @@
 /// Data that ends an engine's stream.
 pub const STREAM_END: &str = "[DONE]";
 
-/// Order to take the KV cache of a text from another engine.
+/// Request to copy the KV cache of a text from another engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ImportOrder {
     /// Engine to take the cache from.
@@ -57,7 +59,7 @@
 }
 
 impl CacheEvent {
-    /// The change as the routes take it.
+    /// The change as the router records it.
     pub fn into_change(self) -> CacheChange {
         CacheChange {
             sequence: self.sequence,
--- a/src/native/endpoint/sse.rs
+++ b/src/native/endpoint/sse.rs
@@ -1,6 +1,9 @@
-//! Server-sent events, as engines stream them: decoded piece by piece.
+//! Decodes server-sent events chunk by chunk, as engines of the native interface stream them.
+//! The gateway passes events on whole and only finds their ends (`gateway::request`).
 
-/// Longest event taken, in bytes.
+/// Longest event accepted, in bytes.
+///
+/// Basis: chosen, not measured: bounds what a faulty engine can make this process hold.
 const EVENT_LIMIT: usize = 256 * 1024;
 
 /// The stream is not well-formed.
@@ -22,35 +25,35 @@
 }
 
 impl EventDecoder {
-    /// Takes the next bytes; returns the data of each event completed by them.
+    /// Reads the next bytes; returns the data of each event completed by them.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<String>, EventError> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
-        let mut taken = 0;
-        while let Some(length) = self.buffer[taken..].iter().position(|byte| *byte == b'\n') {
-            let line = self.buffer[taken..taken + length].to_vec();
-            taken += length + 1;
+        let mut consumed = 0;
+        while let Some(length) = self.buffer[consumed..].iter().position(|byte| *byte == b'\n') {
+            let line = self.buffer[consumed..consumed + length].to_vec();
+            consumed += length + 1;
             let line = std::str::from_utf8(&line).map_err(|_| EventError::NotText)?;
-            self.take_line(line.trim_end_matches('\r'), &mut events);
+            self.read_line(line.trim_end_matches('\r'), &mut events);
             if self.data.len() > EVENT_LIMIT {
                 return Err(EventError::TooLong);
             }
         }
-        self.buffer.drain(..taken);
+        self.buffer.drain(..consumed);
         if self.buffer.len() > EVENT_LIMIT {
             return Err(EventError::TooLong);
         }
         Ok(events)
     }
 
-    fn take_line(&mut self, line: &str, events: &mut Vec<String>) {
+    fn read_line(&mut self, line: &str, events: &mut Vec<String>) {
         if line.is_empty() {
             if !self.data.is_empty() {
                 events.push(std::mem::take(&mut self.data));
             }
             return;
         }
-        // NOTE: other fields (event, id, retry, comments) say nothing that is needed.
+        // The other fields (event, id, retry, comments) are not used.
         if let Some(data) = line.strip_prefix("data:") {
             if !self.data.is_empty() {
                 self.data.push('\n');
--- a/src/native/options.rs
+++ b/src/native/options.rs
@@ -1,4 +1,5 @@
-//! Settings and table rows: parsed, checked and merged with defaults in one place.
+//! Settings and table rows of the native interface: parsed, checked and merged with defaults
+//! in one place. The gateway's settings are the platform's (`platform::settings`).
 //!
 //! Every problem of a file is reported at once, each naming the offending key, its
 //! value and what is allowed there.
--- a/src/native/options/rows.rs
+++ b/src/native/options/rows.rs
@@ -11,6 +11,8 @@
 /// Fields of a row's object that mark who wrote it last; they are not part of the row.
 pub const EDIT_FIELDS: [&str; 2] = ["edit_id", "applied"];
 /// Largest weight, share or limit that a row may hold.
+///
+/// Basis: chosen, not measured; documented in docs/settings.md.
 const LARGEST_LIMIT: f64 = 1e9;
 
 /// What a service's endpoints speak.
@@ -28,7 +30,7 @@
 pub struct AccountRow {
     /// Name of the account.
     pub name: SharedName,
-    /// Bearer key that its callers present.
+    /// Bearer key that its clients present.
     pub api_key: SharedName,
     /// Relative weight when capacity is short.
     pub weight: f64,
@@ -39,11 +41,11 @@
 /// Row of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRow {
-    /// Name of the service; callers give it as the model or in the path.
+    /// Name of the service; clients give it as the model or in the path.
     pub name: SharedName,
     /// What its endpoints speak.
     pub service_type: ServiceType,
-    /// Whether its calls may be repeated.
+    /// Whether its calls may be retried.
     pub repeatable: bool,
     /// Most requests one endpoint is given at a time.
     pub concurrency: u32,
--- a/src/native/peer/calls.rs
+++ b/src/native/peer/calls.rs
@@ -1,4 +1,4 @@
-//! Typed calls to other daemons, each within its limit.
+//! Typed calls to other daemons, each within its time limit; `served_calls` is the other end.
 
 use std::time::Duration;
 
--- a/src/native/peer/client.rs
+++ b/src/native/peer/client.rs
@@ -1,4 +1,8 @@
-//! Connections to other daemons and typed calls over them; every wait is bounded.
+//! Connections to other daemons, one for each, and what a call over them needs: exactly the
+//! incarnation that is meant, a time limit, and an error that tells how it failed.
+//!
+//! A connection that breaks or times out is dropped from the pool and made anew by the next
+//! call.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -15,9 +19,14 @@
     rpc_transport::{TrafficCounter, rpc_system},
 };
 
-/// Longest wait for a connection and the hello over it.
+/// Longest wait for a connection, and for the hello over it.
+///
+/// Basis: chosen, not measured: as `CALL_LIMIT`.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Longest wait for an answer that a peer gives at once.
+/// Longest wait for a response that a peer gives at once.
+///
+/// Basis: chosen, not measured: the longest that a probe may take before a peer counts as not
+/// reached.
 pub(super) const CALL_LIMIT: Duration = Duration::from_millis(500);
 
 struct OpenPeer {
@@ -41,7 +50,7 @@
     traffic: TrafficCounter,
 }
 
-/// Answer to a greeting.
+/// A peer that has responded to the hello.
 #[derive(Clone, Debug)]
 pub struct GreetedPeer {
     /// Its incarnation.
@@ -93,12 +102,13 @@
             Ok(Ok(stream)) => stream,
         };
         let mut rpc = rpc_system(stream, Side::Client, None, &self.traffic);
-        let door: gate::Client = rpc.bootstrap(Side::Server);
+        let gate: gate::Client = rpc.bootstrap(Side::Server);
         let task = tokio::task::spawn_local(async move {
+            // Calls over a connection that has ended fail by themselves.
             let _ = rpc.await;
         })
         .abort_handle();
-        let hello = self.say_hello(&door);
+        let hello = self.say_hello(&gate);
         let answered = timeout(CONNECT_LIMIT, hello).await;
         let result = match answered {
             Err(_) => Err(error(FailureCause::TimedOut(CONNECT_LIMIT.as_millis() as u64))),
@@ -118,9 +128,9 @@
 
     async fn say_hello(
         &self,
-        door: &gate::Client,
+        gate: &gate::Client,
     ) -> Result<(GreetedPeer, peer::Client), capnp::Error> {
-        let mut request = door.hello_request();
+        let mut request = gate.hello_request();
         codec::write_hello(request.get().init_hello(), &self.identity);
         let response = request.send().promise.await?;
         let results = response.get()?;
--- a/src/native/peer/codec.rs
+++ b/src/native/peer/codec.rs
@@ -1,4 +1,5 @@
-//! Between the typed messages of the daemon and their Cap'n Proto forms.
+//! Translates between the daemon's typed messages and their Cap'n Proto forms. Whatever a peer
+//! sends is checked here: names, lengths of lists, sizes of digests.
 
 use std::sync::Arc;
 
@@ -21,7 +22,9 @@
     peer_capnp::{self, ConsentVerdict as WireVerdict, hello},
 };
 
-/// Most items, versions or copies taken in one message.
+/// Most items, versions, copies or tokens accepted in one message.
+///
+/// Basis: chosen, not measured: bounds what a faulty peer can make this process hold.
 const LIST_LIMIT: u32 = 65_536;
 
 fn failed(what: &str) -> Error {
@@ -136,10 +139,11 @@
 
 /// JSON of a value.
 pub fn to_json(value: &impl serde::Serialize) -> Vec<u8> {
+    // Cannot fail: the types sent have only text, numbers and lists. Empty data means none.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Reads a digest; news have none.
+/// Reads a digest; a copy that only appends tokens has none.
 fn read_digest(data: capnp::data::Reader<'_>) -> Result<Option<[u8; 32]>, Error> {
     if data.is_empty() {
         return Ok(None);
@@ -178,7 +182,7 @@
     builder.set_term(copy.term);
     builder.set_holder(copy.holder.incarnation.0);
     builder.set_first_token(copy.first_token as u32);
-    // NOTE: news go to a peer that knows the request; it needs neither again.
+    // Appended tokens go to a peer that knows the request; it needs neither again.
     if copy.first_token == 0 {
         builder.set_holder_address(&*copy.holder.address);
         if let Some(digest) = &copy.digest {
