--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,15 +1,15 @@
-//! Streams of the engine stand-in: waits for a slot, computes the prompt, then sends
-//! one token a step as server-sent events.
+//! Streams of the engine stand-in: each waits for a slot, computes the prompt, then sends one
+//! token a step as server-sent events. Also moves of KV cache between engines.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, channel::Channel, channel::Sender};
-use hyper::{Method, Request, Response, StatusCode, body::Incoming};
+use hyper::{Request, Response, StatusCode, body::Incoming};
 use serde_json::json;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::{endpoint::EndpointStandin, engine_model::answer_token, reply};
+use super::{endpoint_state::EndpointStandin, engine_model::answer_token, reply};
 use crate::{
     http::{
         BodyError, ResponseBody,
@@ -23,14 +23,33 @@
 };
 
 /// Time to move one block of KV cache, in milliseconds.
+///
+/// Basis: chosen, not measured: 0.125 ms a token, as in docs/measurements/reclaim.md.
 const MOVE_BLOCK_MS: u64 = 2;
+/// Pause between looks for a free slot.
+///
+/// Basis: chosen, not measured: short beside a decoding step (12 ms).
+const SLOT_POLL: Duration = Duration::from_millis(2);
+/// Longest time that another engine may take to export its cache.
+///
+/// Basis: chosen, not measured.
+const IMPORT_LIMIT: Duration = Duration::from_secs(30);
+/// Chunks that wait for a slow reader before the engine waits too.
+///
+/// Basis: chosen, not measured.
+const STREAM_CAPACITY: usize = 16;
+/// How far the steps of a thawed stream may lie in the past; without a bound a thawed stream
+/// would send all tokens that it missed at once.
+///
+/// Basis: chosen, not measured: a few decoding steps.
+const CATCH_UP: Duration = Duration::from_millis(50);
 
 /// A stream was cut by its fault switch.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 #[display("stream cut")]
 pub struct CutError;
 
-/// One running stream; ends its slot when dropped, also when the caller left.
+/// One running stream; ends its slot when dropped, also when the reader has left.
 struct StreamSlot {
     endpoint: EndpointStandin,
 }
@@ -70,7 +89,7 @@
         *state.counts.runs.entry(id).or_default() += 1;
         state.counts.begun += 1;
     }
-    let (sender, body) = Channel::<Bytes, CutError>::new(16);
+    let (sender, body) = Channel::<Bytes, CutError>::new(STREAM_CAPACITY);
     let endpoint = endpoint.clone();
     tokio::task::spawn_local(async move { stream(endpoint, order, sender).await });
     let mut answer = Response::new(body.map_err(BodyError::from).boxed_unsync());
@@ -99,10 +118,9 @@
 
 /// Waits for a slot, those of a lower priority number first.
 async fn wait_for_slot(endpoint: &EndpointStandin, priority: u8) {
-    const POLL: Duration = Duration::from_millis(2);
     let place = WaitingPlace::new(endpoint, priority);
     while !place.has_turn() {
-        sleep(POLL).await;
+        sleep(SLOT_POLL).await;
     }
 }
 
@@ -134,7 +152,7 @@
         next_at += step(&endpoint);
         sleep_until(next_at).await;
         endpoint.thaw().await;
-        next_at = next_at.max(Instant::now() - Duration::from_millis(50));
+        next_at = next_at.max(Instant::now() - CATCH_UP);
         let cut_after = endpoint.state.borrow().faults.cut_after;
         if cut_after > 0 && index - first >= cut_after {
             sender.abort(CutError);
@@ -148,6 +166,7 @@
             return;
         }
     }
+    // Fails only when the reader has left, who then needs no end.
     let _ = sender.send_data(Bytes::from(format!("data: {STREAM_END}\n\n"))).await;
 }
 
@@ -161,14 +180,12 @@
     endpoint: &EndpointStandin,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    const IMPORT_LIMIT: Duration = Duration::from_secs(30);
     let Some(order) = reply::read_json::<ImportOrder>(request).await else {
         return reply::empty(StatusCode::BAD_REQUEST);
     };
     let tokens = count_tokens(&order.text);
     let path = format!("/kv/export?tokens={tokens}");
-    let call =
-        OutgoingCall { method: Method::GET, ..OutgoingCall::get("export", &order.from, path) };
+    let call = OutgoingCall::get("export", &order.from, path);
     match HttpClient::new().fetch(&call, IMPORT_LIMIT).await {
         Ok(answer) if answer.status.is_success() => {
             let mut state = endpoint.state.borrow_mut();
--- a/src/standin/engine_model.rs
+++ b/src/standin/engine_model.rs
@@ -1,11 +1,17 @@
-//! Timing and content of a model engine, without I/O: continuous batching, a limited
-//! prefix cache, deterministic tokens.
+//! Timing and content of the engine stand-in, without I/O: continuous batching, a limited
+//! prefix cache, tokens that depend on prompt, seed and index alone, so that a response has one
+//! right text whichever engines made it.
 
 use crate::{
     ids::hash_parts,
     native::decide::prefix::{BLOCK_TOKENS, PrefixCache, count_tokens, prefix_chain},
 };
 
+/// Different tokens that the stand-in knows.
+///
+/// Basis: chosen, not measured.
+const VOCABULARY: u64 = 4_096;
+
 /// Speeds and sizes of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
@@ -94,9 +100,8 @@
 
 /// Token `index` of the answer to `prompt` under `seed`.
 pub fn answer_token(prompt: &str, seed: u64, index: usize) -> String {
-    const WORDS: u64 = 4_096;
     let hash = hash_parts(&[prompt.as_bytes(), &seed.to_le_bytes(), &index.to_le_bytes()]);
-    format!("w{:x} ", hash % WORDS)
+    format!("w{:x} ", hash % VOCABULARY)
 }
 
 /// The whole answer to `prompt`, against which tests compare byte for byte.
--- a/src/standin/object_store.rs
+++ b/src/standin/object_store.rs
@@ -1,4 +1,5 @@
-//! Objects with versions, conditional updates and a log for watches.
+//! Objects of the platform stand-in, in memory: versions, conditional writes, and a log for
+//! watches and stale reads.
 
 use std::collections::BTreeMap;
 
--- a/src/standin/reply.rs
+++ b/src/standin/reply.rs
@@ -1,4 +1,4 @@
-//! Shared pieces of the stand-ins' HTTP handlers.
+//! Shared pieces of the stand-ins' HTTP handlers: JSON responses, bodies, fault switches.
 
 use std::collections::HashMap;
 
@@ -10,30 +10,34 @@
 
 use crate::http::{ResponseBody, server::CloseConnection, whole_body};
 
+/// Longest body that a stand-in reads, in bytes.
+///
+/// Basis: chosen, not measured.
 const BODY_LIMIT: usize = 4 * 1024 * 1024;
 
-/// JSON answer.
+/// JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
+    // Cannot fail: the stand-ins' own types have a JSON form.
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut answer = Response::new(whole_body(body));
-    *answer.status_mut() = status;
+    let mut response = Response::new(whole_body(body));
+    *response.status_mut() = status;
     let json = hyper::header::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
+    response
 }
 
-/// Answer without a body.
+/// Response without a body.
 pub fn empty(status: StatusCode) -> Response<ResponseBody> {
-    let mut answer = Response::new(whole_body(Bytes::new()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(whole_body(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
 
-/// Answer that never arrives: its connection closes instead.
+/// Response that never arrives: its connection closes instead.
 pub fn lost() -> Response<ResponseBody> {
-    let mut answer = empty(StatusCode::OK);
-    answer.extensions_mut().insert(CloseConnection);
-    answer
+    let mut response = empty(StatusCode::OK);
+    response.extensions_mut().insert(CloseConnection);
+    response
 }
 
 /// Body of `request`, read whole.
@@ -67,9 +71,9 @@
     serde_json::from_value(merged).ok()
 }
 
-/// Numbers in the query of `request`.
+/// Numbers in the query of `request`; what is no number is left out.
 pub fn query(request: &Request<Incoming>) -> HashMap<String, u64> {
-    let pairs = request.uri().query().unwrap_or_default().split('&');
+    let pairs = request.uri().query().unwrap_or("").split('&');
     let numbers = pairs.filter_map(|pair| {
         let (key, value) = pair.split_once('=')?;
         Some((key.to_owned(), value.parse().ok()?))
