--- a/src/bin/willow_standin.rs
+++ b/src/bin/willow_standin.rs
@@ -15,6 +15,15 @@
     },
 };
 
+/// Length of a run that names none.
+///
+/// Basis: chosen, not measured.
+const DEFAULT_SECONDS: u64 = 10;
+/// Seed of a run that names none.
+///
+/// Basis: any number does.
+const DEFAULT_SEED: u64 = 1;
+
 mod flags {
     use std::{net::SocketAddr, path::PathBuf};
 
@@ -109,12 +118,11 @@
 }
 
 async fn play(callers: flags::Callers) -> Result<(), Box<dyn std::error::Error>> {
-    const SECONDS: u64 = 10;
     let mut mix: RequestMix = read_json(&callers.mix)?;
     mix.requests_per_s = callers.pace.unwrap_or(mix.requests_per_s);
-    let length = Duration::from_secs(callers.seconds.unwrap_or(SECONDS));
+    let length = Duration::from_secs(callers.seconds.unwrap_or(DEFAULT_SECONDS));
     let player = CallerPlayer::new(callers.daemon, mix);
-    let mut report = player.play(length, callers.seed.unwrap_or(1)).await;
+    let mut report = player.play(length, callers.seed.unwrap_or(DEFAULT_SEED)).await;
     complete_report(&mut report, callers.cloud, length).await?;
     println!("{}", serde_json::to_string_pretty(&report)?);
     Ok(())
--- a/src/bin/willowarchd.rs
+++ b/src/bin/willowarchd.rs
@@ -1,4 +1,5 @@
-//! Entry daemon.
+//! Entry daemon: reads its settings and runs one of the two paths, the gateway on the users'
+//! platform (`--gateway`) or the native interface, on one thread until it stops.
 
 use std::{
     path::{Path, PathBuf},
--- a/src/control/calls.rs
+++ b/src/control/calls.rs
@@ -58,7 +58,7 @@
 
 fn to_cause(error: &ureq::Error) -> FailureCause {
     match error {
-        ureq::Error::Timeout(_) => FailureCause::TimedOut(CALL_LIMIT.as_millis() as u64),
+        ureq::Error::Timeout(_) => FailureCause::timed_out(CALL_LIMIT),
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => {
             FailureCause::Unreachable(error.to_string())
         }
--- a/src/errors.rs
+++ b/src/errors.rs
@@ -1,6 +1,8 @@
 //! Errors of calls to other processes: the step, the peer and the cause. The cause tells
 //! whether the other side may have acted, which decides whether a call may be retried.
 
+use std::time::Duration;
+
 use derive_more::{Display, Error};
 
 use crate::ids::SharedName;
@@ -31,6 +33,13 @@
     Refused(#[error(not(source))] String),
 }
 
+impl FailureCause {
+    /// No response within `limit`.
+    pub fn timed_out(limit: Duration) -> Self {
+        Self::TimedOut(limit.as_millis() as u64)
+    }
+}
+
 /// A failed step: what was being done, with whom, and why it failed.
 #[derive(Clone, Debug, Display, Error)]
 #[display("{step} at {peer}: {cause}")]
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -17,7 +17,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    clock::wait_at_most,
+    clock::{WaitOver, wait_at_most},
     errors::{FailureCause, StepError},
 };
 
@@ -170,10 +170,9 @@
         limit: Duration,
     ) -> Result<Response<Incoming>, StepError> {
         let request = call.build()?;
-        let answer = wait_at_most(limit, self.client.request(request)).await;
-        let timed_out = FailureCause::TimedOut(limit.as_millis() as u64);
-        match answer {
-            Err(_) => Err(call.error(timed_out)),
+        let result = wait_at_most(limit, self.client.request(request)).await;
+        match result {
+            Err(WaitOver) => Err(call.error(FailureCause::timed_out(limit))),
             Ok(Err(error)) if error.is_connect() => {
                 Err(call.error(FailureCause::Unreachable(error.to_string())))
             }
@@ -197,7 +196,7 @@
             let body = collected.to_bytes();
             Ok(WholeResponse { status: head.status, body })
         };
-        let timed_out = FailureCause::TimedOut(limit.as_millis() as u64);
-        wait_at_most(limit, whole).await.unwrap_or_else(|_| Err(call.error(timed_out)))
+        let result = wait_at_most(limit, whole).await;
+        result.unwrap_or_else(|WaitOver| Err(call.error(FailureCause::timed_out(limit))))
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,7 +1,13 @@
 //! Counters, gauges and histograms of one daemon, rendered in Prometheus' text format. Both
 //! paths use it; names get the prefix `willowarch_`. Updates cannot fail and touch no I/O.
 
-use std::{cell::RefCell, collections::BTreeMap, fmt::Write, rc::Rc, time::Duration};
+use std::{
+    cell::RefCell,
+    collections::BTreeMap,
+    fmt::{Arguments, Write},
+    rc::Rc,
+    time::Duration,
+};
 
 use hdrhistogram::Histogram;
 
@@ -62,24 +68,32 @@
     pub fn render(&self) -> String {
         let state = self.state.borrow();
         let mut text = String::new();
-        // Writing to a string cannot fail.
         for (name, value) in &state.counters {
-            let _ = writeln!(text, "willowarch_{name} {value}");
+            push_line(&mut text, format_args!("willowarch_{name} {value}"));
         }
         for (name, value) in &state.gauges {
-            let _ = writeln!(text, "willowarch_{name} {value}");
+            push_line(&mut text, format_args!("willowarch_{name} {value}"));
         }
         for (name, histogram) in &state.histograms {
             for quantile in QUANTILES {
                 let micros = histogram.value_at_quantile(quantile);
-                let _ = writeln!(text, "willowarch_{name}_us{{quantile=\"{quantile}\"}} {micros}");
+                push_line(
+                    &mut text,
+                    format_args!("willowarch_{name}_us{{quantile=\"{quantile}\"}} {micros}"),
+                );
             }
-            let _ = writeln!(text, "willowarch_{name}_us_count {}", histogram.len());
+            push_line(&mut text, format_args!("willowarch_{name}_us_count {}", histogram.len()));
         }
         text
     }
 }
 
+fn push_line(text: &mut String, line: Arguments<'_>) {
+    // Writing to a string cannot fail.
+    let _ = text.write_fmt(line);
+    text.push('\n');
+}
+
 fn new_histogram() -> Histogram<u64> {
     // The arguments are constants within the allowed bounds.
     Histogram::new_with_max(HIGHEST_US, PRECISION).expect("constant histogram bounds")
--- a/src/native/peer/client.rs
+++ b/src/native/peer/client.rs
@@ -11,7 +11,7 @@
 
 use super::{LocalIdentity, codec, is_compatible};
 use crate::{
-    clock::wait_at_most,
+    clock::{WaitOver, wait_at_most},
     errors::{FailureCause, StepError},
     ids::{IncarnationId, SharedName},
     native::cluster::{events::PeerTarget, members::MemberRecord},
@@ -95,9 +95,7 @@
         let error = |cause| StepError::new("greet peer", address.clone(), cause);
         let connecting = timeout(CONNECT_LIMIT, TcpStream::connect(&**address)).await;
         let stream = match connecting {
-            Err(_) => {
-                return Err(error(FailureCause::TimedOut(CONNECT_LIMIT.as_millis() as u64)));
-            }
+            Err(_elapsed) => return Err(error(FailureCause::timed_out(CONNECT_LIMIT))),
             Ok(Err(cause)) => return Err(error(FailureCause::Unreachable(cause.to_string()))),
             Ok(Ok(stream)) => stream,
         };
@@ -111,7 +109,7 @@
         let hello = self.say_hello(&gate);
         let answered = timeout(CONNECT_LIMIT, hello).await;
         let result = match answered {
-            Err(_) => Err(error(FailureCause::TimedOut(CONNECT_LIMIT.as_millis() as u64))),
+            Err(_elapsed) => Err(error(FailureCause::timed_out(CONNECT_LIMIT))),
             Ok(Err(cause)) => Err(error(to_cause(&cause))),
             Ok(Ok((greeted, client))) => {
                 let used = std::cell::Cell::new(tokio::time::Instant::now());
@@ -187,7 +185,7 @@
         let cause = match answered {
             Ok(Ok(value)) => return Ok(value),
             Ok(Err(error)) => to_cause(&error),
-            Err(_) => FailureCause::TimedOut(limit.as_millis() as u64),
+            Err(WaitOver) => FailureCause::timed_out(limit),
         };
         if matches!(cause, FailureCause::Broken(_) | FailureCause::TimedOut(_)) {
             let mut pool = self.open.borrow_mut();
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -23,6 +23,8 @@
 /// Basis: chosen, not measured: 30 years in seconds, and far from what a duration can hold.
 const BOUND_LIMIT: f64 = 1e9;
 /// Milliseconds in a second.
+///
+/// Basis: definition of the unit.
 const MS_PER_S: f64 = 1e3;
 
 /// Settings that cannot be used.
--- a/src/standin/callers/report.rs
+++ b/src/standin/callers/report.rs
@@ -27,12 +27,16 @@
 /// Quantiles that a report gives.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 /// Microseconds in a millisecond.
+///
+/// Basis: definition of the unit.
 const US_PER_MS: f64 = 1e3;
 /// Longest wait for a response of the cloud or of an endpoint.
 ///
 /// Basis: chosen, not measured.
 const CALL_LIMIT: Duration = Duration::from_secs(5);
 /// Seconds in the hour for which prices are given.
+///
+/// Basis: definition of the unit.
 const HOUR_S: f64 = 3_600.0;
 
 /// What a run of the callers came to.
--- a/src/standin/endpoint_state.rs
+++ b/src/standin/endpoint_state.rs
@@ -145,6 +145,7 @@
     /// Endpoint at `address`: an engine of that speed, or a plain service.
     pub(super) fn new(address: SocketAddr, speed: Option<EngineSpeed>) -> Self {
         let state = EndpointState {
+            // A plain service has the slots of an engine, which it never fills.
             model: EngineModel::new(speed.unwrap_or_default()),
             faults: EndpointFaults::default(),
             counts: WorkCounts::default(),
--- a/src/standin/platform/vms.rs
+++ b/src/standin/platform/vms.rs
@@ -106,10 +106,12 @@
         let after = query.get("after").copied().unwrap_or(0) as usize;
         let found = || {
             let state = self.state.borrow();
+            // A reader that has all notices, or asks from beyond them, waits.
             let newer = state.notices.get(after..).unwrap_or_default().to_vec();
             (!newer.is_empty()).then_some(newer)
         };
         let wait = Duration::from_millis(query.get("wait_ms").copied().unwrap_or(0));
+        // Without new notices within the wait, the response is an empty list.
         let notices = self.wait_for(found, wait).await.unwrap_or_default();
         reply::json(StatusCode::OK, &NoticeList { notices })
     }
--- a/tests/gateway/endpoint_standin.rs
+++ b/tests/gateway/endpoint_standin.rs
@@ -1,4 +1,5 @@
-//! Stand-in of one endpoint: answers over raw sockets, so that it can also misbehave.
+//! Stand-in of one endpoint of the users' platform. It writes its responses over raw sockets,
+//! so that it can also break the protocol.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
--- a/tests/gateway/loopback_proxy.rs
+++ b/tests/gateway/loopback_proxy.rs
@@ -1,4 +1,4 @@
-//! TCP proxy on loopback whose links can be cut.
+//! TCP proxy on loopback whose link can go silent or be closed, for faults between processes.
 
 use std::{
     io::{ErrorKind, Read, Write},
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-/// Time after which a copying thread looks at the state of its link again.
+/// Time after which a copying thread checks the state of its link again.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
 /// What the proxy does with bytes and connections.
@@ -19,7 +19,7 @@
 pub enum LinkState {
     /// Passes them on.
     Open,
-    /// Holds them up without a word.
+    /// Keeps connections open and passes nothing on.
     Silent,
     /// Closes connections, old and new.
     Closed,
@@ -64,7 +64,7 @@
 impl Drop for LoopbackProxy {
     fn drop(&mut self) {
         self.ended.store(true, Ordering::SeqCst);
-        // NOTE: wakes the accepting thread.
+        // Wakes the accepting thread; it may have ended already.
         let _ = TcpStream::connect(self.address);
     }
 }
--- a/tests/gateway/platform_standin.rs
+++ b/tests/gateway/platform_standin.rs
@@ -1,4 +1,6 @@
-//! Stand-in of the platform's metadata store and cloud API, after their published protocol.
+//! Stand-in of the users' platform: metadata store and cloud API, after their published
+//! protocol. The library's own stand-ins (`willowarch::standin`) speak the wire of the native
+//! interface, which differs in every call.
 
 use std::{
     collections::BTreeMap,
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -7,6 +7,7 @@
 use std::{
     collections::{HashMap, HashSet},
     net::SocketAddr,
+    ops::Range,
     sync::{Arc, Mutex},
     thread,
     time::{Duration, Instant},
@@ -28,12 +29,14 @@
 const DAEMONS: usize = 3;
 const ENDPOINTS: usize = 4;
 const CLIENTS: u64 = 6;
-/// Time in which faults come.
+/// Time during which faults are caused.
 const FAULT_TIME: Duration = Duration::from_secs(6);
-/// Longest time that one fault lasts, in milliseconds.
-const LONGEST_FAULT_MS: u64 = 1_500;
-/// Longest pause between two faults, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 400;
+/// How long one fault lasts, in milliseconds.
+const FAULT_MS: Range<u64> = 200..1_500;
+/// Pause between two faults, in milliseconds.
+const PAUSE_MS: Range<u64> = 50..400;
+/// Pause between two requests of one client, in milliseconds.
+const THINK_MS: Range<u64> = 5..30;
 
 /// What a client asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,6 +75,7 @@
     answer: Option<RawAnswer>,
 }
 
+/// A fault; the numbers are places of daemons and endpoints.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill(usize),
@@ -87,7 +91,7 @@
 }
 
 impl Fault {
-    fn try_withdraw(rng: &mut SmallRng) -> Self {
+    fn draw(rng: &mut SmallRng) -> Self {
         const MANNERS: [EndpointManner; 8] = [
             EndpointManner::Fail,
             EndpointManner::Full,
@@ -156,8 +160,8 @@
         Self { platform, store_links, endpoints, endpoint_links, daemons, version: 3 }
     }
 
-    /// Brings a fault about for `time`, and heals it.
-    fn strike(&mut self, fault: Fault, time: Duration) {
+    /// Causes a fault for `time`, then ends it.
+    fn cause(&mut self, fault: Fault, time: Duration) {
         match fault {
             Fault::Kill(place) => self.daemons[place].kill_and_restart(),
             Fault::Freeze(place) => {
@@ -223,7 +227,7 @@
         let bytes = request_bytes(&path, &id, "key-1", &[], b"");
         let answer = try_send_raw(address, &bytes).ok();
         exchanges.lock().expect("lock").push(Exchange { id, kind, answer });
-        thread::sleep(Duration::from_millis(rng.random_range(5..30)));
+        thread::sleep(Duration::from_millis(rng.random_range(THINK_MS)));
     }
 }
 
@@ -283,11 +287,11 @@
         })
         .collect();
     while Instant::now() < until {
-        let fault = Fault::try_withdraw(&mut rng);
-        let time = Duration::from_millis(rng.random_range(200..LONGEST_FAULT_MS));
+        let fault = Fault::draw(&mut rng);
+        let time = Duration::from_millis(rng.random_range(FAULT_MS));
         println!("seed {seed}: {fault:?} for {time:?}");
-        site.strike(fault, time);
-        thread::sleep(Duration::from_millis(rng.random_range(50..LONGEST_PAUSE_MS)));
+        site.cause(fault, time);
+        thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MS)));
     }
     for client in clients {
         client.join().expect("client");
