--- a/src/gateway/leader/endpoint_orders.rs
+++ b/src/gateway/leader/endpoint_orders.rs
@@ -178,7 +178,7 @@
         let key = (order.service.clone(), order.zone.clone(), class);
         let answered = answer.is_some();
         self.given.insert(key.clone(), GivenOrder { count: order.count, at: now, answered });
-        if answer == Some(CloudOutcome::NoCapacity) {
+        if answer == Some(CloudOutcome::NoneToBeHad) {
             self.given.remove(&key);
             if let Some(fleet) = self.services.get_mut(&order.service) {
                 fleet.planner.turned_down(&order.zone, now);
