--- a/benches/daemons.rs
+++ b/benches/daemons.rs
@@ -11,7 +11,7 @@
 
 use harness::{Deployment, Layout, get_text, try_get};
 use serde_json::{Value, json};
-use willowarch::standin::callers::{CallerPlayer, MixEntry, MixKind, RequestMix};
+use willowarch::standin::clients::{ClientPlayer, MixEntry, MixKind, RequestMix};
 
 const IDLE: Duration = Duration::from_secs(12);
 const LOADED: Duration = Duration::from_secs(12);
@@ -91,7 +91,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let local = tokio::task::LocalSet::new();
     let report = local.block_on(&runtime.expect("a runtime"), async move {
-        CallerPlayer::new(daemons, mix(pace)).play(LOADED, 1).await
+        ClientPlayer::new(daemons, mix(pace)).play(LOADED, 1).await
     });
     json!(report)
 }
--- a/src/bin/willow_standin.rs
+++ b/src/bin/willow_standin.rs
@@ -8,7 +8,7 @@
     kernel::LifePhase,
     native::cloud_api::messages::VmEntry,
     standin::{
-        callers::{CallerPlayer, RequestMix, complete_report},
+        clients::{ClientPlayer, RequestMix, complete_report},
         endpoint,
         engine_model::EngineSpeed,
         platform,
@@ -28,7 +28,7 @@
     use std::{net::SocketAddr, path::PathBuf};
 
     xflags::xflags! {
-        /// Stand-ins for engines, plain services, the platform and callers. Faults are
+        /// Stand-ins for engines, plain services, the platform and clients. Faults are
         /// switched with `POST /faults` at a stand-in's own address.
         cmd willow-standin {
             /// Object API, cloud API, VM list and weight store.
@@ -52,7 +52,7 @@
                 /// Addresses to listen at.
                 repeated address: SocketAddr
             }
-            /// Callers that play a request mix and report.
+            /// Clients that play a request mix and report.
             cmd callers {
                 /// Daemons to call.
                 repeated daemon: SocketAddr
@@ -121,7 +121,7 @@
     let mut mix: RequestMix = read_json(&callers.mix)?;
     mix.requests_per_s = callers.pace.unwrap_or(mix.requests_per_s);
     let length = Duration::from_secs(callers.seconds.unwrap_or(DEFAULT_SECONDS));
-    let player = CallerPlayer::new(callers.daemon, mix);
+    let player = ClientPlayer::new(callers.daemon, mix);
     let mut report = player.play(length, callers.seed.unwrap_or(DEFAULT_SEED)).await;
     complete_report(&mut report, callers.cloud, length).await?;
     println!("{}", serde_json::to_string_pretty(&report)?);
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -2,7 +2,7 @@
 //!
 //! The native interface, the operators' and metrics ports of both paths and the stand-ins use
 //! it; the gateway's own client port needs control over single connections and has its own
-//! loop (`gateway::request::client_listener`). Everything runs on the thread of the caller's
+//! loop (`gateway::request::client_listener`). Everything runs on the thread of the
 //! `LocalSet`.
 
 use std::{net::SocketAddr, time::Duration};
--- a/src/native/options/settings.rs
+++ b/src/native/options/settings.rs
@@ -28,7 +28,7 @@
     pub deployment: SharedName,
     /// Availability zone this daemon runs in.
     pub zone: SharedName,
-    /// Where callers connect.
+    /// Where clients connect.
     pub caller_address: SocketAddr,
     /// Where operators connect.
     pub admin_address: SocketAddr,
@@ -44,9 +44,9 @@
     pub copies: usize,
     /// Longest time a planned stop waits for requests.
     pub drain: Duration,
-    /// How long a final answer is kept for a caller that asks again.
+    /// How long a final answer is kept for a client that asks again.
     pub answer_keep: Duration,
-    /// How long a request goes on after its caller's connection broke.
+    /// How long a request goes on after its client's connection broke.
     pub resume_grace: Duration,
     /// Longest wait for the first token or the answer of one attempt.
     pub first_token_timeout: Duration,
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -6,7 +6,7 @@
 //! docs/callers.md. The gateway meets the users' platform, whose wires differ in every call;
 //! its stand-ins are in tests/gateway, since only its tests need them.
 
-pub mod callers;
+pub mod clients;
 pub mod endpoint;
 mod endpoint_state;
 mod engine;
--- a/src/standin/callers.rs
+++ b/src/standin/clients.rs
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 pub use mix::{MixEntry, MixKind, RequestMix};
-pub use report::{CallerReport, complete_report};
+pub use report::{ClientReport, complete_report};
 use report::{FailedOutcome, RunRecord};
-use request::{CallerRequest, TryEnd};
+use request::{ClientRequest, TryEnd};
 
 use crate::{
     http::client::{HttpClient, OutgoingCall},
@@ -43,21 +43,21 @@
 const RETRY_JITTER: std::ops::Range<f64> = 1.0..1.2;
 
 /// Clients at work.
-pub struct CallerPlayer {
+pub struct ClientPlayer {
     http: HttpClient,
     daemons: Vec<SocketAddr>,
     mix: RequestMix,
     record: RefCell<RunRecord>,
 }
 
-impl CallerPlayer {
+impl ClientPlayer {
     /// Clients that send `mix` against `daemons`.
     pub fn new(daemons: Vec<SocketAddr>, mix: RequestMix) -> Self {
         Self { http: HttpClient::new(), daemons, mix, record: RefCell::default() }
     }
 
     /// Sends requests for `length` at the mix's pace, waits for all of them, reports.
-    pub async fn play(self, length: Duration, seed: u64) -> CallerReport {
+    pub async fn play(self, length: Duration, seed: u64) -> ClientReport {
         let mut rng = SmallRng::seed_from_u64(seed);
         let player = Rc::new(self);
         let started_at = Instant::now();
@@ -77,7 +77,7 @@
         player.record.borrow().finish(number)
     }
 
-    fn make_request(&self, seed: u64, number: u64, rng: &mut SmallRng) -> CallerRequest {
+    fn make_request(&self, seed: u64, number: u64, rng: &mut SmallRng) -> ClientRequest {
         // A mix without entries cannot be played.
         let entry = self
             .mix
@@ -85,10 +85,10 @@
             .choose_weighted(rng, |entry| entry.weight)
             .expect("a mix has entries with weights")
             .clone();
-        CallerRequest::new(entry, seed, number, rng)
+        ClientRequest::new(entry, seed, number, rng)
     }
 
-    async fn run(&self, mut request: CallerRequest) {
+    async fn run(&self, mut request: ClientRequest) {
         let mut last = (FailedOutcome::Failed, String::from("no try"));
         for _ in 0..TRIES {
             match self.try_once(&mut request).await {
@@ -118,7 +118,7 @@
         self.record.borrow_mut().record_failure(&shown, last.0, &last.1);
     }
 
-    async fn try_once(&self, request: &mut CallerRequest) -> TryEnd {
+    async fn try_once(&self, request: &mut ClientRequest) -> TryEnd {
         // A balancer gives each connection to any daemon.
         let daemon = *self.daemons.choose(&mut request.rng).expect("there are daemons");
         if request.entry.kind == MixKind::Once && request.key.is_none() {
@@ -148,7 +148,7 @@
     }
 
     /// Asks for a ticket; none, for whatever reason, means asking again.
-    async fn fetch_ticket(&self, request: &CallerRequest, daemon: SocketAddr) -> Option<String> {
+    async fn fetch_ticket(&self, request: &ClientRequest, daemon: SocketAddr) -> Option<String> {
         let call = OutgoingCall::get("take ticket", daemon, "/v1/tickets")
             .with_json(Method::POST, "")
             .with_header("authorization", format!("Bearer {}", request.entry.api_key));
@@ -159,7 +159,7 @@
 
     async fn read_problem(
         &self,
-        request: &mut CallerRequest,
+        request: &mut ClientRequest,
         status: StatusCode,
         response: hyper::Response<hyper::body::Incoming>,
     ) -> TryEnd {
@@ -185,7 +185,7 @@
 
     async fn read_stream(
         &self,
-        request: &mut CallerRequest,
+        request: &mut ClientRequest,
         mut body: hyper::body::Incoming,
     ) -> TryEnd {
         let mut decoder = EventDecoder::default();
@@ -216,11 +216,11 @@
         }
     }
 
-    fn note_first(&self, request: &CallerRequest) {
+    fn note_first(&self, request: &ClientRequest) {
         self.record.borrow_mut().record_first(request.started_at.elapsed());
     }
 
-    fn note_token(&self, request: &mut CallerRequest) {
+    fn note_token(&self, request: &mut ClientRequest) {
         match request.last_token_at {
             None => self.note_first(request),
             Some(before) => self.record.borrow_mut().record_gap(before.elapsed()),
--- a/src/standin/callers/report.rs
+++ b/src/standin/clients/report.rs
@@ -39,9 +39,9 @@
 /// Basis: definition of the unit.
 const HOUR_S: f64 = 3_600.0;
 
-/// What a run of the callers came to.
+/// What a run of the clients came to.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct CallerReport {
+pub struct ClientReport {
     /// Requests sent.
     pub requests: u64,
     /// Whole and correct answers.
@@ -54,7 +54,7 @@
     pub wrong: u64,
     /// Requests that came to nothing else.
     pub failed: u64,
-    /// Times a caller was told to come back.
+    /// Refusals with a time to retry after.
     pub refusals: u64,
     /// Times a broken connection was resumed.
     pub resumed: u64,
@@ -91,7 +91,7 @@
 
 /// Report in the making.
 pub(super) struct RunRecord {
-    pub(super) report: CallerReport,
+    pub(super) report: ClientReport,
     first: Histogram<u64>,
     gaps: Histogram<u64>,
 }
@@ -99,7 +99,7 @@
 impl Default for RunRecord {
     fn default() -> Self {
         Self {
-            report: CallerReport::default(),
+            report: ClientReport::default(),
             first: micros_histogram(),
             gaps: micros_histogram(),
         }
@@ -132,8 +132,8 @@
     }
 
     /// The report of a run of `requests`.
-    pub(super) fn finish(&self, requests: u64) -> CallerReport {
-        CallerReport {
+    pub(super) fn finish(&self, requests: u64) -> ClientReport {
+        ClientReport {
             requests,
             first_token_ms: percentiles(&self.first),
             token_gap_ms: percentiles(&self.gaps),
@@ -153,7 +153,7 @@
 
 /// Adds what the endpoints and the platform know to a report.
 pub async fn complete_report(
-    report: &mut CallerReport,
+    report: &mut ClientReport,
     cloud: SocketAddr,
     length: Duration,
 ) -> Result<(), StepError> {
--- a/src/standin/callers/request.rs
+++ b/src/standin/clients/request.rs
@@ -29,8 +29,8 @@
     Final(FailedOutcome, String),
 }
 
-/// One request of one caller.
-pub(super) struct CallerRequest {
+/// One request of one client.
+pub(super) struct ClientRequest {
     pub(super) entry: MixEntry,
     pub(super) key: Option<String>,
     pub(super) prompt: String,
@@ -42,7 +42,7 @@
     pub(super) rng: SmallRng,
 }
 
-impl CallerRequest {
+impl ClientRequest {
     /// Request `number` of a run with `seed`, for an entry of the mix.
     pub(super) fn new(entry: MixEntry, seed: u64, number: u64, rng: &mut SmallRng) -> Self {
         let prompt = make_prompt(&entry, number, rng);
--- a/tests/native/daemon_parts.rs
+++ b/tests/native/daemon_parts.rs
@@ -12,7 +12,7 @@
         cloud_api::messages::VmEntry,
         options::{rows::parse_table, settings::DaemonSettings},
     },
-    standin::callers::RequestMix,
+    standin::clients::RequestMix,
 };
 
 use crate::cases;
--- a/tests/native/promises/stops.rs
+++ b/tests/native/promises/stops.rs
@@ -27,7 +27,7 @@
 }
 
 /// A mix of streams and tickets, as the callers' stand-in plays it.
-fn mix(pace: f64) -> willowarch::standin::callers::RequestMix {
+fn mix(pace: f64) -> willowarch::standin::clients::RequestMix {
     let entry = |name: &str, kind: &str, service: &str, account: &str| {
         json!({
             "name": name, "weight": 1.0, "kind": kind, "service": service, "path": "tags",
@@ -46,12 +46,12 @@
 fn play(
     deployment: &Deployment,
     seconds: u64,
-) -> JoinHandle<willowarch::standin::callers::CallerReport> {
+) -> JoinHandle<willowarch::standin::clients::ClientReport> {
     let daemons: Vec<SocketAddr> =
         (0..deployment.layout.daemons).map(|index| deployment.caller(index)).collect();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let player = willowarch::standin::callers::CallerPlayer::new(daemons, mix(20.0));
+        let player = willowarch::standin::clients::ClientPlayer::new(daemons, mix(20.0));
         let playing = player.play(Duration::from_secs(seconds), 3);
         tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), playing)
     })
