--- a/src/native/options/rows.rs
+++ b/src/native/options/rows.rs
@@ -1,6 +1,7 @@
-//! Rows of the operators' table: one per client account or service.
+//! Rows of the operators' table: one for each client account or service. Keys, ranges and
+//! defaults are documented in docs/settings.md.
 
-use std::{collections::HashMap, sync::Arc};
+use std::{collections::HashMap, ops::RangeInclusive, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -15,6 +16,44 @@
 /// Basis: chosen, not measured; documented in docs/settings.md.
 const LARGEST_LIMIT: f64 = 1e9;
 
+/// Allowed weights of an account.
+///
+/// Basis: chosen, not measured.
+const WEIGHTS: RangeInclusive<f64> = 0.001..=LARGEST_LIMIT;
+/// Allowed numbers of VMs, and of requests at one endpoint.
+///
+/// Basis: chosen, not measured: ten times the target of 10,000 endpoints.
+const LARGEST_COUNT: u64 = 100_000;
+/// Allowed targets in milliseconds: up to an hour.
+///
+/// Basis: chosen, not measured.
+const TARGETS_MS: RangeInclusive<f64> = 1.0..=3_600_000.0;
+/// Allowed costs and cost weights.
+///
+/// Basis: chosen, not measured.
+const COSTS: RangeInclusive<f64> = 0.0..=1e6;
+/// Allowed chances that a zone's reclaimable VMs go within an hour.
+///
+/// Basis: chosen, not measured.
+const ZONE_LOSSES: RangeInclusive<f64> = 0.0..=0.25;
+/// Allowed times until lost VMs are replaced, in minutes: up to a day.
+///
+/// Basis: chosen, not measured.
+const REPLACE_MINUTES: RangeInclusive<f64> = 0.1..=1_440.0;
+
+/// Values of keys that a service's row leaves out.
+///
+/// Basis: chosen, not measured; the target is that of the users' goals (CONTRIBUTING.md),
+/// shortage cost and zone loss are those of docs/measurements/fleet.md.
+mod defaults {
+    pub const CONCURRENCY: u64 = 32;
+    pub const TARGET_MS: f64 = 560.0;
+    pub const RECOMPUTE_WEIGHT: f64 = 1.0;
+    pub const SHORTAGE_COST: f64 = 20.0;
+    pub const ZONE_LOSS_PER_HOUR: f64 = 0.02;
+    pub const REPLACE_MINUTES: f64 = 6.0;
+}
+
 /// What a service's endpoints speak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -105,7 +144,7 @@
     AccountRow {
         name: reader.name("name"),
         api_key: reader.name("api_key"),
-        weight: reader.number("weight", 0.001..=LARGEST_LIMIT, 1.0),
+        weight: reader.number("weight", WEIGHTS, 1.0),
         tokens_per_s: reader.number("tokens_per_s", 0.0..=LARGEST_LIMIT, LARGEST_LIMIT),
     }
 }
@@ -116,14 +155,22 @@
         name: reader.name("name"),
         service_type: reader.choice("service_type", &types),
         repeatable: reader.flag("repeatable", true),
-        concurrency: reader.count("concurrency", 1..=100_000, 32) as u32,
-        min_vms: reader.count("min_vms", 0..=100_000, 0) as u32,
-        max_vms: reader.count("max_vms", 0..=100_000, 100_000) as u32,
-        target_ms: reader.number("target_ms", 1.0..=3_600_000.0, 560.0),
-        recompute_weight: reader.number("recompute_weight", 0.0..=1e6, 1.0),
-        shortage_cost: reader.number("shortage_cost", 0.0..=1e6, 20.0),
-        zone_loss_per_hour: reader.number("zone_loss_per_hour", 0.0..=0.25, 0.02),
-        replace_minutes: reader.number("replace_minutes", 0.1..=1_440.0, 6.0),
+        concurrency: reader.count("concurrency", 1..=LARGEST_COUNT, defaults::CONCURRENCY) as u32,
+        min_vms: reader.count("min_vms", 0..=LARGEST_COUNT, 0) as u32,
+        max_vms: reader.count("max_vms", 0..=LARGEST_COUNT, LARGEST_COUNT) as u32,
+        target_ms: reader.number("target_ms", TARGETS_MS, defaults::TARGET_MS),
+        recompute_weight: reader.number("recompute_weight", COSTS, defaults::RECOMPUTE_WEIGHT),
+        shortage_cost: reader.number("shortage_cost", COSTS, defaults::SHORTAGE_COST),
+        zone_loss_per_hour: reader.number(
+            "zone_loss_per_hour",
+            ZONE_LOSSES,
+            defaults::ZONE_LOSS_PER_HOUR,
+        ),
+        replace_minutes: reader.number(
+            "replace_minutes",
+            REPLACE_MINUTES,
+            defaults::REPLACE_MINUTES,
+        ),
     };
     if row.service_type == ServiceType::Model && !row.repeatable {
         reader.reject("repeatable", "true for a model service: its streams are resumed");
--- a/src/native/options/settings.rs
+++ b/src/native/options/settings.rs
@@ -1,7 +1,9 @@
-//! Settings of one daemon, from a JSON file.
+//! Settings of one daemon of the native interface, from a JSON file. Keys, ranges and defaults
+//! are documented in docs/settings.md.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, SocketAddrV4},
+    ops::RangeInclusive,
     time::Duration,
 };
 
@@ -58,11 +60,40 @@
     pub log_level: LogLevel,
 }
 
+/// Stands for an address that was rejected; the error keeps the settings from being used.
 const UNSET: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
+/// What errors say is allowed for an address.
 const ADDRESS: &str = "an IP address and port such as 127.0.0.1:8080";
+/// Names of the log levels; the first is the default.
 const LEVELS: [(&str, LogLevel); 3] =
     [("info", LogLevel::Info), ("debug", LogLevel::Debug), ("warn", LogLevel::Warn)];
 
+/// Durations may be set from 1 ms to this, in milliseconds: a day.
+///
+/// Basis: chosen, not measured.
+const DURATION_MS: RangeInclusive<u64> = 1..=86_400_000;
+/// Allowed numbers of copies of a request.
+///
+/// Basis: chosen, not measured; docs/design/copies.md has what each costs.
+const COPIES: RangeInclusive<u64> = 0..=3;
+/// Allowed limits of requests in progress.
+///
+/// Basis: chosen, not measured.
+const REQUESTS: RangeInclusive<u64> = 1..=1_000_000;
+
+/// Values of keys that a file leaves out.
+///
+/// Basis: chosen, not measured.
+mod defaults {
+    pub const COPIES: u64 = 2;
+    pub const DRAIN_MS: u64 = 600_000;
+    pub const ANSWER_KEEP_MS: u64 = 120_000;
+    pub const RESUME_GRACE_MS: u64 = 15_000;
+    pub const FIRST_TOKEN_TIMEOUT_MS: u64 = 10_000;
+    pub const TOKEN_TIMEOUT_MS: u64 = 2_000;
+    pub const REQUEST_LIMIT: u64 = 4_000;
+}
+
 impl DaemonSettings {
     /// Checks the text of a settings file.
     pub fn parse(text: &str) -> Result<Self, Vec<OptionError>> {
@@ -78,7 +109,7 @@
 
     fn read(reader: &mut FieldReader<'_>) -> Self {
         let millis = |reader: &mut FieldReader<'_>, key, default| {
-            Duration::from_millis(reader.count(key, 1..=86_400_000, default))
+            Duration::from_millis(reader.count(key, DURATION_MS, default))
         };
         Self {
             deployment: reader.name("deployment"),
@@ -89,13 +120,18 @@
             object_api: reader.parsed("object_api", ADDRESS, UNSET),
             cloud_api: reader.parsed("cloud_api", ADDRESS, UNSET),
             seeds: reader.parsed_list("seeds", "a list of IP addresses with ports"),
-            copies: reader.count("copies", 0..=3, 2) as usize,
-            drain: millis(reader, "drain_ms", 600_000),
-            answer_keep: millis(reader, "answer_keep_ms", 120_000),
-            resume_grace: millis(reader, "resume_grace_ms", 15_000),
-            first_token_timeout: millis(reader, "first_token_timeout_ms", 10_000),
-            token_timeout: millis(reader, "token_timeout_ms", 2_000),
-            request_limit: reader.count("request_limit", 1..=1_000_000, 4_000) as usize,
+            copies: reader.count("copies", COPIES, defaults::COPIES) as usize,
+            drain: millis(reader, "drain_ms", defaults::DRAIN_MS),
+            answer_keep: millis(reader, "answer_keep_ms", defaults::ANSWER_KEEP_MS),
+            resume_grace: millis(reader, "resume_grace_ms", defaults::RESUME_GRACE_MS),
+            first_token_timeout: millis(
+                reader,
+                "first_token_timeout_ms",
+                defaults::FIRST_TOKEN_TIMEOUT,
+            ),
+            token_timeout: millis(reader, "token_timeout_ms", defaults::TOKEN_TIMEOUT_MS),
+            request_limit: reader.count("request_limit", REQUESTS, defaults::REQUEST_LIMIT)
+                as usize,
             log_level: reader.choice("log_level", &LEVELS),
         }
     }
