--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -3,7 +3,7 @@
 //! Both paths use it: the native interface for its endpoints and the platform, the gateway
 //! for the platform only (its endpoints need control over single connections, see
 //! `gateway::request`). A call that fails says how: see [`FailureCause`] for what each cause
-//! tells of whether the other side may have acted.
+//! tells about whether the other side may have acted.
 
 use std::time::Duration;
 
--- a/src/native/options/rows.rs
+++ b/src/native/options/rows.rs
@@ -92,7 +92,7 @@
     pub min_vms: u32,
     /// Most VMs to hold.
     pub max_vms: u32,
-    /// Target for the first token or the answer, in milliseconds.
+    /// Target for the first token or the response, in milliseconds.
     pub target_ms: f64,
     /// What a recomputed token weighs; 1 is 50,000 tokens to a cost unit.
     pub recompute_weight: f64,
--- a/src/native/options/settings.rs
+++ b/src/native/options/settings.rs
@@ -46,11 +46,11 @@
     pub copies: usize,
     /// Longest time a planned stop waits for requests.
     pub drain: Duration,
-    /// How long a final answer is kept for a client that asks again.
+    /// How long a final response is kept for a client that asks again.
     pub answer_keep: Duration,
     /// How long a request goes on after its client's connection broke.
     pub resume_grace: Duration,
-    /// Longest wait for the first token or the answer of one attempt.
+    /// Longest wait for the first token or the response of one attempt.
     pub first_token_timeout: Duration,
     /// Longest wait between tokens before a stream is moved.
     pub token_timeout: Duration,
--- a/src/native/peer/calls.rs
+++ b/src/native/peer/calls.rs
@@ -164,7 +164,7 @@
         .await
     }
 
-    /// Has the holder of `ticket` run `call`, and waits for its final answer.
+    /// Has the holder of `ticket` run `call`, and waits for its final response.
     pub async fn run_once(
         &self,
         target: &PeerTarget,
@@ -221,7 +221,7 @@
         .await
     }
 
-    /// Reports the final answer of `ticket` to its witness.
+    /// Reports the final response of `ticket` to its witness.
     pub async fn settle(
         &self,
         target: &PeerTarget,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -15,8 +15,7 @@
 
 /// Longest wait for a response that the store gives at once.
 ///
-/// Basis: chosen, not measured: the store may be fifty times as slow as usual and still
-/// answer.
+/// Basis: chosen, not measured: a store fifty times as slow as usual still responds within it.
 const CALL_LIMIT: Duration = Duration::from_millis(1_200);
 /// How much later than asked a waiting watch may respond.
 ///
--- a/src/standin/clients.rs
+++ b/src/standin/clients.rs
@@ -32,7 +32,7 @@
 ///
 /// Basis: chosen, not measured: outlasts the faults of the tests.
 const TRIES: u32 = 40;
-/// Pause before asking another daemon after a broken connection.
+/// Pause before trying another daemon after a broken connection.
 ///
 /// Basis: chosen, not measured.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Asks for a ticket; none, for whatever reason, means asking again.
+    /// Requests a ticket; none, for whatever reason, means trying again.
     async fn fetch_ticket(&self, request: &ClientRequest, daemon: SocketAddr) -> Option<String> {
         let call = OutgoingCall::get("take ticket", daemon, "/v1/tickets")
             .with_json(Method::POST, "")
--- a/src/standin/clients/mix.rs
+++ b/src/standin/clients/mix.rs
@@ -41,7 +41,7 @@
     /// Words of each prompt's own.
     #[serde(default)]
     pub own_words: usize,
-    /// Tokens of the answer.
+    /// Tokens of the response.
     #[serde(default)]
     pub max_tokens: usize,
 }
--- a/src/standin/clients/report.rs
+++ b/src/standin/clients/report.rs
@@ -44,13 +44,13 @@
 pub struct ClientReport {
     /// Requests sent.
     pub requests: u64,
-    /// Whole and correct answers.
+    /// Whole and correct responses.
     pub answered: u64,
-    /// Requests given up after their last "not run".
+    /// Requests whose last try was refused as "not run".
     pub not_run: u64,
     /// Requests that may have run.
     pub unknown: u64,
-    /// Answers that were not the one expected.
+    /// Responses that were not the one expected.
     pub wrong: u64,
     /// Requests that came to nothing else.
     pub failed: u64,
@@ -58,7 +58,7 @@
     pub refusals: u64,
     /// Times a broken connection was resumed.
     pub resumed: u64,
-    /// First token or answer, in milliseconds: median, 95, 99 in 100.
+    /// First token or response, in milliseconds: median, 95, 99 in 100.
     pub first_token_ms: [f64; 3],
     /// Time between tokens, in milliseconds: median, 95, 99 in 100.
     pub token_gap_ms: [f64; 3],
--- a/src/standin/endpoint_state.rs
+++ b/src/standin/endpoint_state.rs
@@ -38,7 +38,7 @@
     pub fail: bool,
     /// Breaks each stream after this many tokens; 0 means never.
     pub cut_after: usize,
-    /// Number of answers to come that are lost after the request ran.
+    /// Number of responses to come that are lost after the request ran.
     pub lose_answers: u32,
     /// How late reported load is, in milliseconds.
     pub load_lag_ms: u64,
--- a/src/standin/engine_model.rs
+++ b/src/standin/engine_model.rs
@@ -98,13 +98,13 @@
     }
 }
 
-/// Token `index` of the answer to `prompt` under `seed`.
+/// Token `index` of the response to `prompt` under `seed`.
 pub fn answer_token(prompt: &str, seed: u64, index: usize) -> String {
     let hash = hash_parts(&[prompt.as_bytes(), &seed.to_le_bytes(), &index.to_le_bytes()]);
     format!("w{:x} ", hash % VOCABULARY)
 }
 
-/// The whole answer to `prompt`, against which tests compare byte for byte.
+/// The whole response to `prompt`, against which tests compare byte for byte.
 pub fn whole_answer(prompt: &str, seed: u64, tokens: usize) -> String {
     (0..tokens).map(|index| answer_token(prompt, seed, index)).collect()
 }
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -47,7 +47,7 @@
     pub outage: bool,
     /// Extra time each call takes, in milliseconds.
     pub delay_ms: u64,
-    /// Number of writes to come that take effect but whose answer is lost.
+    /// Number of writes to come that take effect but whose response is lost.
     pub lose_answers: u32,
     /// Number of reads to come that show the store as it was `stale_by` revisions ago.
     pub stale_reads: u32,
--- a/src/standin/reply.rs
+++ b/src/standin/reply.rs
@@ -51,7 +51,7 @@
     serde_json::from_slice(&read_body(request).await?).ok()
 }
 
-/// Merges the keys of a `POST /faults` body into `faults`, and answers with the result.
+/// Merges the keys of a `POST /faults` body into `faults`, and responds with the result.
 pub async fn change_faults<T: Serialize + DeserializeOwned>(
     request: Request<Incoming>,
     faults: &T,
