--- a/src/native/options/settings.rs
+++ b/src/native/options/settings.rs
@@ -127,7 +127,7 @@
             first_token_timeout: millis(
                 reader,
                 "first_token_timeout_ms",
-                defaults::FIRST_TOKEN_TIMEOUT,
+                defaults::FIRST_TOKEN_TIMEOUT_MS,
             ),
             token_timeout: millis(reader, "token_timeout_ms", defaults::TOKEN_TIMEOUT_MS),
             request_limit: reader.count("request_limit", REQUESTS, defaults::REQUEST_LIMIT)
