--- a/benches/decisions/fleet.rs
+++ b/benches/decisions/fleet.rs
@@ -26,6 +26,10 @@
 const SHORTAGE: f64 = 20.0;
 const ZONE_LOSS_PER_HOUR: f64 = 0.02;
 const REPLACE_HOURS: f64 = 0.1;
+/// Decisions of the planner in a minute.
+const PLANNER_ROUNDS: usize = 4;
+/// Minutes of surplus after which the simple ways release a VM.
+const RELEASE_AFTER_MINUTES: usize = 5;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Way {
@@ -116,84 +120,122 @@
 }
 
 fn play(world: &World, way: Way) -> Outcome {
-    let base = Instant::now();
-    let mut planner = FleetPlanner::default();
-    let mut vms: Vec<Vm> = Vec::new();
-    let mut number = 0;
-    let mut outcome = Outcome { vm_cost: 0.0, missing: 0.0, needed: 0.0, reclaimed: 0.0 };
-    let mut low_since = 0;
+    let mut run = FleetRun::new(world, way);
     for minute in 0..MINUTES {
-        let now = base + Duration::from_secs(60 * minute as u64);
-        let prices = &world.prices[minute];
-        let need = world.need[minute];
-        if let Some(lost) = world.waves.get(&minute) {
-            let lost = FleetPlace { zone: zone(*lost), class: PriceClass::Reclaimable };
-            // Seen with its notice first, gone in the next minute.
-            if let Way::Ours { recompute } = way {
-                let view = service_view(&vms, need, recompute, Some(&lost));
-                planner.decide(&view, prices, now);
-            }
-            outcome.reclaimed += vms.iter().filter(|vm| vm.place == lost).count() as f64;
-            vms.retain(|vm| vm.place != lost);
-        }
-        let refuses = |place: &FleetPlace| {
-            place.class == PriceClass::Reclaimable
-                && world.refusals.iter().any(|(refused, from, until)| {
-                    zone(*refused) == place.zone && (*from..*until).contains(&minute)
-                })
-        };
-        let mut start = |vms: &mut Vec<Vm>, place: &FleetPlace, name: Option<SharedName>| {
-            if refuses(place) {
-                return false;
-            }
-            number += 1;
-            let name = name.unwrap_or_else(|| format!("n{number}").into());
-            let ready_at = if minute == 0 { 0 } else { minute + START_MINUTES };
-            vms.push(Vm { number, name, place: place.clone(), ready_at });
-            true
-        };
+        run.lose_wave(minute);
         match way {
-            Way::Ours { recompute } => {
-                // Several rounds fit into a minute.
-                for _ in 0..4 {
-                    let view = service_view(&vms, need, recompute, None);
-                    for action in planner.decide(&view, prices, now) {
-                        match action {
-                            FleetAction::Start { name, place } => {
-                                if !start(&mut vms, &place, Some(name)) {
-                                    planner.refused(&place, now);
-                                }
-                            }
-                            FleetAction::Release { id } => {
-                                vms.retain(|vm| vm_id(vm) != id);
-                            }
+            Way::Ours { recompute } => run.follow_planner(minute, recompute),
+            Way::OnDemandOnly | Way::CheapestOnly => run.follow_need(minute),
+        }
+        run.account(minute);
+    }
+    run.outcome
+}
+
+/// One way's fleet on its way through a world.
+struct FleetRun<'a> {
+    world: &'a World,
+    way: Way,
+    base: Instant,
+    planner: FleetPlanner,
+    vms: Vec<Vm>,
+    started: usize,
+    /// Last minute without a surplus.
+    low_since: usize,
+    outcome: Outcome,
+}
+
+impl<'a> FleetRun<'a> {
+    fn new(world: &'a World, way: Way) -> Self {
+        Self {
+            world,
+            way,
+            base: Instant::now(),
+            planner: FleetPlanner::default(),
+            vms: Vec::new(),
+            started: 0,
+            low_since: 0,
+            outcome: Outcome { vm_cost: 0.0, missing: 0.0, needed: 0.0, reclaimed: 0.0 },
+        }
+    }
+
+    fn at(&self, minute: usize) -> Instant {
+        self.base + Duration::from_secs(60 * minute as u64)
+    }
+
+    /// Takes the VMs of this minute's wave, which the planner sees with its notice first.
+    fn lose_wave(&mut self, minute: usize) {
+        let Some(lost) = self.world.waves.get(&minute) else { return };
+        let lost = FleetPlace { zone: zone(*lost), class: PriceClass::Reclaimable };
+        if let Way::Ours { recompute } = self.way {
+            let view = service_view(&self.vms, self.world.need[minute], recompute, Some(&lost));
+            self.planner.decide(&view, &self.world.prices[minute], self.at(minute));
+        }
+        self.outcome.reclaimed += self.vms.iter().filter(|vm| vm.place == lost).count() as f64;
+        self.vms.retain(|vm| vm.place != lost);
+    }
+
+    /// Several rounds of the planner fit into a minute.
+    fn follow_planner(&mut self, minute: usize, recompute: f64) {
+        let now = self.at(minute);
+        for _ in 0..PLANNER_ROUNDS {
+            let view = service_view(&self.vms, self.world.need[minute], recompute, None);
+            for action in self.planner.decide(&view, &self.world.prices[minute], now) {
+                match action {
+                    FleetAction::Start { name, place } => {
+                        if !self.start(minute, &place, Some(name)) {
+                            self.planner.refused(&place, now);
                         }
                     }
+                    FleetAction::Release { id } => self.vms.retain(|vm| vm_id(vm) != id),
                 }
             }
-            Way::OnDemandOnly | Way::CheapestOnly => {
-                let (starts, place, surplus) = simple_actions(way, need, &vms, prices);
-                for _ in 0..starts {
-                    start(&mut vms, &place, None);
-                }
-                // Like ours, it waits some minutes before it releases.
-                low_since = if surplus == 0 { minute } else { low_since };
-                if minute - low_since >= 5 {
-                    vms.truncate(vms.len() - surplus.min(1));
-                }
-            }
         }
-        let ready = vms.iter().filter(|vm| vm.ready_at <= minute).count() as f64;
-        outcome.missing += (need - ready).max(0.0);
-        outcome.needed += need;
+    }
+
+    /// Starts what is missing; like the planner, waits some minutes before it releases.
+    fn follow_need(&mut self, minute: usize) {
+        let need = self.world.need[minute];
+        let (starts, place, surplus) =
+            simple_actions(self.way, need, &self.vms, &self.world.prices[minute]);
+        for _ in 0..starts {
+            self.start(minute, &place, None);
+        }
+        self.low_since = if surplus == 0 { minute } else { self.low_since };
+        if minute - self.low_since >= RELEASE_AFTER_MINUTES {
+            self.vms.truncate(self.vms.len() - surplus.min(1));
+        }
+    }
+
+    /// Starts a VM unless its zone refuses.
+    fn start(&mut self, minute: usize, place: &FleetPlace, name: Option<SharedName>) -> bool {
+        let refuses = place.class == PriceClass::Reclaimable
+            && self.world.refusals.iter().any(|(refused, from, until)| {
+                zone(*refused) == place.zone && (*from..*until).contains(&minute)
+            });
+        if refuses {
+            return false;
+        }
+        self.started += 1;
+        let number = self.started;
+        let name = name.unwrap_or_else(|| format!("n{number}").into());
+        let ready_at = if minute == 0 { 0 } else { minute + START_MINUTES };
+        self.vms.push(Vm { number, name, place: place.clone(), ready_at });
+        true
+    }
+
+    fn account(&mut self, minute: usize) {
+        let (need, prices) = (self.world.need[minute], &self.world.prices[minute]);
+        let ready = self.vms.iter().filter(|vm| vm.ready_at <= minute).count() as f64;
+        self.outcome.missing += (need - ready).max(0.0);
+        self.outcome.needed += need;
         let price_of = |vm: &Vm| {
             let same =
                 |price: &&PriceEntry| price.zone == vm.place.zone && price.class == vm.place.class;
             prices.iter().find(same).map_or(0.0, |price| price.per_hour)
         };
-        outcome.vm_cost += vms.iter().map(price_of).sum::<f64>() / 60.0;
+        self.outcome.vm_cost += self.vms.iter().map(price_of).sum::<f64>() / 60.0;
     }
-    outcome
 }
 
 fn vm_id(vm: &Vm) -> SharedName {
--- a/benches/decisions/reclaim.rs
+++ b/benches/decisions/reclaim.rs
@@ -80,7 +80,7 @@
         let ways: Vec<ReclaimWay> = match way {
             Way::Restart | Way::ResumeOnly => vec![ReclaimWay::Resume; streams.len()],
             Way::Ours => plan(&shapes, notice_ms, recompute),
-            // NOTE: knows each answer's length, and uses the margin too.
+            // Knows each answer's length, and uses the margin too.
             Way::Clairvoyant => plan(&shapes, notice_ms / 0.85, recompute),
         };
         let mut staying = Vec::new();
