--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -6,7 +6,7 @@
 //! duration that is negative or too long to represent counts as zero, and one log line for
 //! each decoded configuration says so.
 
-use std::{collections::BTreeMap, time::Duration};
+use std::{cell::Cell, collections::BTreeMap, time::Duration};
 
 use serde::Deserialize;
 
@@ -152,24 +152,24 @@
 /// Converts durations and counts those that do not fit.
 #[derive(Default)]
 struct DurationReader {
-    rejected: u32,
+    rejected: Cell<u32>,
 }
 
 impl DurationReader {
-    fn seconds(&mut self, value: f64) -> Duration {
+    fn seconds(&self, value: f64) -> Duration {
         Duration::try_from_secs_f64(value).unwrap_or_else(|_| {
-            self.rejected += 1;
+            self.rejected.set(self.rejected.get() + 1);
             Duration::ZERO
         })
     }
 
-    fn millis(&mut self, value: f64) -> Duration {
+    fn millis(&self, value: f64) -> Duration {
         self.seconds(value / MS_PER_S)
     }
 
     fn log_rejected(&self, version: u64) {
-        if self.rejected > 0 {
-            let durations = self.rejected;
+        let durations = self.rejected.get();
+        if durations > 0 {
             spdlog::warn!("configuration: negative or too long, read as 0", kv: { version, durations });
         }
     }
@@ -178,14 +178,14 @@
 /// Decodes a configuration.
 pub fn decode(text: &[u8]) -> Result<Configuration, serde_json::Error> {
     let spec: ConfigurationSpec = serde_json::from_slice(text)?;
-    let mut durations = DurationReader::default();
-    let limits = to_limits(spec.limits.as_ref(), &mut durations);
+    let durations = DurationReader::default();
+    let limits = to_limits(spec.limits.as_ref(), &durations);
     let mut configuration = Configuration::new(spec.version, limits);
     for route in spec.routes {
-        configuration.add_route(to_route(route, &mut durations));
+        configuration.add_route(to_route(route, &durations));
     }
     for service in spec.services {
-        configuration.add_service(to_service(service, &mut durations));
+        configuration.add_service(to_service(service, &durations));
     }
     for tenant in spec.tenants {
         let keys = tenant.api_keys.clone();
@@ -195,20 +195,20 @@
     Ok(configuration)
 }
 
-fn to_limits(spec: Option<&LimitsSpec>, durations: &mut DurationReader) -> ClientLimits {
+fn to_limits(spec: Option<&LimitsSpec>, durations: &DurationReader) -> ClientLimits {
+    let millis = |value| durations.millis(value);
     let default = ClientLimits::default();
     let Some(spec) = spec else { return default };
     ClientLimits {
         head_bytes: spec.max_header_bytes.unwrap_or(default.head_bytes),
         body_bytes: spec.max_body_bytes.unwrap_or(default.body_bytes),
-        head_time: spec
-            .header_timeout_ms
-            .map_or(default.head_time, |value| durations.millis(value)),
-        idle_time: spec.idle_timeout_ms.map_or(default.idle_time, |value| durations.millis(value)),
+        head_time: spec.header_timeout_ms.map_or(default.head_time, millis),
+        idle_time: spec.idle_timeout_ms.map_or(default.idle_time, millis),
     }
 }
 
-fn to_route(spec: RouteSpec, durations: &mut DurationReader) -> Route {
+fn to_route(spec: RouteSpec, durations: &DurationReader) -> Route {
+    let millis = |value| durations.millis(value);
     let mut split: Vec<(SharedName, u32)> =
         spec.traffic_split.into_iter().map(|part| (part.service, part.weight)).collect();
     if let Some(service) = spec.service {
@@ -224,9 +224,9 @@
         host: spec.host,
         prefix: spec.path_prefix,
         kind,
-        limit: spec.timeout_ms.filter(|value| *value > 0.0).map(|value| durations.millis(value)),
-        target: spec.target_latency_ms.map_or(DEFAULT_TARGET, |value| durations.millis(value)),
-        gap_target: spec.gap_target_ms.map(|value| durations.millis(value)),
+        limit: spec.timeout_ms.filter(|value| *value > 0.0).map(millis),
+        target: spec.target_latency_ms.map_or(DEFAULT_TARGET, millis),
+        gap_target: spec.gap_target_ms.map(millis),
         priority: spec.priority,
         split,
         attempts: spec.attempts.unwrap_or(1).max(1),
@@ -234,7 +234,7 @@
     }
 }
 
-fn to_service(spec: ServiceSpec, durations: &mut DurationReader) -> Service {
+fn to_service(spec: ServiceSpec, durations: &DurationReader) -> Service {
     let engine = spec
         .engine
         .map(|engine| EngineSpec { slots: engine.slots.max(1), memory_tokens: engine.kv_capacity });
