--- a/src/errors.rs
+++ b/src/errors.rs
@@ -1,4 +1,7 @@
-//! Errors carry the step and the peer at which they arose.
+//! Errors of calls to other processes: the step, the peer and the cause. The cause tells
+//! whether the other side may have acted, which decides whether a call may be retried.
+
+use std::time::Duration;
 
 use derive_more::{Display, Error};
 
@@ -10,16 +13,16 @@
     /// No connection could be made: nothing was sent.
     #[display("connection refused: {_0}")]
     Unreachable(#[error(not(source))] String),
-    /// The peer did not answer in time; it may have acted.
+    /// No response in time, in milliseconds; the peer may have acted.
     #[display("no answer within {_0} ms")]
     TimedOut(#[error(not(source))] u64),
-    /// The connection broke after the request was begun.
+    /// The connection broke after the request was begun; the peer may have acted.
     #[display("connection broke: {_0}")]
     Broken(#[error(not(source))] String),
-    /// The peer answered with a status that means failure.
+    /// The peer responded with a status that means failure.
     #[display("answered status {_0}")]
     Status(#[error(not(source))] u16),
-    /// The peer's answer could not be decoded.
+    /// The peer's response could not be decoded, or the request not be encoded.
     #[display("malformed answer: {_0}")]
     Malformed(#[error(not(source))] String),
     /// A conditional write lost against another.
@@ -30,6 +33,13 @@
     Refused(#[error(not(source))] String),
 }
 
+impl FailureCause {
+    /// No response within `limit`.
+    pub fn timed_out(limit: Duration) -> Self {
+        Self::TimedOut(limit.as_millis() as u64)
+    }
+}
+
 /// A failed step: what was being done, with whom, and why it failed.
 #[derive(Clone, Debug, Display, Error)]
 #[display("{step} at {peer}: {cause}")]
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,13 +1,26 @@
-//! Counters, gauges and histograms, shown in the usual text format.
+//! Counters, gauges and histograms of one daemon, rendered in Prometheus' text format. Both
+//! paths use it; names get the prefix `willowarch_`. Updates cannot fail and touch no I/O.
 
-use std::{cell::RefCell, collections::BTreeMap, fmt::Write, rc::Rc, time::Duration};
+use std::{
+    cell::RefCell,
+    collections::BTreeMap,
+    fmt::{Arguments, Write},
+    rc::Rc,
+    time::Duration,
+};
 
 use hdrhistogram::Histogram;
 
 /// Quantiles shown of each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
-/// Significant digits kept.
+/// Significant digits kept in histograms.
+///
+/// Basis: chosen, not measured: quantiles within 1%.
 const PRECISION: u8 = 2;
+/// Longest duration told apart in histograms, in microseconds: an hour.
+///
+/// Basis: chosen, not measured: longer than any request; longer durations count as this.
+const HIGHEST_US: u64 = 3_600_000_000;
 
 #[derive(Debug, Default)]
 struct MetricsState {
@@ -55,26 +68,33 @@
     pub fn render(&self) -> String {
         let state = self.state.borrow();
         let mut text = String::new();
-        // NOTE: writing to a string cannot fail.
         for (name, value) in &state.counters {
-            let _ = writeln!(text, "willowarch_{name} {value}");
+            push_line(&mut text, format_args!("willowarch_{name} {value}"));
         }
         for (name, value) in &state.gauges {
-            let _ = writeln!(text, "willowarch_{name} {value}");
+            push_line(&mut text, format_args!("willowarch_{name} {value}"));
         }
         for (name, histogram) in &state.histograms {
             for quantile in QUANTILES {
                 let micros = histogram.value_at_quantile(quantile);
-                let _ = writeln!(text, "willowarch_{name}_us{{quantile=\"{quantile}\"}} {micros}");
+                push_line(
+                    &mut text,
+                    format_args!("willowarch_{name}_us{{quantile=\"{quantile}\"}} {micros}"),
+                );
             }
-            let _ = writeln!(text, "willowarch_{name}_us_count {}", histogram.len());
+            push_line(&mut text, format_args!("willowarch_{name}_us_count {}", histogram.len()));
         }
         text
     }
 }
 
+fn push_line(text: &mut String, line: Arguments<'_>) {
+    // Writing to a string cannot fail.
+    let _ = text.write_fmt(line);
+    text.push('\n');
+}
+
 fn new_histogram() -> Histogram<u64> {
-    const HIGHEST_US: u64 = 3_600_000_000;
-    // NOTE: the arguments are constants within the allowed bounds.
+    // The arguments are constants within the allowed bounds.
     Histogram::new_with_max(HIGHEST_US, PRECISION).expect("constant histogram bounds")
 }
