--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,30 +1,46 @@
 //! The operators' configuration as the gateway uses it, and the search for a route.
+//!
+//! A configuration is decoded by the platform's adapter from the store's text, then shared and
+//! never changed. `context` holds the newest one; a request keeps to the one it was admitted by.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
 use crate::ids::SharedName;
 
-/// What may be repeated of a route's requests.
+/// Largest head in bytes, where the configuration names no limit.
+/// Basis: chosen, not measured: room for a few long headers.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
+/// Largest body in bytes, where the configuration names no limit.
+/// Basis: chosen, not measured: bodies are held whole while a request runs.
+const DEFAULT_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Time for a head, where the configuration names no limit.
+/// Basis: chosen, not measured; not enforced by itself, see `ClientLimits::head_timeout`.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which an idle connection is closed, where the configuration names none.
+/// Basis: chosen, not measured: long enough for clients to reuse their connections.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// How often a route's requests may run, and what their responses are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May run more than once, with the same effect as running once.
     Idempotent,
-    /// Runs at most once for each request.
+    /// Runs at most once.
     Once,
-    /// Answers with a stream of events; may be continued elsewhere only where `resume`.
+    /// Responds with a stream of events.
     Stream {
-        /// Whether another endpoint may continue after the last event.
+        /// Whether another endpoint may run it again, to resume after the last event.
         resume: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be sent again.
-    pub fn may_repeat(self) -> bool {
+    /// Whether a request that may have run may be sent again.
+    pub fn may_run_again(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resume: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
@@ -39,24 +55,34 @@
     pub host: SharedName,
     /// Path prefix, beginning and ending with a slash.
     pub prefix: SharedName,
-    /// What may be repeated.
+    /// How often its requests may run.
     pub kind: RouteKind,
-    /// Longest time a request is held.
-    pub limit: Option<Duration>,
-    /// Time within which the first part of an answer is worth its full credit.
+    /// Time within which a request must be over, counted from its arrival.
+    pub timeout: Option<Duration>,
+    /// Time within which the first part of a response should come. The adapter puts 1 s where
+    /// the route names none.
     pub target: Duration,
-    /// Longest pause between events of a stream that keeps it in time.
+    /// Time within which each further event of a stream should come.
     pub gap_target: Option<Duration>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights.
-    pub split: Vec<(SharedName, u32)>,
-    /// Most endpoints that one request may go to.
+    /// Services among which requests are divided by weight.
+    pub services: Vec<ServiceWeight>,
+    /// Attempts that may reach an endpoint for one request; at least 1.
     pub attempts: u32,
     /// Whether no key is asked for.
     pub public: bool,
 }
 
+/// Part of a route's requests that a service gets.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ServiceWeight {
+    /// Service.
+    pub service: SharedName,
+    /// Weight among those of the route; 0 gets nothing.
+    pub weight: u32,
+}
+
 /// Engine model of a service that generates tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
@@ -70,12 +96,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSpec {
     /// Fewest endpoints in each zone.
-    pub least: u32,
-    /// Most endpoints in each zone.
-    pub most: u32,
+    pub min: u32,
+    /// Most endpoints in each zone; not below `min`.
+    pub max: u32,
     /// Time until a new endpoint serves.
     pub start_time: Duration,
-    /// Price of a reclaimable endpoint as a share of the others'; none if there are none.
+    /// Price of a reclaimable endpoint as a fraction of the others'; none if there are none.
     pub reclaimable_price: Option<f64>,
     /// Price of an endpoint second in each zone.
     pub zone_prices: Vec<(SharedName, f64)>,
@@ -97,12 +123,12 @@
 pub struct AccountQuota {
     /// Units a second; none sets no limit.
     pub rate: Option<f64>,
-    /// Units that may be spent at once beyond the rate.
+    /// Units that may be spent at once: the size of the bucket.
     pub burst: f64,
     /// Whether units are tokens (else requests).
     pub in_tokens: bool,
-    /// Tokens that a request counts as that names none.
-    pub plain_tokens: u64,
+    /// Tokens charged for a request that doesn't say how many it takes.
+    pub default_tokens: u64,
 }
 
 /// One client account.
@@ -123,20 +149,20 @@
     pub head_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head. Read from the configuration and not enforced by itself: a head
-    /// that never ends is cut off with an idle connection (docs/findings.md).
-    pub head_time: Duration,
-    /// Longest time that a connection may rest.
-    pub idle_time: Duration,
+    /// Time for a whole head. Not enforced by itself: a head that never ends is cut off with
+    /// an idle connection.
+    pub head_timeout: Duration,
+    /// Time after which an idle connection is closed.
+    pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
-            head_bytes: 16 * 1024,
-            body_bytes: 4 * 1024 * 1024,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_bytes: DEFAULT_HEAD_BYTES,
+            body_bytes: DEFAULT_BODY_BYTES,
+            head_timeout: DEFAULT_HEAD_TIMEOUT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         }
     }
 }
--- a/src/gateway/configuration_check.rs
+++ b/src/gateway/configuration_check.rs
@@ -1,12 +1,12 @@
-//! Checks of a configuration before it is written: what the store takes, but operators
-//! hardly mean.
+//! Checks of a configuration before it is written: the store accepts these, but they are
+//! probably mistakes. Used by the operators' tool; the daemon applies what the store holds.
 
 use derive_more::Display;
 
 use super::configuration::{Configuration, Route, RouteKind};
 use crate::ids::SharedName;
 
-/// Something that operators hardly mean.
+/// Probable mistake in a configuration.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ConfigurationProblem {
     /// A route names a service that does not exist.
@@ -29,7 +29,7 @@
     /// A request that may run once only is given several attempts.
     #[display("route {_0}: attempts above 1 have no effect on non_idempotent routes")]
     UselessAttempts(SharedName),
-    /// A fleet can never hold an endpoint.
+    /// A fleet that is never allowed an endpoint.
     #[display("service {_0}: autoscale.max is 0")]
     EmptyFleet(SharedName),
 }
@@ -49,7 +49,7 @@
         }
     }
     for service in configuration.services.values() {
-        if service.fleet.as_ref().is_some_and(|fleet| fleet.most == 0) {
+        if service.fleet.as_ref().is_some_and(|fleet| fleet.max == 0) {
             found.push(ConfigurationProblem::EmptyFleet(service.name.clone()));
         }
     }
@@ -62,13 +62,13 @@
     found: &mut Vec<ConfigurationProblem>,
 ) {
     let name = &route.name;
-    for (service, _) in &route.split {
-        if !configuration.services.contains_key(service) {
-            let (route, service) = (name.clone(), service.clone());
+    for entry in &route.services {
+        if !configuration.services.contains_key(&entry.service) {
+            let (route, service) = (name.clone(), entry.service.clone());
             found.push(ConfigurationProblem::UnknownService { route, service });
         }
     }
-    if route.split.iter().all(|(_, weight)| *weight == 0) {
+    if route.services.iter().all(|entry| entry.weight == 0) {
         found.push(ConfigurationProblem::NoService(name.clone()));
     }
     if !(route.prefix.starts_with('/') && route.prefix.ends_with('/')) {
--- a/src/gateway/policy/fleet_size.rs
+++ b/src/gateway/policy/fleet_size.rs
@@ -182,16 +182,16 @@
     ) -> EndpointTargets {
         let zones = held.len().max(1);
         let others = (zones - 1).max(1) as f64;
-        let least = spec.least.max(1);
+        let least = spec.min.max(1);
         let wanted = (self.need / others).ceil() as u32;
-        let wanted = wanted.clamp(least, spec.most);
+        let wanted = wanted.clamp(least, spec.max);
         let mut targets = EndpointTargets::new();
         for zone in held.keys() {
             targets.insert((zone.clone(), PriceClass::Reclaimable), wanted);
         }
         let on_demand: u32 = held.values().map(|holding| holding.on_demand).sum();
         let mut missing = self.missing(held);
-        if self.turned_down.is_empty() && wanted < spec.most {
+        if self.turned_down.is_empty() && wanted < spec.max {
             // NOTE: reclaimable ones can be had, and start as fast; others only stay until then.
             missing = missing.min(on_demand);
         }
@@ -209,13 +209,13 @@
                 true => holding.reclaimable,
                 false => holding.reclaimable.max(wanted),
             };
-            let room = spec.most.saturating_sub(reserved);
+            let room = spec.max.saturating_sub(reserved);
             // NOTE: both classes together must leave the zone its least number.
             let floor = least.saturating_sub(holding.reclaimable);
             let count = share.max(floor).min(room.max(floor));
             missing = missing.saturating_sub(count);
             targets.insert(((*zone).clone(), PriceClass::OnDemand), count);
-            let left = spec.most.saturating_sub(count).max(least);
+            let left = spec.max.saturating_sub(count).max(least);
             if wanted > left {
                 targets.insert(((*zone).clone(), PriceClass::Reclaimable), left);
             }
@@ -241,7 +241,7 @@
     ) -> EndpointTargets {
         let zones = held.len().max(1) as f64;
         let wanted = (self.need / zones).ceil() as u32;
-        let wanted = wanted.clamp(spec.least, spec.most);
+        let wanted = wanted.clamp(spec.min, spec.max);
         let class = PriceClass::OnDemand;
         held.keys().map(|zone| ((zone.clone(), class), wanted)).collect()
     }
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -50,7 +50,7 @@
     let configuration = context.configuration().ok_or(Refusal::NoConfiguration)?;
     let route = configuration.route(&head.host, head.path()).ok_or(Refusal::NoRoute)?.clone();
     let account = find_account(context, &configuration, &route, &head, received)?;
-    let held = [head.deadline, route.limit].into_iter().flatten().min();
+    let held = [head.deadline, route.timeout].into_iter().flatten().min();
     let deadline = received + held.unwrap_or(DEFAULT_DEADLINE);
     let body = read_body(body, configuration.limits.body_bytes, deadline).await?;
     let service =
@@ -101,13 +101,13 @@
 }
 
 fn pick_service(configuration: &Configuration, route: &Route) -> Option<Rc<Service>> {
-    let total: u32 = route.split.iter().map(|(_, weight)| weight).sum();
+    let total: u32 = route.services.iter().map(|entry| entry.weight).sum();
     let mut point = rand::rng().random_range(0..total.max(1));
-    for (name, weight) in &route.split {
-        if point < *weight {
-            return configuration.services.get(name).cloned();
+    for entry in &route.services {
+        if point < entry.weight {
+            return configuration.services.get(&entry.service).cloned();
         }
-        point -= weight;
+        point -= entry.weight;
     }
     None
 }
@@ -117,7 +117,7 @@
     if !account.quota.in_tokens {
         return 1;
     }
-    head.tokens.map_or(account.quota.plain_tokens, |tokens| tokens.total())
+    head.tokens.map_or(account.quota.default_tokens, |tokens| tokens.total())
 }
 
 fn spend_quota(
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -94,7 +94,7 @@
     trace.attempt(&choice);
     let load = RunLoad { uncached: choice.uncached, memory: memory_tokens(&admitted.call.head) };
     let guard = RunGuard::begin(context.clone(), &endpoint, &admitted.call.head.parts, load);
-    let repeatable = admitted.route.kind.may_repeat();
+    let repeatable = admitted.route.kind.may_run_again();
     let taking = context.connections.take(&endpoint, repeatable, admitted.deadline);
     let mut connection = match taking.await {
         Ok(connection) => connection,
@@ -234,7 +234,7 @@
 fn attempt_timeout(admitted: &Admitted, attempts: &Attempts, now: Instant) -> Instant {
     let route = &admitted.route;
     let last = attempts.sent + 1 >= route.attempts;
-    if last || !route.kind.may_repeat() {
+    if last || !route.kind.may_run_again() {
         return admitted.deadline;
     }
     let times = if route.kind.is_stream() { STREAM_PATIENCE } else { PLAIN_PATIENCE };
--- a/src/gateway/request/client_listener.rs
+++ b/src/gateway/request/client_listener.rs
@@ -98,16 +98,16 @@
     }
     loop {
         let limits = context.configuration().map(|current| current.limits).unwrap_or_default();
-        let close_at = usage.rested_since.get() + limits.idle_time + REST_MARGIN;
+        let close_at = usage.rested_since.get() + limits.idle_timeout + REST_MARGIN;
         tokio::select! {
             _ = connection.as_mut() => return,
             () = sleep_until(close_at), if !usage.busy.get() => {
-                if usage.rested_since.get() + limits.idle_time + REST_MARGIN > Instant::now() {
+                if usage.rested_since.get() + limits.idle_timeout + REST_MARGIN > Instant::now() {
                     continue;
                 }
                 break;
             }
-            () = sleep(limits.idle_time), if usage.busy.get() => continue,
+            () = sleep(limits.idle_timeout), if usage.busy.get() => continue,
             _ = phase.wait_for(|phase| *phase >= LifePhase::Draining) => break,
         }
     }
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -123,7 +123,7 @@
             }
             AttemptEnd::Unknown => {
                 attempts.maybe_run = true;
-                let again = admitted.route.kind.may_repeat() && may_go_on(attempts);
+                let again = admitted.route.kind.may_run_again() && may_go_on(attempts);
                 if !again {
                     let over = Instant::now() >= admitted.deadline;
                     return Err(if over { Refusal::OutOfTime } else { Refusal::Unknown });
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -198,7 +198,7 @@
     fn wait_until(&self) -> Instant {
         let deadline = self.admitted.deadline;
         let route = &self.admitted.route;
-        let resumable = route.kind.is_stream() && route.kind.may_repeat();
+        let resumable = route.kind.is_stream() && route.kind.may_run_again();
         if self.cutter.is_none() || !resumable || self.attempts.sent >= route.attempts {
             return deadline;
         }
@@ -215,7 +215,7 @@
             self.context.connections.discard_connections(upstream.guard.endpoint());
             upstream.guard.finish(AttemptResult::Failed);
         }
-        if self.cutter.is_none() || !self.admitted.route.kind.may_repeat() {
+        if self.cutter.is_none() || !self.admitted.route.kind.may_run_again() {
             return false;
         }
         while may_try_again(&self.context, &self.admitted, &self.attempts) {
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -7,7 +7,7 @@
 use crate::{
     gateway::configuration::{
         Account, AccountQuota, ClientLimits, Configuration, EngineSpec, FleetSpec, Route,
-        RouteKind, Service,
+        RouteKind, Service, ServiceWeight,
     },
     ids::SharedName,
 };
@@ -143,18 +143,21 @@
     ClientLimits {
         head_bytes: spec.max_header_bytes.unwrap_or(default.head_bytes),
         body_bytes: spec.max_body_bytes.unwrap_or(default.body_bytes),
-        head_time: spec.header_timeout_ms.map_or(default.head_time, millis),
-        idle_time: spec.idle_timeout_ms.map_or(default.idle_time, millis),
+        head_timeout: spec.header_timeout_ms.map_or(default.head_timeout, millis),
+        idle_timeout: spec.idle_timeout_ms.map_or(default.idle_timeout, millis),
     }
 }
 
 fn to_route(spec: RouteSpec) -> Route {
     const DEFAULT_TARGET: Duration = Duration::from_secs(1);
-    let mut split: Vec<(SharedName, u32)> =
-        spec.traffic_split.into_iter().map(|part| (part.service, part.weight)).collect();
-    if let Some(service) = spec.service {
-        split = vec![(service, 1)];
-    }
+    let services = match spec.service {
+        Some(service) => vec![ServiceWeight { service, weight: 1 }],
+        None => {
+            let weighted =
+                |part: SplitSpec| ServiceWeight { service: part.service, weight: part.weight };
+            spec.traffic_split.into_iter().map(weighted).collect()
+        }
+    };
     let kind = match spec.kind {
         KindSpec::Idempotent => RouteKind::Idempotent,
         KindSpec::NonIdempotent => RouteKind::Once,
@@ -165,11 +168,11 @@
         host: spec.host,
         prefix: spec.path_prefix,
         kind,
-        limit: spec.timeout_ms.filter(|value| *value > 0.0).map(millis),
+        timeout: spec.timeout_ms.filter(|value| *value > 0.0).map(millis),
         target: spec.target_latency_ms.map_or(DEFAULT_TARGET, millis),
         gap_target: spec.gap_target_ms.map(millis),
         priority: spec.priority,
-        split,
+        services,
         attempts: spec.attempts.unwrap_or(1).max(1),
         public: spec.public,
     }
@@ -180,8 +183,8 @@
         .engine
         .map(|engine| EngineSpec { slots: engine.slots.max(1), memory_tokens: engine.kv_capacity });
     let fleet = spec.autoscale.map(|fleet| FleetSpec {
-        least: fleet.min,
-        most: fleet.max.max(fleet.min),
+        min: fleet.min,
+        max: fleet.max.max(fleet.min),
         start_time: Duration::try_from_secs_f64(fleet.boot_s).unwrap_or_default(),
         reclaimable_price: fleet.spot_price,
         zone_prices: fleet.zone_prices.into_iter().collect(),
@@ -194,7 +197,7 @@
         rate: spec.per_s.filter(|rate| *rate > 0.0),
         burst: spec.burst.unwrap_or(0.0).max(0.0),
         in_tokens: spec.unit.as_deref() == Some("tokens"),
-        plain_tokens: spec.plain_tokens.unwrap_or(1),
+        default_tokens: spec.plain_tokens.unwrap_or(1),
     };
     Account { name: spec.name, priority: spec.priority, quota }
 }
--- a/tests/gateway/decoders.rs
+++ b/tests/gateway/decoders.rs
@@ -47,11 +47,11 @@
     expect_that!(read.version, eq(7));
     let stream = read.route("h.example", "/a/x").expect("route");
     expect_that!(stream.kind, eq(RouteKind::Stream { resume: true }));
-    expect_that!(stream.split.len(), eq(2));
+    expect_that!(stream.services.len(), eq(2));
     expect_that!(stream.attempts, eq(2));
     let once = read.route("h.example", "/b/").expect("route");
     expect_that!(once.kind, eq(RouteKind::Once));
-    expect_that!(once.limit, none());
+    expect_that!(once.timeout, none());
     expect_that!(once.public, eq(true));
     let account = read.account_of("k-2").expect("account");
     expect_that!(&*account.name, eq("t-1"));
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -16,8 +16,8 @@
 
 fn spec() -> FleetSpec {
     FleetSpec {
-        least: 1,
-        most: 10,
+        min: 1,
+        max: 10,
         start_time: Duration::from_secs(4),
         reclaimable_price: Some(0.15),
         zone_prices: ZONES.iter().map(|zone| ((*zone).into(), 1.0)).collect(),
--- a/tests/gateway/pure_parts.rs
+++ b/tests/gateway/pure_parts.rs
@@ -9,7 +9,7 @@
 use willowarch::{
     endpoint_health::AttemptResult,
     gateway::{
-        configuration::{Configuration, Route, RouteKind},
+        configuration::{Configuration, Route, RouteKind, ServiceWeight},
         endpoint::{EndpointList, EndpointRecord, EndpointState},
         gossip::report_source::ReportSource,
         policy::{
@@ -253,11 +253,11 @@
             host: host.into(),
             prefix: prefix.into(),
             kind: RouteKind::Once,
-            limit: None,
+            timeout: None,
             target: millis(100),
             gap_target: None,
             priority: 0,
-            split: vec![("pool".into(), 1)],
+            services: vec![ServiceWeight { service: "pool".into(), weight: 1 }],
             attempts: 1,
             public: true,
         });
--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -29,7 +29,7 @@
 }
 
 const QUOTA: AccountQuota =
-    AccountQuota { rate: Some(1_000.0), burst: 1_000.0, in_tokens: true, plain_tokens: 1 };
+    AccountQuota { rate: Some(1_000.0), burst: 1_000.0, in_tokens: true, default_tokens: 1 };
 
 /// Daemons that ask for more than the quota and tell each other every `word_ms`.
 fn flood(daemons: usize, word_ms: u64, kill_at_ms: &[u64]) -> Vec<(u64, u64)> {
@@ -167,7 +167,7 @@
 
 impl CrowdedAccount {
     const QUOTA: AccountQuota =
-        AccountQuota { rate: Some(10_000.0), burst: 10_000.0, in_tokens: true, plain_tokens: 1 };
+        AccountQuota { rate: Some(10_000.0), burst: 10_000.0, in_tokens: true, default_tokens: 1 };
     /// What a window of 8 s may hold: the quota and a tenth of it.
     const MOST_IN_WINDOW: u64 = 99_000;
 
