--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -13,8 +13,8 @@
     admission::Admitted,
     call::{AttemptHead, CallHead},
     connection_pool::{EndpointConnection, SendFailure},
+    drain::drain,
     refusal::{NO_ENDPOINT_WAIT, Refusal},
-    relay,
     request_log::RequestTrace,
     response_meaning::{ResponseMeaning, ResponseSigns},
     run_guard::RunGuard,
@@ -150,7 +150,7 @@
         ResponseMeaning::NotRun => {
             context.endpoints.borrow_mut().mark_full(guard.endpoint(), Instant::now());
             guard.finish(AttemptResult::Neutral);
-            relay::drain(context, response, connection, signs);
+            drain(context, response, connection, signs);
             AttemptEnd::NotRun
         }
         ResponseMeaning::OtherEndpoint => {
--- /dev/null
+++ b/src/gateway/request/drain.rs
@@ -0,0 +1,35 @@
+//! Reads the rest of a response that is not passed on, so that its connection can be reused.
+
+use std::{rc::Rc, time::Duration};
+
+use http_body_util::BodyExt;
+use hyper::{Response, body::Incoming};
+use tokio::time::timeout;
+
+use super::{connection_pool::EndpointConnection, response_meaning::ResponseSigns};
+use crate::gateway::context::GatewayContext;
+
+/// Longest wait for the rest of the response.
+/// Basis: chosen, not measured: such responses are short; a new connection costs less than a
+/// longer wait holds.
+const DRAIN_LIMIT: Duration = Duration::from_millis(200);
+
+/// Reads the rest in a task of its own. If that fails or takes too long the connection is
+/// dropped, and the next attempt opens a new one.
+pub fn drain(
+    context: &Rc<GatewayContext>,
+    response: Response<Incoming>,
+    connection: EndpointConnection,
+    signs: ResponseSigns,
+) {
+    if signs.closes {
+        return;
+    }
+    let pool = context.connections.clone();
+    tokio::task::spawn_local(async move {
+        let whole = timeout(DRAIN_LIMIT, response.into_body().collect()).await;
+        if matches!(whole, Ok(Ok(_))) {
+            pool.give_back(connection, signs.keep);
+        }
+    });
+}
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -10,7 +10,7 @@
     Response,
     body::{Body, Frame, Incoming},
 };
-use tokio::time::{Instant, timeout, timeout_at};
+use tokio::time::{Instant, timeout_at};
 
 use super::{
     admission::Admitted,
@@ -20,6 +20,7 @@
     request_log::RequestTrace,
     response_meaning::ResponseSigns,
     run_guard::RunGuard,
+    sized_body::SizedBody,
 };
 use crate::{
     counting::CountGuard,
@@ -29,8 +30,6 @@
     platform::ingress,
 };
 
-/// Longest wait for the rest of an answer that is not passed on.
-const DRAIN_LIMIT: Duration = Duration::from_millis(200);
 /// A stream is continued elsewhere after a silence of this many times its longest good pause.
 const SILENCE_PATIENCE: f64 = 2.0;
 /// Longest silence of a stream whose route names no pause.
@@ -111,7 +110,7 @@
     });
     let body = StreamBody::new(frames);
     head.map(|()| match whole_length {
-        Some(left) if !streams => Box::pin(SizedBody { body: Box::pin(body), left }) as LocalBody,
+        Some(length) if !streams => Box::pin(SizedBody::new(body, length)) as LocalBody,
         _ => Box::pin(body),
     })
 }
@@ -245,57 +244,3 @@
         }
     }
 }
-
-/// Reads the rest of an answer that is not passed on, so that its connection can be kept.
-pub fn drain(
-    context: &Rc<GatewayContext>,
-    response: Response<Incoming>,
-    connection: EndpointConnection,
-    signs: ResponseSigns,
-) {
-    if signs.closes {
-        return;
-    }
-    let pool = context.connections.clone();
-    tokio::task::spawn_local(async move {
-        let whole = timeout(DRAIN_LIMIT, response.into_body().collect()).await;
-        if matches!(whole, Ok(Ok(_))) {
-            pool.give_back(connection, signs.keep);
-        }
-    });
-}
-
-/// Body whose length is known, so that it goes back with the length that it came with.
-struct SizedBody<B> {
-    body: std::pin::Pin<Box<B>>,
-    left: u64,
-}
-
-impl<B> Body for SizedBody<B>
-where
-    B: Body<Data = Bytes, Error = BodyError>,
-{
-    type Data = Bytes;
-    type Error = BodyError;
-
-    fn poll_frame(
-        mut self: std::pin::Pin<&mut Self>,
-        task: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let polled = self.body.as_mut().poll_frame(task);
-        if let std::task::Poll::Ready(Some(Ok(frame))) = &polled
-            && let Some(bytes) = frame.data_ref()
-        {
-            self.left = self.left.saturating_sub(bytes.len() as u64);
-        }
-        polled
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.left == 0
-    }
-
-    fn size_hint(&self) -> hyper::body::SizeHint {
-        hyper::body::SizeHint::with_exact(self.left)
-    }
-}
