--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -16,7 +16,7 @@
     gossip::peer_table::PeerTable,
     policy::{
         catch_up::CatchUpState,
-        endpoint_choice::EndpointTable,
+        endpoint_table::EndpointTable,
         leader_lease::LeaderLease,
         quota::{QuotaLedger, QuotaSharing},
         retry_budget::RetryBudget,
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -16,7 +16,7 @@
     leader::leader_tasks,
     policy::{
         catch_up::CatchUpState,
-        endpoint_choice::EndpointTable,
+        endpoint_table::EndpointTable,
         leader_lease::LeaderLease,
         quota::{QuotaLedger, QuotaTolerance},
         usage_counts::UsageCounts,
--- a/src/gateway/gossip/exchange.rs
+++ b/src/gateway/gossip/exchange.rs
@@ -31,8 +31,9 @@
     gateway::{
         context::GatewayContext,
         policy::{
-            catch_up::HeldRevisions, endpoint_choice::endpoint_number,
-            endpoint_load::ReportedLoads, usage_counts::WindowCounts,
+            catch_up::HeldRevisions,
+            endpoint_load::{ReportedLoads, endpoint_number},
+            usage_counts::WindowCounts,
         },
     },
     http::server,
--- a/src/gateway/policy.rs
+++ b/src/gateway/policy.rs
@@ -3,6 +3,8 @@
 pub mod catch_up;
 pub mod endpoint_choice;
 pub mod endpoint_load;
+pub mod endpoint_status;
+pub mod endpoint_table;
 pub mod fleet_size;
 pub mod leader_lease;
 pub mod prefill_rate;
--- a/src/gateway/policy/endpoint_load.rs
+++ b/src/gateway/policy/endpoint_load.rs
@@ -1,17 +1,33 @@
-//! Loads of endpoints, as daemons count them and tell them to each other.
+//! Loads of endpoints, as daemons count them and report them to each other.
 
 use std::collections::{BTreeMap, HashMap};
 
 use tokio::time::Instant;
 
-use crate::ids::SharedName;
+use crate::{
+    gateway::request::call::TokenCounts,
+    ids::{SharedName, hash_parts},
+};
+
+/// Number that stands for an endpoint between daemons.
+pub fn endpoint_number(id: &str) -> u64 {
+    hash_parts(&[id.as_bytes()])
+}
+
+/// Memory that a run may take, in tokens: its prompt and the response that the client expects,
+/// or else its bound on the response. A request that names no tokens counts as none.
+pub fn estimated_memory(tokens: Option<TokenCounts>, expected_response: Option<u64>) -> u64 {
+    let Some(tokens) = tokens else { return 0 };
+    let response = expected_response.map_or(tokens.answer, |guess| guess.min(tokens.answer));
+    tokens.prompt + response
+}
 
 /// One of this daemon's requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunLoad {
-    /// Prompt tokens that have not been read yet.
+    /// Uncached prompt tokens that the endpoint has not read yet.
     pub uncached: u64,
-    /// Memory that the run takes.
+    /// Memory that the run may take, in tokens.
     pub memory: u64,
 }
 
@@ -20,9 +36,9 @@
 pub struct LoadSum {
     /// Requests.
     pub running: u32,
-    /// Prompt tokens that have not been read yet.
+    /// Uncached prompt tokens that the endpoint has not read yet.
     pub uncached: u64,
-    /// Memory that the runs take.
+    /// Memory that the runs may take, in tokens.
     pub memory: u64,
 }
 
@@ -35,13 +51,13 @@
     }
 }
 
-/// What another daemon has told of its requests.
+/// Loads that another daemon has reported.
 #[derive(Debug)]
 pub struct ReportedLoads {
-    /// When it was heard.
+    /// When the report came.
     pub at: Instant,
     /// Its loads, by the numbers of the endpoints.
     pub loads: HashMap<u64, LoadSum>,
-    /// Prompt tokens that it has sent to be read since it started, by service.
+    /// Uncached prompt tokens that it has sent since it started, by service.
     pub sent: BTreeMap<SharedName, u64>,
 }
--- a/src/gateway/policy/prompt_cache.rs
+++ b/src/gateway/policy/prompt_cache.rs
@@ -1,20 +1,36 @@
-//! Which parts of prompts an endpoint probably remembers.
+//! Which parts of prompts an endpoint has probably cached.
+//!
+//! Engines reuse what they have read of a prompt's beginning. This is a guess from what this
+//! daemon has sent lately: what others send, and what the engine drops, is not known.
 
 use std::collections::HashMap;
 
 use crate::{gateway::request::call::PromptPart, ids::hash_parts};
 
 /// Parts remembered for each endpoint.
+/// Basis: chosen, not measured: bounds memory to some tens of kilobytes an endpoint.
 const PARTS_KEPT: usize = 1_024;
+/// When full, parts not used by this many of the newest prompts are dropped.
+/// Basis: chosen, not measured: many at a time, so that the scan is rare.
+const PROMPTS_KEPT: u64 = PARTS_KEPT as u64 / 4;
 
-/// Chain of a prompt's parts: each with all before it, and the tokens up to its end.
-pub fn part_chain(parts: &[PromptPart]) -> Vec<(u64, u64)> {
+/// End of one part within a prompt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PartEnd {
+    /// Hash of the prompt up to here.
+    pub hash: u64,
+    /// Tokens of the prompt up to here.
+    pub tokens: u64,
+}
+
+/// The ends of a prompt's parts, in order.
+pub fn part_chain(parts: &[PromptPart]) -> Vec<PartEnd> {
     let mut chain = Vec::with_capacity(parts.len());
-    let (mut hash, mut tokens) = (0_u64, 0_u64);
+    let mut end = PartEnd { hash: 0, tokens: 0 };
     for part in parts {
-        hash = hash_parts(&[&hash.to_le_bytes(), &part.id.to_le_bytes()]);
-        tokens += part.tokens;
-        chain.push((hash, tokens));
+        end.hash = hash_parts(&[&end.hash.to_le_bytes(), &part.id.to_le_bytes()]);
+        end.tokens += part.tokens;
+        chain.push(end);
     }
     chain
 }
@@ -22,27 +38,28 @@
 /// Parts that an endpoint was sent lately.
 #[derive(Debug, Default)]
 pub struct PromptCache {
-    tick: u64,
-    parts: HashMap<u64, u64>,
+    /// Number of the newest prompt.
+    newest: u64,
+    /// Newest prompt that used a part, by the hash of its end.
+    used_by: HashMap<u64, u64>,
 }
 
 impl PromptCache {
-    /// Tokens of the chain that are probably remembered.
-    pub fn remembered(&self, chain: &[(u64, u64)]) -> u64 {
-        let known = chain.iter().take_while(|(hash, _)| self.parts.contains_key(hash));
-        known.last().map_or(0, |(_, tokens)| *tokens)
+    /// Tokens at the beginning of a prompt that are probably cached.
+    pub fn remembered(&self, chain: &[PartEnd]) -> u64 {
+        let known = chain.iter().take_while(|end| self.used_by.contains_key(&end.hash));
+        known.last().map_or(0, |end| end.tokens)
     }
 
-    /// The endpoint reads this chain.
-    pub fn remember(&mut self, chain: &[(u64, u64)]) {
-        self.tick += 1;
-        for (hash, _) in chain {
-            self.parts.insert(*hash, self.tick);
+    /// A prompt with this chain was sent to the endpoint.
+    pub fn remember(&mut self, chain: &[PartEnd]) {
+        self.newest += 1;
+        for end in chain {
+            self.used_by.insert(end.hash, self.newest);
         }
-        if self.parts.len() > PARTS_KEPT {
-            // NOTE: half at a time, so that the scan is paid rarely.
-            let oldest = self.tick.saturating_sub(PARTS_KEPT as u64 / 4);
-            self.parts.retain(|_, tick| *tick >= oldest);
+        if self.used_by.len() > PARTS_KEPT {
+            let oldest = self.newest.saturating_sub(PROMPTS_KEPT);
+            self.used_by.retain(|_, prompt| *prompt >= oldest);
         }
     }
 }
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -25,7 +25,7 @@
         context::GatewayContext,
         policy::{
             endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointChoice},
-            endpoint_load::RunLoad,
+            endpoint_load::{RunLoad, estimated_memory},
         },
     },
     ids::SharedName,
@@ -192,7 +192,7 @@
     match context.endpoints.borrow().choose(&query, now, &mut rand::rng()) {
         ChoiceResult::Endpoint(choice) => Ok(choice),
         _ if attempts.maybe_run => Err(Refusal::Unknown),
-        ChoiceResult::Full(_) => Err(Refusal::Full(retry_after(admitted))),
+        ChoiceResult::Full => Err(Refusal::Full(retry_after(admitted))),
         ChoiceResult::None => Err(Refusal::NoEndpoint(NO_ENDPOINT_WAIT)),
     }
 }
@@ -204,9 +204,7 @@
 }
 
 fn memory_tokens(head: &CallHead) -> u64 {
-    let Some(tokens) = head.tokens else { return 0 };
-    let answer = head.answer_guess.map_or(tokens.answer, |guess| guess.min(tokens.answer));
-    tokens.prompt + answer
+    estimated_memory(head.tokens, head.answer_guess)
 }
 
 fn endpoint_request(
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -187,7 +187,7 @@
                 count_run(&self.context, &self.admitted);
                 self.trace.first_event();
             }
-            upstream.guard.prompt_read();
+            upstream.guard.prefill_done();
             self.events += batch.count as u64;
             self.last_event = batch.last_id.or(self.last_event);
         }
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -50,7 +50,8 @@
 
     /// An endpoint was chosen.
     pub fn attempt(&mut self, choice: &EndpointChoice) {
-        let (endpoint, uncached, wait) = (&choice.endpoint.id, choice.uncached, choice.wait_ms);
+        let (endpoint, uncached, wait) =
+            (&choice.endpoint.id, choice.uncached, choice.estimated_wait_ms);
         // NOTE: writing to a string cannot fail.
         let _ = write!(self.steps, "{endpoint} unread {uncached} wait {wait:.0};");
         self.context.metrics.count("attempts", 1);
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -1,4 +1,4 @@
-//! One request at one endpoint, counted there until it ends.
+//! One request at one endpoint, counted in this daemon's loads until it ends.
 
 use std::rc::Rc;
 
@@ -10,13 +10,15 @@
     gateway::{context::GatewayContext, endpoint::EndpointRecord, policy::endpoint_load::RunLoad},
 };
 
-/// Counts a run at its endpoint; dropped, the run has ended by this daemon's own choice.
+/// Counts a run at its endpoint. Dropping the guard ends the run and leaves the endpoint's
+/// health as it was: the daemon or the client has broken it off.
 pub struct RunGuard {
     context: Rc<GatewayContext>,
     endpoint: Rc<EndpointRecord>,
     load: RunLoad,
     begun: Instant,
-    /// Whether no other prompt was known to wait at the endpoint.
+    /// Whether no other prompt was known to wait at the endpoint, so that the time to the first
+    /// event shows the prefill rate.
     alone: bool,
     result: AttemptResult,
 }
@@ -43,12 +45,12 @@
         &self.endpoint.id
     }
 
-    /// The first part of the answer has come: the prompt has been read.
-    pub fn prompt_read(&mut self) {
+    /// The first event has come, so the endpoint has read the prompt.
+    pub fn prefill_done(&mut self) {
         let uncached = std::mem::take(&mut self.load.uncached);
         if uncached > 0 {
             let mut endpoints = self.context.endpoints.borrow_mut();
-            endpoints.prompt_read(&self.endpoint.id, uncached, self.begun.elapsed(), self.alone);
+            endpoints.prefill_done(&self.endpoint.id, uncached, self.begun.elapsed(), self.alone);
         }
     }
 
--- a/tests/gateway/pure_parts.rs
+++ b/tests/gateway/pure_parts.rs
@@ -14,8 +14,9 @@
         gossip::report_source::ReportSource,
         policy::{
             catch_up::{CatchUpState, HeldRevisions},
-            endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointTable, endpoint_number},
-            endpoint_load::{LoadSum, ReportedLoads, RunLoad},
+            endpoint_choice::{ChoiceQuery, ChoiceResult},
+            endpoint_load::{LoadSum, ReportedLoads, RunLoad, endpoint_number},
+            endpoint_table::EndpointTable,
             leader_lease::LeaderLease,
             prefill_rate::PrefillRate,
             retry_budget::RetryBudget,
@@ -190,7 +191,7 @@
         table.begin("i-0", &[], RunLoad::default(), now);
     }
     let full = table.choose(&query(&PARTS, &[]), now, &mut rng);
-    expect_that!(matches!(full, ChoiceResult::Full(_)), eq(true));
+    expect_that!(matches!(full, ChoiceResult::Full), eq(true));
     table.end("i-0", RunLoad::default(), AttemptResult::Succeeded, now);
     expect_that!(chosen(&table, &query(&PARTS, &[]), now), some(eq(&SharedName::from("i-0"))));
 }
@@ -201,7 +202,7 @@
     let now = Instant::now();
     table.begin("i-0", &[], RunLoad { uncached: 0, memory: 98_000 }, now);
     let result = table.choose(&query(&PARTS, &[]), now, &mut SmallRng::seed_from_u64(1));
-    expect_that!(matches!(result, ChoiceResult::Full(_)), eq(true));
+    expect_that!(matches!(result, ChoiceResult::Full), eq(true));
 }
 
 #[googletest::test]
