--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -1,8 +1,11 @@
-//! What the services of a gateway daemon share.
+//! State that the services of one gateway daemon share.
+//!
+//! Owns the newest configuration and endpoint list, the ledgers of quotas, loads and usage,
+//! and the daemon's counters. All tasks run on one thread, so cells suffice; no borrow is held
+//! across an await. It holds no rules: its methods pass what it holds to `policy`.
 
 use std::{
     cell::{Cell, RefCell},
-    collections::HashMap,
     rc::Rc,
     time::Duration,
 };
@@ -16,10 +19,14 @@
     gossip::peer_table::PeerTable,
     policy::{
         catch_up::CatchUpState,
+        daemon_count,
         endpoint_table::EndpointTable,
+        key_freshness::KeyFreshness,
         leader_lease::LeaderLease,
         quota::{QuotaLedger, QuotaSharing},
-        retry_budget::RetryBudget,
+        readiness::{Readiness, ReadinessInputs},
+        retry_budget::RetryBudgets,
+        store_watchers::{StoreWatch, is_store_failing},
         usage_counts::UsageCounts,
         wall_clock::SteadyWallClock,
     },
@@ -35,29 +42,16 @@
     platform,
 };
 
-/// A daemon has met the others after this time.
-const MEETING_TIME: Duration = Duration::from_millis(2_500);
-/// Daemons that a daemon expects to meet before it has read how many there were.
-const EXPECTED_DAEMONS: usize = 10;
-/// A daemon that has not learnt within this time how many others there are goes on without.
-const FLEET_UNKNOWN_LIMIT: Duration = Duration::from_millis(1_500);
-/// A proof that is passed on is younger than this, as long as those who watch reach the store.
-const FED_WITHIN: Duration = Duration::from_millis(4_000);
-/// The store is doubted for this long after a failure.
-const STORE_DOUBTED_FOR: Duration = Duration::from_secs(2);
-/// Part of the allowed age of a proof that is left as a margin.
-const FRESHNESS_MARGIN: Duration = Duration::from_millis(300);
-
-/// The configuration in force, and how well it is known to be the newest.
+/// Newest configuration held, with the proof that it is the newest one.
 #[derive(Debug, Default)]
 pub struct ConfigurationState {
     /// The configuration, once one is known.
     pub current: Option<Rc<Configuration>>,
     /// Its revision in the store.
     pub revision: u64,
-    /// Its text, as it is passed on to other daemons.
+    /// Its text as stored, for other daemons.
     pub text: Bytes,
-    /// When the store was asked that answered with this revision.
+    /// Freshness proof: when the store was asked that answered with this revision.
     pub proof: Option<Instant>,
 }
 
@@ -69,23 +63,23 @@
     pub incarnation: IncarnationId,
     /// The store.
     pub store: platform::store::StoreClient,
-    /// Configuration in force.
+    /// Newest configuration.
     pub configuration: RefCell<ConfigurationState>,
     /// Endpoints as listed.
     pub endpoint_list: RefCell<EndpointList>,
-    /// What is known of the endpoints.
+    /// Loads and health of the endpoints.
     pub endpoints: RefCell<EndpointTable>,
     /// Quotas of accounts.
     pub quotas: RefCell<QuotaLedger>,
-    /// Budgets of repeats, by service.
-    pub retry_budgets: RefCell<HashMap<SharedName, RetryBudget>>,
-    /// Counts of requests that began to run.
+    /// Budgets of retries.
+    pub retry_budgets: RefCell<RetryBudgets>,
+    /// Counts of requests that have run, by account.
     pub usage: RefCell<UsageCounts>,
     /// Other daemons.
     pub peers: RefCell<PeerTable>,
-    /// What others hold that is newer.
+    /// Newer configurations and endpoint lists that other daemons hold.
     pub catch_up: RefCell<CatchUpState>,
-    /// What is known of the lease of the duties.
+    /// What is known of the leader lease.
     pub lease: RefCell<LeaderLease>,
     /// Connections to endpoints.
     pub connections: ConnectionPool,
@@ -97,54 +91,54 @@
     pub kernel: KernelHandle,
     /// Requests in progress.
     pub active: OpenCount,
-    /// When the store last failed to answer.
+    /// When a call to the store last failed.
     pub store_failed: Cell<Option<Instant>>,
-    /// Number of the newest state told to others.
+    /// Number of the newest report sent to other daemons.
     pub sequence: Cell<u64>,
     /// When this daemon started.
     pub started_at: Instant,
-    /// Daemons that there were when the lease was last renewed, once that is known.
+    /// Number of daemons when the lease was last renewed, once that is known.
     pub fleet_size: Cell<Option<usize>>,
-    /// Lines about requests that may be written.
+    /// Budget of lines in the request log.
     pub request_lines: RefCell<LineBudget>,
-    /// Whether requests and connections are taken.
+    /// Whether requests and connections are accepted.
     pub intake: Cell<Intake>,
     /// Clients' connections that are open.
     pub client_connections: OpenCount,
 }
 
-/// Whether a daemon takes requests and connections.
+/// Whether a daemon accepts requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intake {
-    /// Takes both.
+    /// Accepts both.
     Open,
-    /// Accepts connections, and turns requests away.
+    /// Accepts connections and refuses requests.
     Refusing,
     /// Accepts no connections.
     Closed,
 }
 
 impl GatewayContext {
-    /// The configuration in force.
+    /// Newest configuration, if one is known.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().current.clone()
     }
 
-    /// Takes a configuration that was read at `proof` or, without one, passed on. Versions
-    /// and revisions only rise.
+    /// Applies a configuration read at `proof`, or passed on by a daemon if there is none.
+    /// Versions and revisions only rise.
     pub fn take_configuration(&self, revision: u64, text: &[u8], proof: Option<Instant>) {
         let mut state = self.configuration.borrow_mut();
         if revision > state.revision {
             let decoded = match platform::configuration::decode(text) {
                 Ok(decoded) => decoded,
                 Err(error) => {
-                    spdlog::error!("configuration not understood: {}", error, kv: { revision });
+                    spdlog::error!("configuration not decoded: {}", error, kv: { revision });
                     return;
                 }
             };
             let known = state.current.as_ref().map_or(0, |current| current.version);
             spdlog::info!("configuration", kv: {
-                version: = decoded.version, revision, before = known, outcome = "in force"
+                version: = decoded.version, revision, before = known, outcome = "applied"
             });
             state.revision = revision;
             if state.current.is_none() || decoded.version > known {
@@ -157,29 +151,25 @@
         }
     }
 
-    /// Whether keys may be used: the configuration was the newest one not long ago.
-    pub fn keys_are_fresh(&self, now: Instant) -> bool {
-        let Some(longest) = self.settings.bounds.key_freshness else { return true };
-        let longest = longest.saturating_sub(FRESHNESS_MARGIN);
+    /// Whether keys of the configuration may be used.
+    pub fn key_freshness(&self, now: Instant) -> KeyFreshness {
         let proof = self.configuration.borrow().proof;
-        proof.is_some_and(|proof| now.saturating_duration_since(proof) < longest)
+        KeyFreshness::judge(proof, self.settings.bounds.key_freshness, now)
     }
 
-    /// Whether the store has failed to answer lately.
+    /// Whether a call to the store has failed lately.
     pub fn store_fails(&self, now: Instant) -> bool {
-        let failed = self.store_failed.get();
-        failed.is_some_and(|at| now.saturating_duration_since(at) < STORE_DOUBTED_FOR)
+        is_store_failing(self.store_failed.get(), now)
     }
 
-    /// Whether this daemon asks the store itself: it is one of those that do so for its group, or
-    /// what it hears from them is old.
+    /// Whether this daemon watches the store itself.
     pub fn watches_store(&self, now: Instant) -> bool {
         let proof = self.configuration.borrow().proof;
-        let is_fed = proof.is_some_and(|at| now.saturating_duration_since(at) < FED_WITHIN);
-        !is_fed || self.peers.borrow().is_watcher(now)
+        let is_elected = || self.peers.borrow().is_watcher(now);
+        StoreWatch::decide(proof, is_elected, now).watches()
     }
 
-    /// Takes a list of endpoints, if it is newer than the one held.
+    /// Applies a list of endpoints if it is newer than the one held; says whether it was.
     pub fn take_endpoints(&self, list: EndpointList) -> bool {
         if list.revision <= self.endpoint_list.borrow().revision {
             return false;
@@ -189,64 +179,52 @@
         true
     }
 
-    /// How many daemons share quotas and budgets.
+    /// How many daemons share quotas and retry budgets.
     pub fn sharing(&self, now: Instant) -> QuotaSharing {
-        let mut sharing = self.peers.borrow().sharing(now);
-        let age = now.saturating_duration_since(self.started_at);
-        if age < MEETING_TIME {
-            sharing.known = sharing.known.max(self.fleet_size.get().unwrap_or(EXPECTED_DAEMONS));
-        }
-        sharing
+        let met = self.peers.borrow().sharing(now);
+        daemon_count::sharing_at_start(met, self.fleet_size.get(), self.age(now))
     }
 
-    /// Whether the number of daemons is known well enough to give out parts of quotas.
+    /// Whether the number of daemons is known well enough to give out shares of quotas.
     pub fn knows_fleet(&self, now: Instant) -> bool {
-        let age = now.saturating_duration_since(self.started_at);
-        self.fleet_size.get().is_some() || age >= FLEET_UNKNOWN_LIMIT
+        daemon_count::is_known(self.fleet_size.get(), self.age(now))
     }
 
-    /// Draws one repeat of a service's budget.
+    /// Withdraws one retry from a service's budget, if there is one.
     pub fn try_withdraw_retry(&self, service: &SharedName, now: Instant) -> bool {
-        let bounds = &self.settings.bounds;
-        let reserve = bounds.retry_reserve / self.sharing(now).known as f64;
-        let mut retry_budgets = self.retry_budgets.borrow_mut();
-        let window = bounds.retry_window;
-        let budget =
-            retry_budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(window));
-        budget.try_withdraw(bounds.retry_share, reserve, now)
-    }
-
-    /// Counts a client's request for a service.
-    pub fn note_request(&self, service: &SharedName, now: Instant) {
-        let window = self.settings.bounds.retry_window;
-        let mut retry_budgets = self.retry_budgets.borrow_mut();
-        retry_budgets
-            .entry(service.clone())
-            .or_insert_with(|| RetryBudget::new(window))
-            .request(now);
+        let daemons = self.sharing(now).known;
+        self.retry_budgets.borrow_mut().try_withdraw(service, daemons, now)
     }
 
-    /// Counts a request of an account that began to run now.
+    /// Counts a run for an account, in the usage window of now.
     pub fn note_run(&self, account: &SharedName) {
         let window = self.wall_clock.borrow().window(self.settings.bounds.usage_window);
         self.usage.borrow_mut().count(account, window);
     }
 
-    /// Number of the next state to tell.
+    /// Number of the next report to other daemons.
     pub fn next_sequence(&self) -> u64 {
         self.sequence.set(self.sequence.get() + 1);
         self.sequence.get()
     }
 
-    /// Whether the daemon is on its way out.
+    /// Whether the daemon is stopping.
     pub fn is_leaving(&self) -> bool {
         *self.kernel.phase().borrow() >= LifePhase::Draining
     }
 
-    /// Whether the daemon can serve: it takes new connections.
-    pub fn is_ready(&self, now: Instant) -> bool {
-        let listed = self.endpoint_list.borrow().revision > 0;
-        let knows = self.configuration().is_some() && self.knows_fleet(now);
-        !self.is_leaving() && listed && knows && self.keys_are_fresh(now)
+    /// Whether the daemon takes new connections, and if not, why.
+    pub fn readiness(&self, now: Instant) -> Readiness {
+        Readiness::decide(ReadinessInputs {
+            is_stopping: self.is_leaving(),
+            has_endpoint_list: self.endpoint_list.borrow().revision > 0,
+            has_configuration: self.configuration.borrow().current.is_some(),
+            knows_daemon_count: self.knows_fleet(now),
+            keys: self.key_freshness(now),
+        })
+    }
+
+    fn age(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.started_at)
     }
 }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -1,8 +1,12 @@
-//! Assembles one gateway daemon: registers its services, starts them, takes it down.
+//! Assembles one gateway daemon, starts its services and stops them in order.
+//!
+//! A stop begins with SIGTERM. At once the daemon is not ready, and closes idle connections; it
+//! still answers on new ones, since the balancer needs time to notice. Then it refuses new
+//! requests, then new connections, and ends when no request is in progress, at the latest
+//! within the grace time. Nothing of its state has to be saved.
 
 use std::{
     cell::{Cell, RefCell},
-    collections::HashMap,
     rc::Rc,
     time::Duration,
 };
@@ -19,6 +23,7 @@
         endpoint_table::EndpointTable,
         leader_lease::LeaderLease,
         quota::{QuotaLedger, QuotaTolerance},
+        retry_budget::RetryBudgets,
         usage_counts::UsageCounts,
         wall_clock::SteadyWallClock,
     },
@@ -28,6 +33,7 @@
     store_watch,
 };
 use crate::{
+    counting::OpenCount,
     errors::StepError,
     http::server,
     ids::IncarnationId,
@@ -38,19 +44,27 @@
     wall_clock_ms,
 };
 
-/// Name of the service that takes the daemon down.
-const LEAVER: &str = "leaver";
-/// Name of the service that listens for changes of the settings.
+/// Name of the service that stops the daemon.
+const STOPPER: &str = "leaver";
+/// Name of the service that handles SIGHUP.
 const RELOADER: &str = "reloader";
-/// Requests that come this long after the signal are turned away: by then the balancer has
-/// seen that the daemon takes no new connections, and what runs long might be cut off.
+/// Requests are refused from this long after the signal on: by then the balancer sends new
+/// connections elsewhere, and a request that runs long might be cut off.
+/// Basis: chosen; commit 7041d5e measured it with `ACCEPT_FOR`: hunts of 40 days, no request
+/// lost at a stop.
 const REFUSE_AFTER: Duration = Duration::from_millis(2_800);
 /// New connections are accepted for this long after the signal.
+/// Basis: as for `REFUSE_AFTER`; a refusal needs an accepted connection.
 const ACCEPT_FOR: Duration = Duration::from_millis(3_500);
-/// Lines about requests written in a second at most.
+/// Most lines of the request log a second.
+/// Basis: chosen, not measured: bounds the volume of logs under load.
 const REQUEST_LINES: u32 = 400;
-/// Part of the grace time that is left as a margin.
+/// Part of the grace time that is not used for waiting.
+/// Basis: chosen, not measured: leaves time to write the logs and exit.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
+/// Time between checks whether requests are still in progress during a stop.
+/// Basis: chosen, not measured: short against the grace time.
+const BUSY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs a daemon until it stops. Must run inside a `tokio::task::LocalSet`.
 pub async fn run(settings: GatewaySettings) -> Result<KernelExit, StepError> {
@@ -71,8 +85,8 @@
     kernel.start(exchange::CALLER_SERVICE, exchange::run(context.clone()));
     kernel.start(leader_tasks::NAME, leader_tasks::run(context.clone()));
     kernel.start(client_listener::NAME, client_listener::run(clients, context.clone()));
-    kernel.start(RELOADER, note_reloads(context.clone()));
-    kernel.start(LEAVER, leave_when_told(context.clone()));
+    kernel.start(RELOADER, log_reloads(context.clone()));
+    kernel.start(STOPPER, stop_on_signal(context.clone()));
     let exit = kernel.run().await;
     spdlog::info!("stopped", kv: { outcome: = exit });
     logs::flush();
@@ -82,10 +96,10 @@
 fn assemble(settings: GatewaySettings, kernel: KernelHandle) -> GatewayContext {
     let metrics = MetricsHandle::default();
     let now = Instant::now();
-    let tolerance = QuotaTolerance {
-        overage: settings.bounds.quota_overage,
-        slack: settings.bounds.quota_slack,
-    };
+    let bounds = &settings.bounds;
+    let tolerance = QuotaTolerance { overage: bounds.quota_overage, slack: bounds.quota_slack };
+    let retry_budgets =
+        RetryBudgets::new(bounds.retry_window, bounds.retry_share, bounds.retry_reserve);
     GatewayContext {
         incarnation: IncarnationId::generate(),
         store: StoreClient::new(settings.store_address),
@@ -93,7 +107,7 @@
         endpoint_list: RefCell::new(EndpointList::default()),
         endpoints: RefCell::new(EndpointTable::new(settings.zone.clone())),
         quotas: RefCell::new(QuotaLedger::new(tolerance, now)),
-        retry_budgets: RefCell::new(HashMap::new()),
+        retry_budgets: RefCell::new(retry_budgets),
         usage: RefCell::new(UsageCounts::default()),
         peers: RefCell::new(PeerTable::new(
             settings.peer_address,
@@ -107,21 +121,20 @@
         wall_clock: RefCell::new(SteadyWallClock::new(wall_clock_ms(), now)),
         metrics,
         kernel,
-        active: crate::counting::OpenCount::default(),
+        active: OpenCount::default(),
         store_failed: Cell::new(None),
         sequence: Cell::new(0),
         started_at: now,
         fleet_size: Cell::new(None),
         request_lines: RefCell::new(LineBudget::new(REQUEST_LINES, now)),
         intake: Cell::new(Intake::Open),
-        client_connections: crate::counting::OpenCount::default(),
+        client_connections: OpenCount::default(),
         settings,
     }
 }
 
-/// Takes the daemon down after a signal: it takes no new connections at once, and ends when
-/// nothing is in progress, at the latest within the grace time.
-async fn leave_when_told(context: Rc<GatewayContext>) {
+/// Stops the daemon after SIGTERM, in the order that the module's head gives.
+async fn stop_on_signal(context: Rc<GatewayContext>) {
     terminated().await;
     let begun = Instant::now();
     context.kernel.enter(LifePhase::Draining);
@@ -133,17 +146,18 @@
     context.intake.set(Intake::Closed);
     let busy = || context.active.get() + context.client_connections.get() > 0;
     while busy() && Instant::now() < latest {
-        sleep(Duration::from_millis(20)).await;
+        sleep(BUSY_CHECK_INTERVAL).await;
     }
     spdlog::info!("stopping", kv: { cut_off: = context.active.get() });
     context.kernel.enter(LifePhase::Stopping);
 }
 
-/// Tells of signals that say that the settings file has changed. Its values hold for the
-/// life of the process; a changed file is read at the next start.
-async fn note_reloads(context: Rc<GatewayContext>) {
+/// Logs and counts SIGHUP, which would otherwise end the process. Settings hold for the life
+/// of the process; a changed file is read at the next start.
+async fn log_reloads(context: Rc<GatewayContext>) {
     use tokio::signal::unix::{SignalKind, signal};
     let Ok(mut signal) = signal(SignalKind::hangup()) else {
+        // No handler: the daemon runs on without it.
         return std::future::pending().await;
     };
     while signal.recv().await.is_some() {
@@ -159,6 +173,7 @@
         Ok(mut signal) => {
             signal.recv().await;
         }
+        // No handler: the signal then ends the process at once, without a planned stop.
         Err(_) => std::future::pending().await,
     }
 }
--- /dev/null
+++ b/src/gateway/policy/readiness.rs
@@ -0,0 +1,52 @@
+//! Whether the balancer should send new connections to this daemon.
+//!
+//! Decided anew at each of the balancer's questions, from what the daemon holds at that
+//! moment. A daemon that lacks an input is not ready: requests would only be refused.
+
+use super::key_freshness::KeyFreshness;
+
+/// What readiness depends on.
+#[derive(Clone, Copy, Debug)]
+pub struct ReadinessInputs {
+    /// The daemon is stopping.
+    pub is_stopping: bool,
+    /// A list of endpoints has been read.
+    pub has_endpoint_list: bool,
+    /// A configuration has been read.
+    pub has_configuration: bool,
+    /// The number of daemons is known.
+    pub knows_daemon_count: bool,
+    /// State of the keys.
+    pub keys: KeyFreshness,
+}
+
+/// Whether a daemon takes new connections; otherwise the first reason why not.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Readiness {
+    /// It does.
+    Ready,
+    /// It is stopping.
+    Stopping,
+    /// It has no list of endpoints yet.
+    NoEndpointList,
+    /// It has no configuration yet.
+    NoConfiguration,
+    /// It doesn't know yet how many daemons share the quotas.
+    DaemonCountUnknown,
+    /// Its keys may be out of date.
+    KeysNotFresh,
+}
+
+impl Readiness {
+    /// Decides by the inputs.
+    pub fn decide(inputs: ReadinessInputs) -> Self {
+        match inputs {
+            ReadinessInputs { is_stopping: true, .. } => Self::Stopping,
+            ReadinessInputs { has_endpoint_list: false, .. } => Self::NoEndpointList,
+            ReadinessInputs { has_configuration: false, .. } => Self::NoConfiguration,
+            ReadinessInputs { knows_daemon_count: false, .. } => Self::DaemonCountUnknown,
+            ReadinessInputs { keys, .. } if !keys.allows_keys() => Self::KeysNotFresh,
+            _ => Self::Ready,
+        }
+    }
+}
--- a/src/gateway/request/refusal.rs
+++ b/src/gateway/policy/refusal.rs
@@ -1,70 +1,68 @@
-//! Answers that the gateway gives itself.
+//! Why the gateway answers a request itself: the reason, its status, and what the client is
+//! told about retrying.
+//!
+//! Statuses 429 and 503 promise that the request has not run and never will. A request that
+//! may have run gets 502 or 504, whatever else was wrong. The texts go out as the bodies of
+//! the responses.
 
 use std::time::Duration;
 
 use derive_more::Display;
-use hyper::{Response, StatusCode};
+use hyper::StatusCode;
 
-use super::call::HeadError;
-use crate::{
-    http::{LocalBody, whole_body},
-    ids::SharedName,
-    platform::ingress,
-};
+use super::retry_after;
+use crate::{gateway::request::call::HeadError, ids::SharedName};
 
-/// Why a request gets an answer of the gateway's own.
+/// Reason for which the gateway answers a request itself.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum Refusal {
-    /// Its head cannot be used.
+    /// The head cannot be used.
     #[display("bad request: {_0}")]
     BadHead(HeadError),
-    /// Its body is too long.
+    /// The body is longer than the configuration allows.
     #[display("body too long")]
     BodyTooLong,
-    /// Its body did not arrive whole.
+    /// The body did not arrive whole.
     #[display("body not whole")]
     BodyBroken,
     /// No configuration is known yet.
     #[display("no configuration")]
     NoConfiguration,
-    /// It is not known yet how many daemons share the quotas.
+    /// The number of daemons that share the quotas is not known yet.
     #[display("number of daemons not known yet")]
     FleetUnknown,
-    /// The daemon is on its way out; another takes the request.
+    /// The daemon is stopping; another one takes the request.
     #[display("daemon is leaving")]
     Leaving,
-    /// The configuration may be out of date: keys cannot be checked.
+    /// The configuration may be out of date, so keys cannot be checked.
     #[display("configuration not known to be current")]
     NotFresh,
     /// No route matches.
     #[display("no route")]
     NoRoute,
-    /// The key is not known.
+    /// The key is missing or unknown.
     #[display("unknown key")]
     UnknownKey,
     /// The account's quota is spent.
     #[display("quota spent")]
     QuotaSpent(SpentQuota),
-    /// All endpoints are full; it has not run.
+    /// All endpoints are full; the request has not run. Holds the time to retry after.
     #[display("all replicas full")]
     Full(Duration),
-    /// There is no endpoint to send it to; it has not run.
+    /// There is no endpoint to send it to; it has not run. Holds the time to retry after.
     #[display("no replica")]
     NoEndpoint(Duration),
-    /// It may have run and must not be repeated, or all attempts have failed.
+    /// It may have run and must not be retried, or all attempts have failed.
     #[display("outcome unknown")]
     Unknown,
-    /// Its time is over; it may have run.
+    /// Its deadline has passed; it may have run.
     #[display("out of time")]
     OutOfTime,
 }
 
-/// When a client may come back whose service has no endpoint now.
-pub const NO_ENDPOINT_WAIT: Duration = Duration::from_millis(400);
-
-/// What decided that a quota is spent.
+/// Inputs of the decision that a quota is spent.
 #[derive(Clone, Debug, Display, PartialEq)]
-#[display("{account} asked for {units}, {level:.0} left, {heard} of {known} daemons heard")]
+#[display("{account} requested {units}, {level:.0} left, {heard} of {known} daemons heard")]
 pub struct SpentQuota {
     /// Account.
     pub account: SharedName,
@@ -72,22 +70,16 @@
     pub units: u64,
     /// Units that were left.
     pub level: f64,
-    /// Daemons that were heard just now.
+    /// Daemons that have reported recently, this one included.
     pub heard: usize,
-    /// Daemons that are known.
+    /// Daemons that are known, this one included.
     pub known: usize,
-    /// When there will be room.
+    /// Time until there will be room.
     pub retry_after: Duration,
 }
 
-/// Time after which a daemon that is starting may be asked again.
-const STARTING: Duration = Duration::from_millis(500);
-
-/// Time after which another daemon may be asked.
-const ELSEWHERE: Duration = Duration::from_millis(20);
-
 impl Refusal {
-    /// Status of the answer. 429 and 503 promise that the request has not run.
+    /// Status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::BadHead(_) | Self::BodyBroken => StatusCode::BAD_REQUEST,
@@ -106,28 +98,35 @@
         }
     }
 
-    /// When the client may come back, where the request has not run.
+    /// Whether the response promises that the request has not run: all that may be retried do.
+    pub fn promises_not_run(&self) -> bool {
+        self.retry_after().is_some()
+    }
+
+    /// Time after which the client may retry; only for requests that have not run.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::QuotaSpent(spent) => Some(spent.retry_after),
             Self::Full(wait) | Self::NoEndpoint(wait) => Some(*wait),
-            Self::NoConfiguration | Self::FleetUnknown | Self::NotFresh => Some(STARTING),
-            Self::Leaving => Some(ELSEWHERE),
-            _ => None,
+            Self::NoConfiguration | Self::FleetUnknown | Self::NotFresh => {
+                Some(retry_after::DAEMON_STARTING)
+            }
+            Self::Leaving => Some(retry_after::OTHER_DAEMON),
+            Self::BadHead(_)
+            | Self::BodyTooLong
+            | Self::BodyBroken
+            | Self::NoRoute
+            | Self::UnknownKey
+            | Self::Unknown
+            | Self::OutOfTime => None,
         }
     }
 
-    /// What decided it, for logs.
+    /// Inputs of the decision, for the request log.
     pub fn inputs(&self) -> String {
         match self {
             Self::QuotaSpent(spent) => spent.to_string(),
             _ => String::new(),
         }
     }
-
-    /// The answer to the request `id`.
-    pub fn answer(&self, id: Option<&str>) -> Response<LocalBody> {
-        let head = ingress::own_response(id, self.status(), self.retry_after());
-        head.map(|()| Box::pin(whole_body(self.to_string())) as LocalBody)
-    }
 }
--- /dev/null
+++ b/src/gateway/policy/retries.rs
@@ -0,0 +1,120 @@
+//! What follows an attempt: its response is passed on, another endpoint is tried, or the
+//! client gets a refusal. Also, whether a stream that breaks is resumed.
+//!
+//! | the attempt | idempotent | resumable stream | at most once, other streams |
+//! |---|---|---|---|
+//! | was not sent | next endpoint, free | next endpoint, free | next endpoint, free |
+//! | was not run by the endpoint | retry, or refuse | retry, or refuse | retry, or refuse |
+//! | may have run | retry, or refuse | retry, or refuse | refuse |
+//! | got a response with a status from 500 up | retry, or pass on | pass on | pass on |
+//! | got any other response | pass on | pass on | pass on |
+//! | began a stream that broke | - | resume, or break off | break off |
+//!
+//! A retry needs an attempt left on the route, time left before the deadline, and one unit of
+//! the service's retry budget; the budget is charged last, and only where the table allows a
+//! retry at all. The next endpoint after an unsent attempt is free, since no endpoint has
+//! seen the request.
+//!
+//! Once an attempt may have run, every refusal has a status that promises nothing (502, 504).
+
+use std::time::Duration;
+
+use super::{refusal::Refusal, retry_after};
+use crate::gateway::configuration::RouteKind;
+
+/// How an attempt without a usable response ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptFailure {
+    /// Nothing was sent.
+    NotSent,
+    /// The endpoint has not run the request and never will.
+    NotRun,
+    /// The request may have run.
+    MayHaveRun,
+}
+
+/// What follows a failed attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FailureStep {
+    /// Another endpoint is tried, without charging the retry budget.
+    TryNext,
+    /// Another endpoint is tried if attempts, deadline and budget allow it; otherwise the
+    /// client gets the refusal for this reason.
+    RetryOr(GiveUpReason),
+    /// The client gets the refusal for this reason.
+    GiveUp(GiveUpReason),
+}
+
+/// Why a request is given up after an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum GiveUpReason {
+    /// No attempt has run it.
+    NotRun,
+    /// The last attempt has not run it, but an earlier one may have.
+    EarlierMayHaveRun,
+    /// The last attempt may have run it.
+    LastMayHaveRun,
+}
+
+/// Whether a response of an endpoint that has run the request may be dropped for a retry;
+/// otherwise it is passed on.
+pub fn may_retry_response(kind: RouteKind, is_server_error: bool) -> bool {
+    is_server_error && kind == RouteKind::Idempotent
+}
+
+/// What follows a failed attempt; `may_have_run` tells of the attempts before it.
+pub fn after_failure(failure: AttemptFailure, kind: RouteKind, may_have_run: bool) -> FailureStep {
+    match failure {
+        AttemptFailure::NotSent => FailureStep::TryNext,
+        AttemptFailure::NotRun if may_have_run => {
+            FailureStep::RetryOr(GiveUpReason::EarlierMayHaveRun)
+        }
+        AttemptFailure::NotRun => FailureStep::RetryOr(GiveUpReason::NotRun),
+        AttemptFailure::MayHaveRun if kind.may_run_again() => {
+            FailureStep::RetryOr(GiveUpReason::LastMayHaveRun)
+        }
+        AttemptFailure::MayHaveRun => FailureStep::GiveUp(GiveUpReason::LastMayHaveRun),
+    }
+}
+
+impl GiveUpReason {
+    /// The refusal; `target` is the route's target for the first part of a response.
+    pub fn refusal(self, is_deadline_over: bool, target: Duration) -> Refusal {
+        match self {
+            Self::NotRun => Refusal::Full(retry_after::all_full(target)),
+            Self::EarlierMayHaveRun => Refusal::Unknown,
+            Self::LastMayHaveRun if is_deadline_over => Refusal::OutOfTime,
+            Self::LastMayHaveRun => Refusal::Unknown,
+        }
+    }
+}
+
+/// Why no attempt could be made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NoAttempt {
+    /// The deadline has passed.
+    DeadlineOver,
+    /// All endpoints that were not tried are full.
+    AllFull,
+    /// There is no endpoint that was not tried.
+    NoEndpoint,
+}
+
+impl NoAttempt {
+    /// The refusal; `may_have_run` tells of the attempts before.
+    pub fn refusal(self, may_have_run: bool, target: Duration) -> Refusal {
+        match (self, may_have_run) {
+            (Self::DeadlineOver, true) => Refusal::OutOfTime,
+            (Self::AllFull | Self::NoEndpoint, true) => Refusal::Unknown,
+            (Self::DeadlineOver, false) => Refusal::Full(retry_after::NO_ENDPOINT),
+            (Self::AllFull, false) => Refusal::Full(retry_after::all_full(target)),
+            (Self::NoEndpoint, false) => Refusal::NoEndpoint(retry_after::NO_ENDPOINT),
+        }
+    }
+}
+
+/// Whether a broken response may be resumed at another endpoint: only a stream of events on a
+/// route that allows it. `is_event_stream` says that the response is being cut into events.
+pub fn may_resume(kind: RouteKind, is_event_stream: bool) -> bool {
+    is_event_stream && kind.may_run_again()
+}
--- /dev/null
+++ b/src/gateway/policy/retry_after.rs
@@ -0,0 +1,27 @@
+//! When a client may retry that got 429 or 503: the times told in `Retry-After`.
+//!
+//! Quotas compute their own time, from the bucket's level (`quota`). All other times are
+//! here. They don't depend on the load; the route's target is the only input.
+
+use std::time::Duration;
+
+/// No endpoint of the service takes requests, or the deadline passed before one was chosen.
+/// Basis: chosen, not measured: quicker retries would load the daemon and find the same list.
+pub const NO_ENDPOINT: Duration = Duration::from_millis(400);
+/// The daemon has no current configuration yet, or doesn't know how many others there are.
+/// Basis: chosen, not measured: keeps clients from loading a daemon that is still starting.
+pub const DAEMON_STARTING: Duration = Duration::from_millis(500);
+/// The daemon is stopping; the balancer sends the retry to another one.
+/// Basis: chosen, not measured: brought by commit 7041d5e; the other daemon has no need of a
+/// pause.
+pub const OTHER_DAEMON: Duration = Duration::from_millis(20);
+/// Fraction of the route's target after which a client that found all endpoints full may
+/// retry.
+/// Basis: chosen, not measured: a retry after half the target can still be in time.
+const FULL_TARGET_FRACTION: f64 = 0.5;
+
+/// Time to retry after when all endpoints are full; `target` is the route's target for the
+/// first part of a response.
+pub fn all_full(target: Duration) -> Duration {
+    target.mul_f64(FULL_TARGET_FRACTION)
+}
--- a/src/gateway/policy/retry_budget.rs
+++ b/src/gateway/policy/retry_budget.rs
@@ -1,53 +1,96 @@
-//! Budget of repeats of one service at one daemon: a share of the requests of a sliding
-//! window, and an even part of the reserve that all daemons have together.
+//! Budgets of retries: how many requests of a service one daemon may retry.
+//!
+//! A daemon may retry a share of the service's requests that it received within a sliding
+//! window, and besides an even part of a reserve that all daemons have together, so that a
+//! quiet service can retry at all. Both come from the deployment's settings. Only what this
+//! daemon has counted itself enters; a daemon that has just started has its reserve alone.
 
-use std::{collections::VecDeque, time::Duration};
+use std::{
+    collections::{HashMap, VecDeque},
+    time::Duration,
+};
 
 use tokio::time::Instant;
 
-/// Part of the promised share and reserve that is used; the rest covers repeats that are
-/// counted differently at the endpoints.
-const USED_PART: f64 = 0.8;
+use crate::ids::SharedName;
+
+/// Fraction of the promised share and reserve that is used; the rest covers retries that the
+/// endpoints count into another window than this daemon does.
+/// Basis: chosen, not measured: a fifth left as a margin.
+const USED_FRACTION: f64 = 0.8;
 
 /// Budget of one service.
 #[derive(Debug)]
 pub struct RetryBudget {
     window: Duration,
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl RetryBudget {
     /// Budget over windows of this length.
     pub fn new(window: Duration) -> Self {
-        Self { window, requests: VecDeque::new(), repeats: VecDeque::new() }
+        Self { window, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// A client's request came.
-    pub fn request(&mut self, now: Instant) {
-        self.forget(now);
+    /// Counts a client's request.
+    pub fn record_request(&mut self, now: Instant) {
+        self.forget_before_window(now);
         self.requests.push_back(now);
     }
 
-    /// Draws one repeat, if there is one: `share` of the window's requests and `reserve`
+    /// Withdraws one retry, if there is one: `share` of the window's requests and `reserve`
     /// more, both for this daemon alone.
     pub fn try_withdraw(&mut self, share: f64, reserve: f64, now: Instant) -> bool {
-        self.forget(now);
-        let allowed = (self.requests.len() as f64 * share + reserve) * USED_PART;
-        let drawn = (self.repeats.len() as f64) + 1.0 <= allowed;
-        if drawn {
-            self.repeats.push_back(now);
+        self.forget_before_window(now);
+        let allowed = (self.requests.len() as f64 * share + reserve) * USED_FRACTION;
+        let is_allowed = (self.retries.len() as f64) + 1.0 <= allowed;
+        if is_allowed {
+            self.retries.push_back(now);
         }
-        drawn
+        is_allowed
     }
 
-    fn forget(&mut self, now: Instant) {
-        let old = |at: &Instant| now.saturating_duration_since(*at) > self.window;
-        while self.requests.front().is_some_and(old) {
+    fn forget_before_window(&mut self, now: Instant) {
+        let is_old = |at: &Instant| now.saturating_duration_since(*at) > self.window;
+        while self.requests.front().is_some_and(is_old) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(is_old) {
+            self.retries.pop_front();
         }
     }
 }
+
+/// Budgets of all services.
+#[derive(Debug)]
+pub struct RetryBudgets {
+    window: Duration,
+    share: f64,
+    total_reserve: f64,
+    by_service: HashMap<SharedName, RetryBudget>,
+}
+
+impl RetryBudgets {
+    /// Budgets that allow `share` of the requests of a window, and over all daemons
+    /// `total_reserve` retries more.
+    pub fn new(window: Duration, share: f64, total_reserve: f64) -> Self {
+        Self { window, share, total_reserve, by_service: HashMap::new() }
+    }
+
+    /// Counts a client's request for a service.
+    pub fn record_request(&mut self, service: &SharedName, now: Instant) {
+        self.budget_of(service).record_request(now);
+    }
+
+    /// Withdraws one retry of a service at one of `daemons` daemons, if there is one.
+    pub fn try_withdraw(&mut self, service: &SharedName, daemons: usize, now: Instant) -> bool {
+        let (share, reserve) = (self.share, self.total_reserve / daemons as f64);
+        self.budget_of(service).try_withdraw(share, reserve, now)
+    }
+
+    fn budget_of(&mut self, service: &SharedName) -> &mut RetryBudget {
+        let window = self.window;
+        self.by_service.entry(service.clone()).or_insert_with(|| RetryBudget::new(window))
+    }
+}
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,7 @@
-//! The path of a client's request: from its connection to an endpoint's answer and back.
+//! The path of a client's request: from its connection to an endpoint's response and back.
+//!
+//! `client_listener` accepts connections, `dispatch` takes a request through `admission`,
+//! `attempt` and `relay`. The rules that they follow are in `policy`.
 
 pub mod admission;
 pub mod attempt;
@@ -8,7 +11,7 @@
 pub mod dispatch;
 pub mod drain;
 pub mod event_cutter;
-pub mod refusal;
+pub mod refusal_response;
 pub mod relay;
 pub mod request_log;
 pub mod response_meaning;
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -1,6 +1,7 @@
-//! Checks a client's request against the configuration, and spends its quota.
+//! Admits a client's request: reads its body and charges its quota, by the rules of
+//! `policy::admission`, `policy::key_freshness` and `policy::quota`.
 
-use std::{cell::Cell, rc::Rc, time::Duration};
+use std::{cell::Cell, rc::Rc};
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -8,32 +9,31 @@
 use rand::RngExt;
 use tokio::time::{Instant, timeout_at};
 
-use super::{
-    call::{Call, CallHead},
-    refusal::{NO_ENDPOINT_WAIT, Refusal, SpentQuota},
-};
+use super::call::{Call, CallHead};
 use crate::gateway::{
     configuration::{Account, Configuration, Route, Service},
     context::{GatewayContext, Intake},
-    policy::quota::QuotaVerdict,
+    policy::{
+        admission::{MatchedHead, match_head, quota_units, service_at, total_weight},
+        quota::QuotaVerdict,
+        refusal::{Refusal, SpentQuota},
+        retry_after, time_limits,
+    },
 };
 
-/// Longest time that a request is held which names no deadline.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
-
 /// A request that has been checked and admitted.
 pub struct Admitted {
     /// The request.
     pub call: Call,
     /// Its route.
     pub route: Rc<Route>,
-    /// Service that the route's split gave it.
+    /// Service drawn among those of the route.
     pub service: Rc<Service>,
-    /// Account, unless the route is public.
+    /// Account; none for public routes.
     pub account: Option<Rc<Account>>,
     /// When it has to be over.
     pub deadline: Instant,
-    /// Whether its run has been counted as used.
+    /// Whether its run has been counted for the account.
     pub counted: Cell<bool>,
 }
 
@@ -48,44 +48,19 @@
         return Err(Refusal::Leaving);
     }
     let configuration = context.configuration().ok_or(Refusal::NoConfiguration)?;
-    let route = configuration.route(&head.host, head.path()).ok_or(Refusal::NoRoute)?.clone();
-    let account = find_account(context, &configuration, &route, &head, received)?;
-    let held = [head.deadline, route.timeout].into_iter().flatten().min();
-    let deadline = received + held.unwrap_or(DEFAULT_DEADLINE);
+    let keys = context.key_freshness(received);
+    let MatchedHead { route, account } = match_head(&configuration, &head, keys)?;
+    let deadline = time_limits::request_deadline(received, head.deadline, &route);
     let body = read_body(body, configuration.limits.body_bytes, deadline).await?;
-    let service =
-        pick_service(&configuration, &route).ok_or(Refusal::NoEndpoint(NO_ENDPOINT_WAIT))?;
+    let service = draw_service(&configuration, &route)
+        .ok_or(Refusal::NoEndpoint(retry_after::NO_ENDPOINT))?;
     let now = Instant::now();
     if let Some(account) = &account {
-        spend_quota(context, account, &head, now)?;
+        charge_quota(context, account, &head, now)?;
     }
-    context.note_request(&service.name, now);
-    Ok(Admitted {
-        call: Call { head, body },
-        route,
-        service,
-        account,
-        deadline,
-        counted: Cell::new(false),
-    })
-}
-
-fn find_account(
-    context: &GatewayContext,
-    configuration: &Configuration,
-    route: &Route,
-    head: &CallHead,
-    now: Instant,
-) -> Result<Option<Rc<Account>>, Refusal> {
-    if route.public || configuration.accounts.is_empty() {
-        return Ok(None);
-    }
-    if !context.keys_are_fresh(now) {
-        return Err(Refusal::NotFresh);
-    }
-    let key = head.key.as_deref().ok_or(Refusal::UnknownKey)?;
-    let account = configuration.account_of(key).ok_or(Refusal::UnknownKey)?;
-    Ok(Some(account.clone()))
+    context.retry_budgets.borrow_mut().record_request(&service.name, now);
+    let call = Call { head, body };
+    Ok(Admitted { call, route, service, account, deadline, counted: Cell::new(false) })
 }
 
 async fn read_body(body: Incoming, limit: usize, deadline: Instant) -> Result<Bytes, Refusal> {
@@ -96,31 +71,18 @@
     match collecting.await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLong),
+        // The client broke off or was too slow; the refusal is logged with the request.
         Ok(Err(_)) | Err(_) => Err(Refusal::BodyBroken),
     }
 }
 
-fn pick_service(configuration: &Configuration, route: &Route) -> Option<Rc<Service>> {
-    let total: u32 = route.services.iter().map(|entry| entry.weight).sum();
-    let mut point = rand::rng().random_range(0..total.max(1));
-    for entry in &route.services {
-        if point < entry.weight {
-            return configuration.services.get(&entry.service).cloned();
-        }
-        point -= entry.weight;
-    }
-    None
-}
-
-/// Units that a request takes of its account's quota.
-fn quota_units(account: &Account, head: &CallHead) -> u64 {
-    if !account.quota.in_tokens {
-        return 1;
-    }
-    head.tokens.map_or(account.quota.default_tokens, |tokens| tokens.total())
+fn draw_service(configuration: &Configuration, route: &Route) -> Option<Rc<Service>> {
+    let point = rand::rng().random_range(0..total_weight(&route.services).max(1));
+    let drawn = service_at(&route.services, point)?;
+    configuration.services.get(&drawn.service).cloned()
 }
 
-fn spend_quota(
+fn charge_quota(
     context: &GatewayContext,
     account: &Account,
     head: &CallHead,
@@ -129,7 +91,7 @@
     if account.quota.rate.is_some() && !context.knows_fleet(now) {
         return Err(Refusal::FleetUnknown);
     }
-    let units = quota_units(account, head);
+    let units = quota_units(&account.quota, head.tokens);
     let sharing = context.sharing(now);
     let mut quotas = context.quotas.borrow_mut();
     match quotas.admit(&account.name, &account.quota, units, sharing, now, &mut rand::rng()) {
@@ -145,10 +107,10 @@
     }
 }
 
-/// Gives back what a request took of its quota that has not run.
-pub fn give_quota_back(context: &GatewayContext, admitted: &Admitted) {
+/// Refunds the quota of a request that has not run.
+pub fn refund_quota(context: &GatewayContext, admitted: &Admitted) {
     if let Some(account) = &admitted.account {
-        let units = quota_units(account, &admitted.call.head);
+        let units = quota_units(&account.quota, admitted.call.head.tokens);
         context.quotas.borrow_mut().give_back(&account.name, units);
     }
 }
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -1,6 +1,10 @@
-//! One attempt at a request: an endpoint is chosen, connected to and asked.
+//! One attempt at a request: an endpoint is chosen, connected to and sent the request.
+//!
+//! The choice is made by `policy::endpoint_choice`, the wait for a response is limited by
+//! `policy::time_limits`. What follows the attempt is not decided here but in
+//! `policy::retries`.
 
-use std::{rc::Rc, time::Duration};
+use std::rc::Rc;
 
 use http_body_util::Full;
 use hyper::{
@@ -11,10 +15,9 @@
 
 use super::{
     admission::Admitted,
-    call::{AttemptHead, CallHead},
+    call::AttemptHead,
     connection_pool::{EndpointConnection, SendFailure},
     drain::drain,
-    refusal::{NO_ENDPOINT_WAIT, Refusal},
     request_log::RequestTrace,
     response_meaning::{ResponseMeaning, ResponseSigns},
     run_guard::RunGuard,
@@ -26,22 +29,21 @@
         policy::{
             endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointChoice},
             endpoint_load::{RunLoad, estimated_memory},
+            endpoint_priority::endpoint_priority,
+            refusal::Refusal,
+            retries::{AttemptFailure, NoAttempt},
+            time_limits,
         },
     },
     ids::SharedName,
     platform::ingress,
 };
 
-/// A plain request that may be repeated is sent elsewhere after this many times its target.
-const PLAIN_PATIENCE: f64 = 3.0;
-/// A stream that may be continued is sent elsewhere after this many times its target.
-const STREAM_PATIENCE: f64 = 1.6;
-
-/// An answer of an endpoint, with all that is needed to relay it.
+/// A response of an endpoint, with all that is needed to relay it.
 pub struct EndpointResponse {
     /// Head and body.
     pub response: Response<Incoming>,
-    /// What it says.
+    /// What its head says.
     pub signs: ResponseSigns,
     /// Connection that it comes over.
     pub connection: EndpointConnection,
@@ -50,16 +52,18 @@
 }
 
 /// State of the attempts at one request.
+#[derive(Default)]
 pub struct Attempts {
     /// Endpoints that were tried.
     pub tried: Vec<SharedName>,
     /// Attempts that reached an endpoint.
     pub sent: u32,
-    /// Whether an attempt ended in a way that leaves open whether the request has run.
-    pub maybe_run: bool,
+    /// Whether the request may have run in one of them.
+    pub may_have_run: bool,
 }
 
-/// Whether another endpoint may be sent the request; draws on the budget.
+/// Whether a retry is possible: attempts and time are left, and the service's retry budget
+/// has one, which is withdrawn.
 pub fn may_try_again(context: &GatewayContext, admitted: &Admitted, attempts: &Attempts) -> bool {
     let now = Instant::now();
     attempts.sent < admitted.route.attempts
@@ -69,62 +73,46 @@
 
 /// How one attempt ended.
 pub enum AttemptEnd {
-    /// An endpoint has answered, and the answer says that the request ran.
-    Answer(Box<EndpointResponse>),
-    /// Nothing was sent.
-    NotSent,
-    /// The endpoint has not run it and never will.
-    NotRun,
-    /// It may have run.
-    Unknown,
+    /// An endpoint has run the request and responds.
+    Responded(Box<EndpointResponse>),
+    /// There is no usable response.
+    Failed(AttemptFailure),
 }
 
-/// One attempt: chooses an endpoint, connects, sends, and reads the head of the answer.
-/// `continued` is the last event that the client has of a stream that goes on.
+/// Makes one attempt: chooses an endpoint, connects, sends, and reads the head of the
+/// response. `resume_after` is the last event that the client has of a stream that broke.
 pub async fn attempt(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     attempts: &mut Attempts,
-    continued: Option<u64>,
+    resume_after: Option<u64>,
     trace: &mut RequestTrace,
 ) -> Result<AttemptEnd, Refusal> {
     let choice = choose(context, admitted, attempts)?;
     let endpoint = choice.endpoint.clone();
     attempts.tried.push(endpoint.id.clone());
     trace.attempt(&choice);
-    let load = RunLoad { uncached: choice.uncached, memory: memory_tokens(&admitted.call.head) };
-    let guard = RunGuard::begin(context.clone(), &endpoint, &admitted.call.head.parts, load);
-    let repeatable = admitted.route.kind.may_run_again();
-    let taking = context.connections.take(&endpoint, repeatable, admitted.deadline);
+    let head = &admitted.call.head;
+    let load = RunLoad { uncached: choice.uncached, memory: memory_tokens(admitted) };
+    let guard = RunGuard::begin(context.clone(), &endpoint, &head.parts, load);
+    let may_run_again = admitted.route.kind.may_run_again();
+    let taking = context.connections.take(&endpoint, may_run_again, admitted.deadline);
     let mut connection = match taking.await {
         Ok(connection) => connection,
         Err(failure) => {
             trace.failed(&failure);
             guard.finish(AttemptResult::Failed);
-            return Ok(AttemptEnd::NotSent);
+            return Ok(AttemptEnd::Failed(AttemptFailure::NotSent));
         }
     };
     let now = Instant::now();
-    let request = endpoint_request(admitted, &endpoint.id, continued, now);
-    let until = attempt_timeout(admitted, attempts, now);
+    let request = endpoint_request(admitted, &endpoint.id, resume_after, now);
+    let until =
+        time_limits::attempt_deadline(&admitted.route, attempts.sent, admitted.deadline, now);
     match connection.send(request, until).await {
         Err(failure) => {
             trace.failed(&failure);
-            let end = match failure.is_unsent() {
-                true => AttemptEnd::NotSent,
-                false => {
-                    attempts.sent += 1;
-                    context.connections.discard_connections(&endpoint.id);
-                    AttemptEnd::Unknown
-                }
-            };
-            // NOTE: a kept connection that its endpoint has closed says nothing of its health.
-            let closed = matches!(failure, SendFailure::ClosedBefore);
-            guard.finish(if closed { AttemptResult::Neutral } else { AttemptResult::Failed });
-            if closed {
-                attempts.tried.pop();
-            }
-            Ok(end)
+            Ok(AttemptEnd::Failed(after_send_failure(context, attempts, &failure, guard)))
         }
         Ok(response) => {
             attempts.sent += 1;
@@ -133,6 +121,32 @@
     }
 }
 
+fn after_send_failure(
+    context: &GatewayContext,
+    attempts: &mut Attempts,
+    failure: &SendFailure,
+    guard: RunGuard,
+) -> AttemptFailure {
+    let ended = match failure.is_unsent() {
+        true => AttemptFailure::NotSent,
+        false => {
+            attempts.sent += 1;
+            context.connections.discard_connections(guard.endpoint());
+            AttemptFailure::MayHaveRun
+        }
+    };
+    match failure {
+        // That an endpoint has closed an idle connection says nothing of its health: it may
+        // be chosen again.
+        SendFailure::ClosedBefore => {
+            guard.finish(AttemptResult::Neutral);
+            attempts.tried.pop();
+        }
+        _ => guard.finish(AttemptResult::Failed),
+    }
+    ended
+}
+
 fn judge(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
@@ -142,27 +156,28 @@
     trace: &mut RequestTrace,
 ) -> AttemptEnd {
     let signs = ingress::read_response(&admitted.call.head.id, &response);
-    trace.answered(response.status(), signs.meaning);
+    trace.responded(response.status(), signs.meaning);
     match signs.meaning {
         ResponseMeaning::Ran => {
-            AttemptEnd::Answer(Box::new(EndpointResponse { response, signs, connection, guard }))
+            let response = EndpointResponse { response, signs, connection, guard };
+            AttemptEnd::Responded(Box::new(response))
         }
         ResponseMeaning::NotRun => {
             context.endpoints.borrow_mut().mark_full(guard.endpoint(), Instant::now());
             guard.finish(AttemptResult::Neutral);
             drain(context, response, connection, signs);
-            AttemptEnd::NotRun
+            AttemptEnd::Failed(AttemptFailure::NotRun)
         }
         ResponseMeaning::OtherEndpoint => {
             context.endpoints.borrow_mut().mark_ended(guard.endpoint());
             context.connections.discard_connections(guard.endpoint());
             guard.finish(AttemptResult::Failed);
-            AttemptEnd::NotRun
+            AttemptEnd::Failed(AttemptFailure::NotRun)
         }
         ResponseMeaning::Foreign => {
             context.connections.discard_connections(guard.endpoint());
             guard.finish(AttemptResult::Failed);
-            AttemptEnd::Unknown
+            AttemptEnd::Failed(AttemptFailure::MayHaveRun)
         }
     }
 }
@@ -172,69 +187,47 @@
     admitted: &Admitted,
     attempts: &Attempts,
 ) -> Result<EndpointChoice, Refusal> {
-    let head = &admitted.call.head;
+    let refusal = |reason: NoAttempt| reason.refusal(attempts.may_have_run, admitted.route.target);
     let now = Instant::now();
     if now >= admitted.deadline {
-        return Err(if attempts.maybe_run {
-            Refusal::OutOfTime
-        } else {
-            Refusal::Full(NO_ENDPOINT_WAIT)
-        });
+        return Err(refusal(NoAttempt::DeadlineOver));
     }
+    let head = &admitted.call.head;
     let query = ChoiceQuery {
         service: &admitted.service.name,
         parts: &head.parts,
         prompt_tokens: head.tokens.map_or(0, |tokens| tokens.prompt),
-        memory_tokens: memory_tokens(head),
+        memory_tokens: memory_tokens(admitted),
         tried: &attempts.tried,
         memory_capacity: admitted.service.engine.as_ref().map(|engine| engine.memory_tokens),
     };
     match context.endpoints.borrow().choose(&query, now, &mut rand::rng()) {
         ChoiceResult::Endpoint(choice) => Ok(choice),
-        _ if attempts.maybe_run => Err(Refusal::Unknown),
-        ChoiceResult::Full => Err(Refusal::Full(retry_after(admitted))),
-        ChoiceResult::None => Err(Refusal::NoEndpoint(NO_ENDPOINT_WAIT)),
+        ChoiceResult::Full => Err(refusal(NoAttempt::AllFull)),
+        ChoiceResult::None => Err(refusal(NoAttempt::NoEndpoint)),
     }
 }
 
-/// When a client that found all endpoints full may come back: soon enough to be in time.
-pub fn retry_after(admitted: &Admitted) -> Duration {
-    const PART_OF_TARGET: f64 = 0.5;
-    admitted.route.target.mul_f64(PART_OF_TARGET)
-}
-
-fn memory_tokens(head: &CallHead) -> u64 {
+fn memory_tokens(admitted: &Admitted) -> u64 {
+    let head = &admitted.call.head;
     estimated_memory(head.tokens, head.answer_guess)
 }
 
 fn endpoint_request(
     admitted: &Admitted,
     endpoint: &str,
-    continued: Option<u64>,
+    resume_after: Option<u64>,
     now: Instant,
 ) -> Request<Full<Bytes>> {
-    const LOWEST: u8 = 9;
-    const ROUTE_RANKS: u8 = 3;
     let account = admitted.account.as_ref();
-    let rank = account.map_or(0, |account| account.priority).saturating_mul(ROUTE_RANKS);
-    let priority = rank.saturating_add(admitted.route.priority).min(LOWEST);
+    let priority =
+        endpoint_priority(account.map(|account| account.priority), admitted.route.priority);
     let attempt = AttemptHead {
         endpoint,
         account: account.map(|account| &*account.name),
         left: Some(admitted.deadline.saturating_duration_since(now)),
         priority: admitted.service.engine.is_some().then_some(priority),
-        last_event: continued,
+        last_event: resume_after,
     };
     ingress::endpoint_request(&admitted.call, &attempt, Full::new(admitted.call.body.clone()))
 }
-
-/// How long the head of an answer is waited for.
-fn attempt_timeout(admitted: &Admitted, attempts: &Attempts, now: Instant) -> Instant {
-    let route = &admitted.route;
-    let last = attempts.sent + 1 >= route.attempts;
-    if last || !route.kind.may_run_again() {
-        return admitted.deadline;
-    }
-    let times = if route.kind.is_stream() { STREAM_PATIENCE } else { PLAIN_PATIENCE };
-    admitted.deadline.min(now + route.target.mul_f64(times))
-}
--- a/src/gateway/request/client_listener.rs
+++ b/src/gateway/request/client_listener.rs
@@ -1,4 +1,8 @@
-//! The clients' port: accepts connections and keeps the configuration's time limits.
+//! The clients' port: accepts connections, serves their requests one after the other, and
+//! closes connections that have been idle for too long.
+//!
+//! A stopping daemon serves one request on each new connection; see `daemon` for the order of
+//! a stop.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -11,29 +15,54 @@
 
 use super::dispatch;
 use crate::{
-    gateway::context::{GatewayContext, Intake},
+    gateway::{
+        configuration::ClientLimits,
+        context::{GatewayContext, Intake},
+    },
     kernel::LifePhase,
 };
 
 /// Name of the service.
 pub const NAME: &str = "client-edge";
 /// Most connections open at once; more wait in the listen queue.
+/// Basis: chosen, not measured: bounds the memory of a daemon under a flood of connections.
 const CONNECTION_LIMIT: usize = 2_500;
-/// A connection is closed this much later than it may rest, so that a request that was sent
-/// just in time does not cross the close.
-const REST_MARGIN: Duration = Duration::from_millis(500);
-/// Longest life of a connection that was accepted by a daemon on its way out.
-const LEAVING_LIMIT: Duration = Duration::from_secs(30);
-/// Smallest buffer for a head that the HTTP library takes.
-const LEAST_BUFFER: usize = 8 * 1024;
+/// A connection is closed this much later than the configured idle time, so that a request
+/// sent just in time doesn't meet the close.
+/// Basis: chosen, not measured: far above a round trip.
+const IDLE_MARGIN: Duration = Duration::from_millis(500);
+/// Longest life of a connection accepted by a stopping daemon.
+/// Basis: chosen, not measured: the daemon's stop ends it earlier; only a bound.
+const STOPPING_LIMIT: Duration = Duration::from_secs(30);
+/// Smallest buffer for a head, in bytes, that the HTTP library accepts.
+/// Basis: the library's own minimum; it panics below it.
+const MIN_BUFFER: usize = 8 * 1024;
+/// Pause before accepting again at the connection limit, or after an error of accepting.
+/// Basis: chosen, not measured: short for clients, long enough not to spin.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// What a connection is doing.
 #[derive(Debug)]
 struct ConnectionUse {
-    /// Requests that have not been answered whole.
-    busy: Cell<bool>,
-    /// End of the last answer, or the start.
-    rested_since: Cell<Instant>,
+    /// Whether a request is being handled.
+    is_busy: Cell<bool>,
+    /// When the last response began, or the connection.
+    idle_since: Cell<Instant>,
+}
+
+impl ConnectionUse {
+    fn new() -> Self {
+        Self { is_busy: Cell::new(false), idle_since: Cell::new(Instant::now()) }
+    }
+
+    fn begin_request(&self) {
+        self.is_busy.set(true);
+    }
+
+    fn end_request(&self) {
+        self.is_busy.set(false);
+        self.idle_since.set(Instant::now());
+    }
 }
 
 /// Serves clients until the daemon stops.
@@ -43,15 +72,15 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept(), if open.get() < CONNECTION_LIMIT => accepted,
-            () = sleep(Duration::from_millis(20)), if open.get() >= CONNECTION_LIMIT => continue,
+            () = sleep(ACCEPT_PAUSE), if open.get() >= CONNECTION_LIMIT => continue,
             _ = phase.wait_for(|phase| *phase == LifePhase::Stopping) => return,
         };
         if context.intake.get() == Intake::Closed {
             return std::future::pending().await;
         }
         let Ok((stream, _)) = accepted else {
-            // NOTE: out of descriptors; accepting again at once would spin.
-            sleep(Duration::from_millis(20)).await;
+            // Out of descriptors, mostly; accepting again at once would spin.
+            sleep(ACCEPT_PAUSE).await;
             continue;
         };
         let guard = open.enter();
@@ -63,53 +92,40 @@
     }
 }
 
+/// Bounds of the newest configuration; the defaults until there is one.
+fn client_limits(context: &GatewayContext) -> ClientLimits {
+    context.configuration().map_or_else(ClientLimits::default, |current| current.limits)
+}
+
 async fn serve_connection(stream: TcpStream, context: Rc<GatewayContext>) {
-    // NOTE: fails only on a socket that is already broken, which reading finds out.
+    // Fails only on a socket that is already broken, which the first read reports.
     let _ = stream.set_nodelay(true);
-    let usage =
-        Rc::new(ConnectionUse { busy: Cell::new(false), rested_since: Cell::new(Instant::now()) });
-    let limits = context.configuration().map(|current| current.limits).unwrap_or_default();
+    let usage = Rc::new(ConnectionUse::new());
     let service = service_fn({
         let (context, usage) = (context.clone(), usage.clone());
         move |request| {
-            usage.busy.set(true);
+            usage.begin_request();
             let (context, usage) = (context.clone(), usage.clone());
             async move {
-                let answered = dispatch::answer(&context, request).await;
-                usage.busy.set(false);
-                usage.rested_since.set(Instant::now());
-                answered
+                let responded = dispatch::respond(&context, request).await;
+                usage.end_request();
+                responded
             }
         }
     });
-    let connection = http1::Builder::new()
-        .timer(TokioTimer::new())
-        .header_read_timeout(None)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
-        .auto_date_header(false)
-        .keep_alive(!context.is_leaving())
-        .serve_connection(TokioIo::new(stream), service);
+    let connection = http1_builder(&context).serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let mut phase = context.kernel.phase();
     if context.is_leaving() {
-        // NOTE: it ends by itself after one answer; closed now, its request would be lost.
-        let _ = timeout(LEAVING_LIMIT, connection).await;
+        // It ends by itself after one response; closing it now would lose its request.
+        // Errors are the client's: its requests are logged by themselves.
+        let _ = timeout(STOPPING_LIMIT, connection).await;
         return;
     }
-    loop {
-        let limits = context.configuration().map(|current| current.limits).unwrap_or_default();
-        let close_at = usage.rested_since.get() + limits.idle_timeout + REST_MARGIN;
-        tokio::select! {
-            _ = connection.as_mut() => return,
-            () = sleep_until(close_at), if !usage.busy.get() => {
-                if usage.rested_since.get() + limits.idle_timeout + REST_MARGIN > Instant::now() {
-                    continue;
-                }
-                break;
-            }
-            () = sleep(limits.idle_timeout), if usage.busy.get() => continue,
-            _ = phase.wait_for(|phase| *phase >= LifePhase::Draining) => break,
-        }
+    let mut phase = context.kernel.phase();
+    tokio::select! {
+        _ = connection.as_mut() => return,
+        () = until_idle_too_long(&context, &usage) => {}
+        _ = phase.wait_for(|phase| *phase >= LifePhase::Draining) => {}
     }
     connection.as_mut().graceful_shutdown();
     tokio::select! {
@@ -117,3 +133,31 @@
         _ = phase.wait_for(|phase| *phase == LifePhase::Stopping) => {}
     }
 }
+
+fn http1_builder(context: &GatewayContext) -> http1::Builder {
+    let mut builder = http1::Builder::new();
+    builder
+        .timer(TokioTimer::new())
+        .header_read_timeout(None)
+        .max_buf_size(client_limits(context).head_bytes.max(MIN_BUFFER))
+        .auto_date_header(false)
+        .keep_alive(!context.is_leaving());
+    builder
+}
+
+/// Waits until the connection has been idle for longer than the configuration allows.
+async fn until_idle_too_long(context: &GatewayContext, usage: &ConnectionUse) {
+    loop {
+        let idle_timeout = client_limits(context).idle_timeout;
+        if usage.is_busy.get() {
+            sleep(idle_timeout).await;
+            continue;
+        }
+        let close_at = usage.idle_since.get() + idle_timeout + IDLE_MARGIN;
+        sleep_until(close_at).await;
+        // A request that is still being handled ends first; the connection closes after it.
+        if usage.idle_since.get() + idle_timeout + IDLE_MARGIN <= Instant::now() {
+            return;
+        }
+    }
+}
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -1,4 +1,5 @@
-//! From a client's request to its answer: checked, admitted, and run at an endpoint.
+//! A client's request from its head to the response: admitted, run at an endpoint, passed on
+//! or refused. What follows each attempt is decided by `policy::retries`.
 
 use std::rc::Rc;
 
@@ -7,34 +8,41 @@
 
 use super::{
     admission::{self, Admitted, admit},
-    attempt::{AttemptEnd, Attempts, EndpointResponse, attempt, may_try_again, retry_after},
-    refusal::Refusal,
+    attempt::{AttemptEnd, Attempts, EndpointResponse, attempt, may_try_again},
+    refusal_response::refusal_response,
     relay,
     request_log::RequestTrace,
 };
 use crate::{
     endpoint_health::AttemptResult,
-    gateway::{configuration::RouteKind, context::GatewayContext},
+    gateway::{
+        context::GatewayContext,
+        policy::{
+            refusal::Refusal,
+            retries::{AttemptFailure, FailureStep, after_failure, may_retry_response},
+        },
+    },
     http::LocalBody,
     platform::ingress,
 };
 
-/// Why a connection is closed without an answer.
+/// Error that closes the connection of a client whose request did not arrive whole.
 const CLIENT_BROKE_OFF: &str = "client broke off";
 
-/// Answers a client's request.
-pub async fn answer(
+/// Responds to a client's request; an error closes the connection without a response.
+pub async fn respond(
     context: &Rc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, std::io::Error> {
-    // NOTE: the HTTP library drops a length that stands beside chunks, so a body in chunks
-    // may be meant to end elsewhere. What follows it is never read as another request.
-    let last = ingress::is_chunked(request.headers());
-    let mut answered = respond_to(context, request).await;
-    if let (true, Ok(answer)) = (last, &mut answered) {
-        ingress::close_after(answer.headers_mut());
+    // The HTTP library drops a Content-Length that comes with a chunked body, so the client
+    // may mean the body to end elsewhere. Closing the connection after the response keeps
+    // what follows from being read as another request.
+    let close = ingress::is_chunked(request.headers());
+    let mut responded = respond_to(context, request).await;
+    if let (true, Ok(response)) = (close, &mut responded) {
+        ingress::close_after(response.headers_mut());
     }
-    answered
+    responded
 }
 
 async fn respond_to(
@@ -49,7 +57,7 @@
         Err(error) => {
             let refusal = Refusal::BadHead(error);
             RequestTrace::new(context, None).refused(&refusal);
-            return Ok(refusal.answer(None));
+            return Ok(refusal_response(&refusal, None));
         }
     };
     let id = head.id.clone();
@@ -61,7 +69,7 @@
         }
         Err(refusal) => {
             trace.refused(&refusal);
-            Ok(refusal.answer(Some(&id)))
+            Ok(refusal_response(&refusal, Some(&id)))
         }
         Ok(admitted) => {
             trace.admitted(&admitted);
@@ -70,64 +78,54 @@
     }
 }
 
-/// Runs an admitted request: attempts until one has an answer to pass on.
+/// Runs an admitted request: makes attempts until there is a response to pass on.
 async fn run(
     context: &Rc<GatewayContext>,
     admitted: Admitted,
     mut trace: RequestTrace,
 ) -> Response<LocalBody> {
     let admitted = Rc::new(admitted);
-    let mut attempts = Attempts { tried: Vec::new(), sent: 0, maybe_run: false };
+    let mut attempts = Attempts::default();
     match first_response(context, &admitted, &mut attempts, &mut trace).await {
-        Ok(answer) => relay::pass_on(context, admitted, attempts, answer, trace),
+        Ok(response) => relay::pass_on(context, admitted, attempts, response, trace),
         Err(refusal) => {
-            if refusal.retry_after().is_some() {
-                admission::give_quota_back(context, &admitted);
+            if refusal.promises_not_run() {
+                admission::refund_quota(context, &admitted);
             }
             trace.refused(&refusal);
-            refusal.answer(Some(&admitted.call.head.id))
+            refusal_response(&refusal, Some(&admitted.call.head.id))
         }
     }
 }
 
-/// Attempts until an endpoint answers with something to pass on.
+/// Makes attempts until an endpoint gives a response to pass on.
 async fn first_response(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     attempts: &mut Attempts,
     trace: &mut RequestTrace,
 ) -> Result<EndpointResponse, Refusal> {
+    let (kind, target) = (admitted.route.kind, admitted.route.target);
     loop {
-        let end = attempt(context, admitted, attempts, None, trace).await?;
-        let may_go_on = |attempts: &Attempts| may_try_again(context, admitted, attempts);
-        match end {
-            AttemptEnd::Answer(answer) => {
-                let failed = answer.response.status().is_server_error();
-                let again =
-                    failed && admitted.route.kind == RouteKind::Idempotent && may_go_on(attempts);
-                if !again {
-                    return Ok(*answer);
+        match attempt(context, admitted, attempts, None, trace).await? {
+            AttemptEnd::Responded(response) => {
+                let is_server_error = response.response.status().is_server_error();
+                let may_retry = may_retry_response(kind, is_server_error);
+                if !(may_retry && may_try_again(context, admitted, attempts)) {
+                    return Ok(*response);
                 }
-                answer.guard.finish(AttemptResult::Neutral);
+                response.guard.finish(AttemptResult::Neutral);
             }
-            AttemptEnd::NotSent => {}
-            AttemptEnd::NotRun if attempts.maybe_run => {
-                if !may_go_on(attempts) {
-                    return Err(Refusal::Unknown);
-                }
-            }
-            AttemptEnd::NotRun => {
-                if !may_go_on(attempts) {
-                    return Err(Refusal::Full(retry_after(admitted)));
-                }
-            }
-            AttemptEnd::Unknown => {
-                attempts.maybe_run = true;
-                let again = admitted.route.kind.may_run_again() && may_go_on(attempts);
-                if !again {
-                    let over = Instant::now() >= admitted.deadline;
-                    return Err(if over { Refusal::OutOfTime } else { Refusal::Unknown });
+            AttemptEnd::Failed(failure) => {
+                match after_failure(failure, kind, attempts.may_have_run) {
+                    FailureStep::TryNext => {}
+                    FailureStep::RetryOr(_) if may_try_again(context, admitted, attempts) => {}
+                    FailureStep::RetryOr(reason) | FailureStep::GiveUp(reason) => {
+                        let is_deadline_over = Instant::now() >= admitted.deadline;
+                        return Err(reason.refusal(is_deadline_over, target));
+                    }
                 }
+                attempts.may_have_run |= failure == AttemptFailure::MayHaveRun;
             }
         }
     }
--- /dev/null
+++ b/src/gateway/request/refusal_response.rs
@@ -0,0 +1,15 @@
+//! Builds the response to a request that the gateway refuses.
+
+use hyper::Response;
+
+use crate::{
+    gateway::policy::refusal::Refusal,
+    http::{LocalBody, whole_body},
+    platform::ingress,
+};
+
+/// Response to the request `id`, which is none where no id could be read.
+pub fn refusal_response(refusal: &Refusal, id: Option<&str>) -> Response<LocalBody> {
+    let head = ingress::own_response(id, refusal.status(), refusal.retry_after());
+    head.map(|()| Box::pin(whole_body(refusal.to_string())) as LocalBody)
+}
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -1,7 +1,11 @@
-//! Passes an endpoint's answer on to the client as it comes; a stream that breaks is
-//! continued at another endpoint within the same answer where the route allows it.
+//! Passes an endpoint's response on to the client as it comes. Where the route allows it, a
+//! stream that breaks is resumed at another endpoint within the same response.
+//!
+//! Streams are passed on by whole events, so that a resumed one continues cleanly after the
+//! last event. `policy::retries` decides whether to resume, `policy::time_limits` how long an
+//! endpoint may be silent.
 
-use std::{rc::Rc, time::Duration};
+use std::rc::Rc;
 
 use bytes::Bytes;
 use futures::stream;
@@ -25,17 +29,15 @@
 use crate::{
     counting::CountGuard,
     endpoint_health::AttemptResult,
-    gateway::context::GatewayContext,
+    gateway::{
+        context::GatewayContext,
+        policy::{retries, time_limits},
+    },
     http::{BodyError, LocalBody},
     platform::ingress,
 };
 
-/// A stream is continued elsewhere after a silence of this many times its longest good pause.
-const SILENCE_PATIENCE: f64 = 2.0;
-/// Longest silence of a stream whose route names no pause.
-const DEFAULT_SILENCE: Duration = Duration::from_millis(2_000);
-
-/// Why an answer ends before its end.
+/// Why a response is broken off.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error, PartialEq, Eq)]
 enum RelayError {
     #[display("replica broke off")]
@@ -44,21 +46,25 @@
     OutOfTime,
 }
 
-/// An answer on its way to the client.
+/// A response on its way to the client.
 struct Relay {
     context: Rc<GatewayContext>,
     admitted: Rc<Admitted>,
     attempts: Attempts,
     trace: RequestTrace,
+    /// None once the response has ended, and while it is being resumed.
     upstream: Option<Upstream>,
+    /// Only for streams of events.
     cutter: Option<EventCutter>,
+    /// Last event that the client has.
     last_event: Option<u64>,
+    /// Events passed on.
     events: u64,
     ended: bool,
     _active: CountGuard,
 }
 
-/// Where the answer comes from.
+/// Where the response comes from.
 struct Upstream {
     body: Incoming,
     signs: ResponseSigns,
@@ -66,22 +72,22 @@
     guard: RunGuard,
 }
 
-/// What came next of an answer.
+/// What came next of a response.
 enum NextPiece {
     Bytes(Bytes),
     End,
     Broken(RelayError),
 }
 
-/// Passes `answer` on.
+/// Passes `response` on; the relay goes on as the client reads the body.
 pub fn pass_on(
     context: &Rc<GatewayContext>,
     admitted: Rc<Admitted>,
     attempts: Attempts,
-    answer: EndpointResponse,
+    response: EndpointResponse,
     trace: RequestTrace,
 ) -> Response<LocalBody> {
-    let EndpointResponse { response, signs, connection, guard } = answer;
+    let EndpointResponse { response, signs, connection, guard } = response;
     let success = response.status().is_success();
     if success && !admitted.route.kind.is_stream() {
         count_run(context, &admitted);
@@ -134,7 +140,7 @@
             let error = match piece {
                 NextPiece::Bytes(bytes) => {
                     if self.has_whole_plain_response() {
-                        // NOTE: nobody asks for more of a body whose length is reached.
+                        // The server reads no further once the length is reached.
                         self.finish_cleanly();
                     }
                     if bytes.is_empty() && !self.ended {
@@ -144,8 +150,8 @@
                 }
                 NextPiece::End => {
                     self.finish_cleanly();
-                    let rest = self.cutter.as_mut().map(EventCutter::rest).unwrap_or_default();
-                    return (!rest.is_empty()).then_some(Ok(rest));
+                    let rest = self.cutter.as_mut().map(EventCutter::rest);
+                    return rest.filter(|rest| !rest.is_empty()).map(Ok);
                 }
                 NextPiece::Broken(error) => error,
             };
@@ -157,13 +163,13 @@
         }
     }
 
-    /// Whether an answer that is no stream has arrived to its end.
+    /// Whether a response that is no stream has arrived to its end.
     fn has_whole_plain_response(&self) -> bool {
         let at_end = |upstream: &Upstream| upstream.body.is_end_stream();
         self.cutter.is_none() && self.upstream.as_ref().is_some_and(at_end)
     }
 
-    /// The next piece from the endpoint; whole events only, where the answer is a stream.
+    /// The next piece from the endpoint; whole events only, where the response is a stream.
     async fn next_piece(&mut self) -> NextPiece {
         let until = self.wait_until();
         let deadline = self.admitted.deadline;
@@ -171,7 +177,9 @@
             return NextPiece::Broken(RelayError::BrokenOff);
         };
         let frame = match timeout_at(until, upstream.body.frame()).await {
+            // The errors' details don't matter: the endpoint is left either way.
             Err(_) if until >= deadline => return NextPiece::Broken(RelayError::OutOfTime),
+            // Silent for too long.
             Err(_) => return NextPiece::Broken(RelayError::BrokenOff),
             Ok(None) => return NextPiece::End,
             Ok(Some(Err(_))) => return NextPiece::Broken(RelayError::BrokenOff),
@@ -194,38 +202,43 @@
         NextPiece::Bytes(batch.bytes)
     }
 
+    /// Until when the next piece is awaited.
     fn wait_until(&self) -> Instant {
-        let deadline = self.admitted.deadline;
-        let route = &self.admitted.route;
-        let resumable = route.kind.is_stream() && route.kind.may_run_again();
-        if self.cutter.is_none() || !resumable || self.attempts.sent >= route.attempts {
-            return deadline;
+        let (route, deadline) = (&self.admitted.route, self.admitted.deadline);
+        match self.cutter {
+            None => deadline,
+            Some(_) => time_limits::event_deadline(
+                route,
+                self.attempts.sent,
+                self.events,
+                deadline,
+                Instant::now(),
+            ),
         }
-        let silence = match self.events {
-            0 => route.target.mul_f64(SILENCE_PATIENCE),
-            _ => route.gap_target.map_or(DEFAULT_SILENCE, |gap| gap.mul_f64(SILENCE_PATIENCE)),
-        };
-        deadline.min(Instant::now() + silence)
     }
 
-    /// Continues a broken stream at another endpoint, if it may.
+    /// Resumes a broken stream at another endpoint, if it may.
     async fn resume(&mut self) -> bool {
         if let Some(upstream) = self.upstream.take() {
             self.context.connections.discard_connections(upstream.guard.endpoint());
             upstream.guard.finish(AttemptResult::Failed);
         }
-        if self.cutter.is_none() || !self.admitted.route.kind.may_run_again() {
+        if !retries::may_resume(self.admitted.route.kind, self.cutter.is_some()) {
             return false;
         }
         while may_try_again(&self.context, &self.admitted, &self.attempts) {
             let (last, trace) = (self.last_event, &mut self.trace);
             let attempt = attempt(&self.context, &self.admitted, &mut self.attempts, last, trace);
-            let answer = match attempt.await {
+            let resumed = match attempt.await {
+                // No endpoint is left, or no time: the refusal cannot be sent in a response
+                // that has begun, and the request log says that it broke off.
                 Err(_) => return false,
-                Ok(AttemptEnd::Answer(answer)) if answer.response.status().is_success() => answer,
+                Ok(AttemptEnd::Responded(resumed)) if resumed.response.status().is_success() => {
+                    resumed
+                }
                 Ok(_) => continue,
             };
-            let EndpointResponse { response, signs, connection, guard } = *answer;
+            let EndpointResponse { response, signs, connection, guard } = *resumed;
             let body = response.into_body();
             self.cutter = Some(EventCutter::default());
             self.upstream = Some(Upstream { body, signs, connection, guard });
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -1,16 +1,19 @@
-//! What became of a request, as one structured line and in the metrics.
+//! The request log: one structured line for each request with its outcome and the steps that
+//! led to it, and the metrics of the same events.
+//!
+//! The number of lines a second is bounded; dropped lines are counted and reported.
 
 use std::{fmt::Write, rc::Rc, time::Duration};
 
 use hyper::StatusCode;
 use tokio::time::Instant;
 
-use super::{
-    admission::Admitted, connection_pool::SendFailure, refusal::Refusal,
-    response_meaning::ResponseMeaning,
-};
+use super::{admission::Admitted, connection_pool::SendFailure, response_meaning::ResponseMeaning};
 use crate::{
-    gateway::{context::GatewayContext, policy::endpoint_choice::EndpointChoice},
+    gateway::{
+        context::GatewayContext,
+        policy::{endpoint_choice::EndpointChoice, refusal::Refusal},
+    },
     ids::SharedName,
 };
 
@@ -50,34 +53,36 @@
 
     /// An endpoint was chosen.
     pub fn attempt(&mut self, choice: &EndpointChoice) {
-        let (endpoint, uncached, wait) =
-            (&choice.endpoint.id, choice.uncached, choice.estimated_wait_ms);
-        // NOTE: writing to a string cannot fail.
-        let _ = write!(self.steps, "{endpoint} unread {uncached} wait {wait:.0};");
+        let (endpoint, uncached) = (&choice.endpoint.id, choice.uncached);
+        let wait = choice.estimated_wait_ms;
+        // Writing to a string cannot fail.
+        let _ = write!(self.steps, "{endpoint} uncached {uncached} wait {wait:.0};");
         self.context.metrics.count("attempts", 1);
     }
 
     /// An attempt failed.
     pub fn failed(&mut self, failure: &SendFailure) {
         let after = self.begun.elapsed().as_millis();
+        // Writing to a string cannot fail.
         let _ = write!(self.steps, " {failure} after {after};");
         self.context.metrics.count("attempts_failed", 1);
     }
 
-    /// An endpoint answered.
-    pub fn answered(&mut self, status: StatusCode, meaning: ResponseMeaning) {
+    /// An endpoint responded.
+    pub fn responded(&mut self, status: StatusCode, meaning: ResponseMeaning) {
         let after = self.begun.elapsed().as_millis();
+        // Writing to a string cannot fail.
         let _ = write!(self.steps, " {} {meaning:?} after {after};", status.as_u16());
     }
 
-    /// The first event of a stream went on.
+    /// The first event of a stream was passed on.
     pub fn first_event(&mut self) {
         let after = self.begun.elapsed();
         self.first_after = Some(after);
         self.context.metrics.duration("first_event", after);
     }
 
-    /// The gateway answered itself.
+    /// The request was refused.
     pub fn refused(&mut self, refusal: &Refusal) {
         let status = refusal.status().as_str().to_owned();
         self.context.metrics.count_labelled("refused", "status", &status);
@@ -85,14 +90,14 @@
         self.end(&refusal.to_string(), 0);
     }
 
-    /// The answer went on whole.
+    /// The response was passed on whole.
     pub fn finished(&mut self, events: u64) {
         self.context.metrics.count("answered", 1);
         self.context.metrics.duration("answer", self.begun.elapsed());
         self.end("answered", events);
     }
 
-    /// The answer was broken off.
+    /// The response was broken off.
     pub fn broken_off(&mut self, reason: String, events: u64) {
         self.context.metrics.count("broken_off", 1);
         self.end(&reason, events);
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,31 +1,33 @@
-//! What a daemon believes, as operators see it: everything with its version or age.
+//! State of one daemon as operators read it at `/state`, each part with its version or age.
+//!
+//! The JSON keys are read by operators' tools and keep their older words for endpoints.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::{context::GatewayContext, endpoint::EndpointState};
+use super::{context::GatewayContext, endpoint::EndpointState, policy::readiness::Readiness};
 use crate::ids::SharedName;
 
-/// Beliefs of one daemon. Ages are in milliseconds.
+/// State of one daemon. Ages are in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct GatewayState {
     /// Name of the daemon's VM.
     pub name: SharedName,
     /// Availability zone.
     pub zone: SharedName,
-    /// This start of it.
+    /// Incarnation of the daemon.
     pub incarnation: SharedName,
     /// Whether it takes new connections.
     pub ready: bool,
     /// Requests in progress.
     pub active: usize,
-    /// Version of the configuration in force; 0 if there is none.
+    /// Version of the configuration; 0 if there is none.
     pub configuration_version: u64,
     /// Its revision in the store.
     pub configuration_revision: u64,
-    /// Age of the newest proof that it is the newest; none if there never was one.
+    /// Age of its freshness proof; none if there never was one.
     pub proof_age_ms: Option<u64>,
     /// Revision of the list of endpoints.
     #[serde(rename = "replica_revision")]
@@ -33,23 +35,23 @@
     /// Endpoints that take requests, by service.
     #[serde(rename = "replicas_ready")]
     pub endpoints_ready: BTreeMap<SharedName, usize>,
-    /// Endpoints that are leaving.
+    /// Endpoints that are draining.
     #[serde(rename = "replicas_draining")]
     pub endpoints_draining: usize,
-    /// Daemons that were heard just now, this one included.
+    /// Daemons that have reported recently, this one included.
     pub daemons_heard: usize,
-    /// Daemons that are taken to run.
+    /// Daemons that are assumed to run, this one included.
     pub daemons_known: usize,
-    /// Holder of the duties' lease, as far as known.
+    /// Holder of the leader lease, as far as known.
     pub lease_holder: Option<SharedName>,
     /// Its fence.
     pub lease_fence: u64,
-    /// Age of the newest renewal heard of.
+    /// Age of the newest known renewal.
     pub lease_age_ms: Option<u64>,
 }
 
 impl GatewayState {
-    /// What the daemon believes now.
+    /// State of the daemon now.
     pub fn of(context: &GatewayContext) -> Self {
         let now = Instant::now();
         let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
@@ -71,7 +73,7 @@
             name: context.settings.name.clone(),
             zone: context.settings.zone.clone(),
             incarnation: context.incarnation.to_string().into(),
-            ready: context.is_ready(now),
+            ready: context.readiness(now) == Readiness::Ready,
             active: context.active.get(),
             configuration_version: configuration.current.as_ref().map_or(0, |one| one.version),
             configuration_revision: configuration.revision,
--- a/tests/gateway/pure_parts.rs
+++ b/tests/gateway/pure_parts.rs
@@ -87,7 +87,7 @@
         for (gap, is_request) in gaps {
             now += millis(gap);
             if is_request {
-                budget.request(now);
+                budget.record_request(now);
                 requests.push(now);
             } else if budget.try_withdraw(share, reserve, now) {
                 repeats.push(now);
