--- /dev/null
+++ b/tests/gateway/endpoint_choice.rs
@@ -0,0 +1,173 @@
+//! The choice of endpoints, and what is learnt for it.
+
+use std::{collections::BTreeMap, rc::Rc, time::Duration};
+
+use googletest::prelude::*;
+use rand::{SeedableRng, rngs::SmallRng};
+use tokio::time::Instant;
+use willowarch::{
+    endpoint_health::AttemptResult,
+    gateway::{
+        endpoint::{EndpointList, EndpointRecord, EndpointState},
+        gossip::report_source::ReportSource,
+        policy::{
+            endpoint_choice::{ChoiceQuery, ChoiceResult},
+            endpoint_load::{LoadSum, ReportedLoads, RunLoad, endpoint_number},
+            endpoint_table::EndpointTable,
+            prefill_rate::PrefillRate,
+        },
+        request::call::PromptPart,
+    },
+    ids::{IncarnationId, SharedName},
+};
+
+fn daemon(number: u64) -> ReportSource {
+    ReportSource::Daemon(IncarnationId(number))
+}
+
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
+fn record(id: &str, zone: &str) -> EndpointRecord {
+    EndpointRecord {
+        id: id.into(),
+        service: "pool".into(),
+        address: "127.0.0.1:1".parse().expect("address"),
+        zone: zone.into(),
+        slots: 4,
+        state: EndpointState::Ready,
+        reclaimable: false,
+    }
+}
+
+fn table(records: Vec<EndpointRecord>) -> EndpointTable {
+    let mut table = EndpointTable::new("a".into());
+    let endpoints = records.into_iter().map(Rc::new).collect();
+    table.set_list(&EndpointList { revision: 1, endpoints });
+    table
+}
+
+const PARTS: [PromptPart; 3] = [
+    PromptPart { id: 1, tokens: 500 },
+    PromptPart { id: 2, tokens: 4_000 },
+    PromptPart { id: 3, tokens: 100 },
+];
+
+fn query<'a>(parts: &'a [PromptPart], tried: &'a [SharedName]) -> ChoiceQuery<'a> {
+    ChoiceQuery {
+        service: "pool",
+        parts,
+        prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
+        memory_tokens: 5_000,
+        tried,
+        memory_capacity: Some(100_000),
+    }
+}
+
+fn chosen(table: &EndpointTable, query: &ChoiceQuery<'_>, now: Instant) -> Option<SharedName> {
+    match table.choose(query, now, &mut SmallRng::seed_from_u64(1)) {
+        ChoiceResult::Endpoint(choice) => Some(choice.endpoint.id.clone()),
+        _ => None,
+    }
+}
+
+#[googletest::test]
+fn daemons_agree_on_the_home_of_a_prompt() {
+    let records = || (0..12).map(|place| record(&format!("i-{place}"), "a")).collect();
+    let (one, other) = (table(records()), table(records()));
+    let now = Instant::now();
+    for subject in 0..40 {
+        let parts = [PARTS[0], PromptPart { id: subject, tokens: 4_000 }, PARTS[2]];
+        let query = query(&parts, &[]);
+        expect_that!(chosen(&one, &query, now), eq(&chosen(&other, &query, now)));
+    }
+}
+
+#[googletest::test]
+fn a_home_that_is_behind_is_left() {
+    let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
+    let now = Instant::now();
+    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
+    let load = RunLoad { uncached: 60_000, memory: 60_000 };
+    table.begin(&affinity, &[], load, now);
+    expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity))));
+}
+
+#[googletest::test]
+fn loads_that_others_tell_of_count_until_they_are_old() {
+    let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
+    let now = Instant::now();
+    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
+    let load = LoadSum { running: 4, uncached: 0, memory: 0 };
+    let loads = [(endpoint_number(&affinity), load)].into();
+    let state = ReportedLoads { at: now, loads, sent: BTreeMap::new() };
+    table.hear(daemon(5), state);
+    expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity.clone()))));
+    let later = now + Duration::from_secs(3);
+    expect_that!(chosen(&table, &query(&PARTS, &[]), later), eq(&Some(affinity)));
+}
+
+#[googletest::test]
+fn full_draining_and_tried_endpoints_are_not_chosen() {
+    let draining = EndpointRecord { state: EndpointState::Draining, ..record("i-1", "a") };
+    let mut table = table(vec![record("i-0", "a"), draining]);
+    let now = Instant::now();
+    let tried = ["i-0".into()];
+    let mut rng = SmallRng::seed_from_u64(1);
+    expect_that!(table.choose(&query(&PARTS, &tried), now, &mut rng), eq(&ChoiceResult::None));
+    for _ in 0..4 {
+        table.begin("i-0", &[], RunLoad::default(), now);
+    }
+    let full = table.choose(&query(&PARTS, &[]), now, &mut rng);
+    expect_that!(matches!(full, ChoiceResult::Full), eq(true));
+    table.end("i-0", RunLoad::default(), AttemptResult::Succeeded, now);
+    expect_that!(chosen(&table, &query(&PARTS, &[]), now), some(eq(&SharedName::from("i-0"))));
+}
+
+#[googletest::test]
+fn a_prompt_beyond_the_memory_left_goes_elsewhere() {
+    let mut table = table(vec![record("i-0", "a")]);
+    let now = Instant::now();
+    table.begin("i-0", &[], RunLoad { uncached: 0, memory: 98_000 }, now);
+    let result = table.choose(&query(&PARTS, &[]), now, &mut SmallRng::seed_from_u64(1));
+    expect_that!(matches!(result, ChoiceResult::Full), eq(true));
+}
+
+#[googletest::test]
+fn endpoint_at_whose_address_another_answers_is_not_chosen_again() {
+    let mut table = table(vec![record("i-0", "a"), record("i-1", "b")]);
+    let now = Instant::now();
+    table.mark_ended("i-0");
+    for seed in 0..20 {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let result = table.choose(&query(&[], &[]), now, &mut rng);
+        let ChoiceResult::Endpoint(choice) = result else { panic!("no replica") };
+        expect_that!(&*choice.endpoint.id, eq("i-1"));
+    }
+}
+
+#[googletest::test]
+fn failing_endpoint_is_ejected_and_probed_again() {
+    let mut table = table(vec![record("i-0", "a"), record("i-1", "b"), record("i-2", "b")]);
+    let now = Instant::now();
+    for _ in 0..3 {
+        table.begin("i-0", &[], RunLoad::default(), now);
+        table.end("i-0", RunLoad::default(), AttemptResult::Failed, now);
+    }
+    for seed in 0..20 {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let result = table.choose(&query(&[], &[]), now, &mut rng);
+        let ChoiceResult::Endpoint(choice) = result else { panic!("no replica") };
+        expect_that!(&*choice.endpoint.id, not(eq("i-0")));
+    }
+}
+
+#[googletest::test]
+fn read_rate_is_learnt() {
+    let mut rate = PrefillRate::default();
+    for _ in 0..200 {
+        rate.learn(10_000, millis(45 + 100));
+    }
+    expect_that!(rate.tokens_per_ms, near(100.0, 3.0));
+}
--- /dev/null
+++ b/tests/gateway/leader_state.rs
@@ -0,0 +1,67 @@
+//! What daemons know of the leader lease, the wall clock and usage.
+
+use std::{collections::BTreeMap, time::Duration};
+
+use googletest::prelude::*;
+use tokio::time::Instant;
+use willowarch::{
+    gateway::{
+        gossip::report_source::ReportSource,
+        policy::{
+            leader_lease::LeaderLease, usage_counts::UsageCounts, wall_clock::SteadyWallClock,
+        },
+    },
+    ids::{IncarnationId, SharedName},
+};
+
+fn daemon(number: u64) -> ReportSource {
+    ReportSource::Daemon(IncarnationId(number))
+}
+
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
+#[googletest::test]
+fn holder_stops_before_others_may_start() {
+    let lease = Duration::from_secs(3);
+    let start = Instant::now();
+    let mut view = LeaderLease { fence: 1, holder: None, renewed_at: Some(start), own: true };
+    expect_that!(view.may_act(lease, start + millis(2_000)), eq(true));
+    expect_that!(view.may_act(lease, start + millis(2_200)), eq(false));
+    expect_that!(view.is_silent(lease, start + millis(2_900)), eq(false));
+    view.hear(2, &"edge-2".into(), start + millis(500));
+    expect_that!(view.own, eq(false));
+    view.hear(1, &"edge-1".into(), start + millis(900));
+    expect_that!(view.fence, eq(2));
+}
+
+#[googletest::test]
+fn jumps_of_the_wall_clock_are_not_followed_at_once() {
+    let start = Instant::now();
+    let mut clock = SteadyWallClock::new(1_000_000, start);
+    let seconds = |count| start + Duration::from_secs(count);
+    clock.compare(1_003_400, seconds(1));
+    clock.compare(1_008_400, seconds(6));
+    expect_that!(clock.now_ms(seconds(6)), eq(1_006_000));
+    clock.compare(1_007_000, seconds(7));
+    expect_that!(clock.now_ms(seconds(7)), eq(1_007_000));
+    for second in 10..40 {
+        clock.compare(1_000_000 + second * 1_000 - 5_000, seconds(second));
+    }
+    expect_that!(clock.now_ms(seconds(40)), eq(1_035_000));
+}
+
+#[googletest::test]
+fn usage_adds_up_over_daemons_and_their_lives() {
+    let mut usage = UsageCounts::default();
+    let (reader, kiosk): (SharedName, SharedName) = ("reader".into(), "kiosk".into());
+    usage.count(&reader, 7);
+    usage.count(&reader, 7);
+    usage.count(&kiosk, 8);
+    usage.hear(daemon(1), 7, [(reader.clone(), 3)].into());
+    usage.hear(daemon(1), 7, [(reader.clone(), 5)].into());
+    usage.hear(daemon(2), 7, [(kiosk.clone(), 1)].into());
+    expect_that!(usage.total(7), eq(&BTreeMap::from([(reader, 7), (kiosk.clone(), 1)])));
+    expect_that!(usage.total(8), eq(&BTreeMap::from([(kiosk, 1)])));
+}
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,16 +1,21 @@
-//! Tests of the gateway: its pure parts, every decoder against malformed input, and the
+//! Tests of the gateway: its rules without I/O, every decoder against malformed input, and the
 //! real daemon between loopback clients and stand-ins of the platform.
 
+mod catch_up;
 mod decoders;
 mod duties;
+mod endpoint_choice;
 mod endpoint_standin;
+mod event_cutter;
 mod exchange;
 mod fleet;
 mod groups;
+mod leader_state;
 mod loopback_proxy;
 mod operations;
 mod platform_standin;
-mod pure_parts;
 mod quotas;
+mod retry_budget;
+mod routes;
 mod serving;
 mod soak;
