--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -15,6 +15,7 @@
 mod operations;
 mod platform_standin;
 mod quotas;
+mod request_rules;
 mod retry_budget;
 mod routes;
 mod serving;
--- /dev/null
+++ b/tests/gateway/request_rules.rs
@@ -0,0 +1,280 @@
+//! The rules that a request meets, each decision by its inputs.
+
+use std::{cell::Cell, time::Duration};
+
+use googletest::prelude::*;
+use tokio::time::Instant;
+use willowarch::gateway::{
+    configuration::{AccountQuota, Route, RouteKind, ServiceWeight},
+    policy::{
+        admission::{quota_units, service_at, total_weight},
+        daemon_count,
+        endpoint_load::estimated_memory,
+        endpoint_priority::endpoint_priority,
+        key_freshness::KeyFreshness,
+        quota::QuotaSharing,
+        readiness::{Readiness, ReadinessInputs},
+        refusal::Refusal,
+        retries::{
+            AttemptFailure, FailureStep, GiveUpReason, NoAttempt, after_failure, may_resume,
+            may_retry_response,
+        },
+        store_watchers::{StoreWatch, is_store_failing},
+        time_limits,
+    },
+    request::call::TokenCounts,
+};
+
+const RESUMABLE: RouteKind = RouteKind::Stream { resume: true };
+const NOT_RESUMABLE: RouteKind = RouteKind::Stream { resume: false };
+const TARGET: Duration = Duration::from_millis(400);
+
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
+fn route(kind: RouteKind, attempts: u32) -> Route {
+    Route {
+        name: "r".into(),
+        host: "h".into(),
+        prefix: "/".into(),
+        kind,
+        timeout: Some(millis(9_000)),
+        target: TARGET,
+        gap_target: Some(millis(100)),
+        priority: 0,
+        services: Vec::new(),
+        attempts,
+        public: true,
+    }
+}
+
+/// Names each case: inputs of a decision and what it must be.
+macro_rules! cases {
+    ($($name:ident: $decision:expr => $expected:expr;)*) => {
+        $(
+            #[googletest::test]
+            fn $name() {
+                expect_that!($decision, eq(&$expected));
+            }
+        )*
+    };
+}
+
+mod retries {
+    use super::*;
+
+    cases! {
+        unsent_goes_on_free:
+            &after_failure(AttemptFailure::NotSent, RouteKind::Once, false)
+            => FailureStep::TryNext;
+        not_run_may_be_retried_on_any_route:
+            &after_failure(AttemptFailure::NotRun, RouteKind::Once, false)
+            => FailureStep::RetryOr(GiveUpReason::NotRun);
+        not_run_after_one_that_may_have_promises_nothing:
+            &after_failure(AttemptFailure::NotRun, RouteKind::Idempotent, true)
+            => FailureStep::RetryOr(GiveUpReason::EarlierMayHaveRun);
+        may_have_run_once_is_given_up:
+            &after_failure(AttemptFailure::MayHaveRun, RouteKind::Once, false)
+            => FailureStep::GiveUp(GiveUpReason::LastMayHaveRun);
+        may_have_run_not_resumable_is_given_up:
+            &after_failure(AttemptFailure::MayHaveRun, NOT_RESUMABLE, false)
+            => FailureStep::GiveUp(GiveUpReason::LastMayHaveRun);
+        may_have_run_idempotent_is_retried:
+            &after_failure(AttemptFailure::MayHaveRun, RouteKind::Idempotent, false)
+            => FailureStep::RetryOr(GiveUpReason::LastMayHaveRun);
+        may_have_run_resumable_is_retried:
+            &after_failure(AttemptFailure::MayHaveRun, RESUMABLE, false)
+            => FailureStep::RetryOr(GiveUpReason::LastMayHaveRun);
+        server_errors_are_retried_if_idempotent:
+            &[RouteKind::Idempotent, RouteKind::Once, RESUMABLE]
+                .map(|kind| may_retry_response(kind, true))
+            => [true, false, false];
+        other_responses_are_passed_on:
+            &may_retry_response(RouteKind::Idempotent, false) => false;
+        only_resumable_streams_are_resumed:
+            &[
+                may_resume(RESUMABLE, true),
+                may_resume(RESUMABLE, false),
+                may_resume(NOT_RESUMABLE, true),
+                may_resume(RouteKind::Idempotent, false),
+            ]
+            => [true, false, false, false];
+        given_up_not_run:
+            &GiveUpReason::NotRun.refusal(false, TARGET) => Refusal::Full(millis(200));
+        given_up_earlier_may_have_run:
+            &GiveUpReason::EarlierMayHaveRun.refusal(true, TARGET) => Refusal::Unknown;
+        given_up_in_time:
+            &GiveUpReason::LastMayHaveRun.refusal(false, TARGET) => Refusal::Unknown;
+        given_up_out_of_time:
+            &GiveUpReason::LastMayHaveRun.refusal(true, TARGET) => Refusal::OutOfTime;
+        no_attempt_not_run:
+            &[NoAttempt::DeadlineOver, NoAttempt::AllFull, NoAttempt::NoEndpoint]
+                .map(|reason| reason.refusal(false, TARGET))
+            => [
+                Refusal::Full(millis(400)),
+                Refusal::Full(millis(200)),
+                Refusal::NoEndpoint(millis(400)),
+            ];
+        no_attempt_may_have_run:
+            &[NoAttempt::DeadlineOver, NoAttempt::AllFull, NoAttempt::NoEndpoint]
+                .map(|reason| reason.refusal(true, TARGET))
+            => [Refusal::OutOfTime, Refusal::Unknown, Refusal::Unknown];
+        only_refusals_with_a_retry_time_promise_not_run:
+            &[
+                Refusal::Full(millis(1)),
+                Refusal::Leaving,
+                Refusal::NotFresh,
+                Refusal::Unknown,
+                Refusal::OutOfTime,
+                Refusal::BodyBroken,
+            ]
+            .map(|refusal| refusal.promises_not_run())
+            => [true, true, true, false, false, false];
+    }
+}
+
+#[googletest::test]
+fn deadline_is_the_shorter_of_client_and_route() {
+    let start = Instant::now();
+    let mut route = route(RouteKind::Once, 1);
+    let deadline = |client, route: &Route| {
+        time_limits::request_deadline(start, client, route).duration_since(start)
+    };
+    expect_that!(deadline(Some(millis(50)), &route), eq(millis(50)));
+    expect_that!(deadline(Some(millis(50_000)), &route), eq(millis(9_000)));
+    expect_that!(deadline(None, &route), eq(millis(9_000)));
+    route.timeout = None;
+    expect_that!(deadline(None, &route), eq(millis(60_000)));
+}
+
+#[googletest::test]
+fn attempts_are_cut_short_only_where_another_may_follow() {
+    let start = Instant::now();
+    let deadline = start + millis(9_000);
+    let limit = |kind, sent| {
+        let until = time_limits::attempt_deadline(&route(kind, 2), sent, deadline, start);
+        until.duration_since(start)
+    };
+    expect_that!(limit(RouteKind::Idempotent, 0), eq(millis(1_200)));
+    expect_that!(limit(RESUMABLE, 0), eq(millis(640)));
+    expect_that!(limit(RESUMABLE, 1), eq(millis(9_000)));
+    expect_that!(limit(RouteKind::Once, 0), eq(millis(9_000)));
+    expect_that!(limit(NOT_RESUMABLE, 0), eq(millis(9_000)));
+}
+
+#[googletest::test]
+fn silence_is_bounded_only_where_a_stream_may_be_resumed() {
+    let start = Instant::now();
+    let deadline = start + millis(9_000);
+    let limit = |route: &Route, sent, events| {
+        time_limits::event_deadline(route, sent, events, deadline, start).duration_since(start)
+    };
+    let mut resumable = route(RESUMABLE, 2);
+    expect_that!(limit(&resumable, 1, 0), eq(millis(800)));
+    expect_that!(limit(&resumable, 1, 5), eq(millis(200)));
+    expect_that!(limit(&resumable, 2, 5), eq(millis(9_000)));
+    resumable.gap_target = None;
+    expect_that!(limit(&resumable, 1, 5), eq(millis(2_000)));
+    expect_that!(limit(&route(NOT_RESUMABLE, 2), 1, 5), eq(millis(9_000)));
+}
+
+#[googletest::test]
+fn keys_need_a_recent_proof() {
+    let start = Instant::now();
+    let judge = |proof, max_age, age| KeyFreshness::judge(proof, max_age, start + millis(age));
+    let max_age = Some(millis(5_000));
+    expect_that!(judge(Some(start), max_age, 4_699), eq(KeyFreshness::Fresh));
+    expect_that!(judge(Some(start), max_age, 4_700), eq(KeyFreshness::Stale));
+    expect_that!(judge(None, max_age, 0), eq(KeyFreshness::Unproven));
+    expect_that!(judge(None, None, 0), eq(KeyFreshness::NotRequired));
+}
+
+#[googletest::test]
+fn readiness_names_the_first_reason_against_it() {
+    let mut inputs = ReadinessInputs {
+        is_stopping: true,
+        has_endpoint_list: false,
+        has_configuration: false,
+        knows_daemon_count: false,
+        keys: KeyFreshness::Stale,
+    };
+    expect_that!(Readiness::decide(inputs), eq(Readiness::Stopping));
+    inputs.is_stopping = false;
+    expect_that!(Readiness::decide(inputs), eq(Readiness::NoEndpointList));
+    inputs.has_endpoint_list = true;
+    expect_that!(Readiness::decide(inputs), eq(Readiness::NoConfiguration));
+    inputs.has_configuration = true;
+    expect_that!(Readiness::decide(inputs), eq(Readiness::DaemonCountUnknown));
+    inputs.knows_daemon_count = true;
+    expect_that!(Readiness::decide(inputs), eq(Readiness::KeysNotFresh));
+    inputs.keys = KeyFreshness::NotRequired;
+    expect_that!(Readiness::decide(inputs), eq(Readiness::Ready));
+}
+
+#[googletest::test]
+fn store_is_watched_by_the_elected_and_by_those_without_reports() {
+    let start = Instant::now();
+    let decide =
+        |proof, is_elected, age| StoreWatch::decide(proof, || is_elected, start + millis(age));
+    expect_that!(decide(None, false, 0), eq(StoreWatch::NotFed));
+    expect_that!(decide(Some(start), false, 3_999), eq(StoreWatch::Fed));
+    expect_that!(decide(Some(start), true, 3_999), eq(StoreWatch::Elected));
+    expect_that!(decide(Some(start), false, 4_000), eq(StoreWatch::NotFed));
+    let asked = Cell::new(false);
+    StoreWatch::decide(None, || asked.replace(true), start);
+    expect_that!(asked.get(), eq(false));
+    expect_that!(is_store_failing(Some(start), start + millis(1_999)), eq(true));
+    expect_that!(is_store_failing(Some(start), start + millis(2_000)), eq(false));
+}
+
+#[googletest::test]
+fn starting_daemon_assumes_the_recorded_number_of_others() {
+    let met = QuotaSharing { known: 3, heard: 2, lag: millis(100) };
+    let known = |recorded, age| daemon_count::sharing_at_start(met, recorded, millis(age)).known;
+    expect_that!(known(Some(86), 2_499), eq(86));
+    expect_that!(known(Some(2), 2_499), eq(3));
+    expect_that!(known(None, 2_499), eq(10));
+    expect_that!(known(Some(86), 2_500), eq(3));
+    expect_that!(daemon_count::is_known(None, millis(1_499)), eq(false));
+    expect_that!(daemon_count::is_known(None, millis(1_500)), eq(true));
+    expect_that!(daemon_count::is_known(Some(1), millis(0)), eq(true));
+}
+
+#[googletest::test]
+fn services_get_points_by_their_weights() {
+    let weight = |service: &str, weight| ServiceWeight { service: service.into(), weight };
+    let services = [weight("a", 2), weight("none", 0), weight("b", 1)];
+    let drawn: Vec<&str> = (0..total_weight(&services))
+        .filter_map(|point| service_at(&services, point))
+        .map(|entry| &*entry.service)
+        .collect();
+    expect_that!(drawn, eq(&vec!["a", "a", "b"]));
+    expect_that!(service_at(&services[1..2], 0).is_none(), eq(true));
+}
+
+#[googletest::test]
+fn requests_are_charged_by_their_quotas_unit() {
+    let quota = |in_tokens| AccountQuota { rate: None, burst: 0.0, in_tokens, default_tokens: 7 };
+    let tokens = Some(TokenCounts { prompt: 100, answer: 20 });
+    expect_that!(quota_units(&quota(false), tokens), eq(1));
+    expect_that!(quota_units(&quota(true), tokens), eq(120));
+    expect_that!(quota_units(&quota(true), None), eq(7));
+}
+
+#[googletest::test]
+fn memory_is_estimated_by_the_expected_response() {
+    let tokens = Some(TokenCounts { prompt: 100, answer: 20 });
+    expect_that!(estimated_memory(tokens, None), eq(120));
+    expect_that!(estimated_memory(tokens, Some(5)), eq(105));
+    expect_that!(estimated_memory(tokens, Some(500)), eq(120));
+    expect_that!(estimated_memory(None, Some(5)), eq(0));
+}
+
+#[googletest::test]
+fn accounts_rank_before_routes() {
+    expect_that!(endpoint_priority(None, 2), eq(2));
+    expect_that!(endpoint_priority(Some(1), 0), eq(3));
+    expect_that!(endpoint_priority(Some(2), 2), eq(8));
+    expect_that!(endpoint_priority(Some(200), 2), eq(9));
+}
