--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -197,7 +197,7 @@
     }
 
     /// Counts a run for an account, in the usage window of now.
-    pub fn note_run(&self, account: &SharedName) {
+    pub fn record_run(&self, account: &SharedName) {
         let window = self.wall_clock.borrow().window(self.settings.bounds.usage_window);
         self.usage.borrow_mut().count(account, window);
     }
--- a/src/gateway/request/call.rs
+++ b/src/gateway/request/call.rs
@@ -20,12 +20,12 @@
     pub tokens: u64,
 }
 
-/// Size of a generation in tokens.
+/// Size of a generation in tokens, as the client states it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Most tokens of the response.
     pub answer: u64,
 }
 
@@ -39,7 +39,7 @@
 /// Head of a client's request.
 #[derive(Clone, Debug)]
 pub struct CallHead {
-    /// Id that the client gave it.
+    /// Id that the client gave it; the same in every attempt.
     pub id: SharedName,
     /// Method, passed on unchanged.
     pub method: Method,
@@ -49,19 +49,19 @@
     pub target: SharedName,
     /// Length of the path within `target`.
     pub path_length: usize,
-    /// Time that the client will wait.
+    /// Time that the client will wait, from when the request arrives.
     pub deadline: Option<Duration>,
-    /// Key of an account.
+    /// Key of a client account.
     pub key: Option<SharedName>,
-    /// Size, if it names one.
+    /// Size in tokens, if it states one.
     pub tokens: Option<TokenCounts>,
     /// Parts of the prompt in order.
     pub parts: Vec<PromptPart>,
-    /// Tokens that the client guesses the answer to have.
+    /// Tokens that the client expects the response to have.
     pub answer_guess: Option<u64>,
-    /// Last event that the client has of a stream that it resumes.
+    /// Last event that the client already has of a stream that it resumes itself.
     pub last_event: Option<u64>,
-    /// Headers that travel on unchanged.
+    /// Headers passed on unchanged.
     pub headers: HeaderMap,
 }
 
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -126,7 +126,7 @@
     if let Some(account) = &admitted.account
         && !admitted.counted.replace(true)
     {
-        context.note_run(&account.name);
+        context.record_run(&account.name);
     }
 }
 
--- a/src/gateway/request/response_meaning.rs
+++ b/src/gateway/request/response_meaning.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-/// What an endpoint's answer says of the request.
+/// What a response means for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMeaning {
-    /// It belongs to this request, which has run.
+    /// The response belongs to this request, which has run.
     Ran,
     /// The endpoint has not run the request and never will.
     NotRun,
     /// Another endpoint is at this address now; the request has not run.
     OtherEndpoint,
-    /// It belongs to another request.
+    /// The response belongs to another request; this one may have run.
     Foreign,
 }
 
-/// What an endpoint's answer says.
+/// What the head of a response says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseSigns {
     /// Meaning for the request.
     pub meaning: ResponseMeaning,
-    /// Time that the endpoint keeps the connection open, if told.
+    /// Time for which the endpoint keeps the connection open, if it says so.
     pub keep: Option<Duration>,
-    /// Whether the connection ends with this answer.
+    /// Whether the endpoint closes the connection after this response.
     pub closes: bool,
 }
