--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     endpoint_standin::{EndpointManner, EndpointStandin},
+    gateway_site::{Gateway, ask, configuration, endpoint_entry, wait_for},
     platform_standin::{CloudCall, PlatformStandin},
-    serving::{Gateway, ask, configuration, endpoint_entry, wait_for},
 };
 
 pub fn reports(platform: &PlatformStandin) -> Vec<CloudCall> {
--- a/tests/gateway/exchange.rs
+++ b/tests/gateway/exchange.rs
@@ -21,8 +21,8 @@
 
 use crate::{
     endpoint_standin::{EndpointManner, EndpointStandin},
+    gateway_site::{Gateway, ask, configuration, endpoint_entry, wait_for},
     platform_standin::PlatformStandin,
-    serving::{Gateway, ask, configuration, endpoint_entry, wait_for},
 };
 
 #[googletest::test]
--- /dev/null
+++ b/tests/gateway/gateway_site.rs
@@ -0,0 +1,296 @@
+//! A real daemon with stand-ins of the platform and of endpoints on loopback, and raw clients.
+
+use std::{
+    io::{Read, Write},
+    net::{IpAddr, SocketAddr, TcpStream},
+    path::Path,
+    process::{Child, Command},
+    sync::atomic::{AtomicU32, Ordering},
+    time::{Duration, Instant},
+};
+
+use serde_json::{Value, json};
+
+use crate::{
+    endpoint_standin::{EndpointManner, EndpointStandin},
+    platform_standin::PlatformStandin,
+};
+
+/// Longest wait for something that comes by itself.
+pub const PATIENCE: Duration = Duration::from_secs(15);
+
+/// Waits until `holds`; fails with `what` if it does not in time.
+pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+    let until = Instant::now() + PATIENCE;
+    while !holds() {
+        assert!(Instant::now() < until, "no {what} in time");
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
+
+/// An address of the loopback range that no other daemon of this machine uses.
+fn own_address() -> IpAddr {
+    static NEXT: AtomicU32 = AtomicU32::new(1);
+    let [.., high, low] = std::process::id().to_be_bytes();
+    let next = NEXT.fetch_add(1, Ordering::SeqCst) as u8;
+    IpAddr::from([127, high.max(1), low, next])
+}
+
+fn spawn(settings: &Path, log: &Path) -> Child {
+    let log = std::fs::File::options().create(true).append(true).open(log).expect("log");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_willowarchd"));
+    command.args(["--gateway", "--settings"]).arg(settings).stdout(log);
+    command.spawn().expect("daemon")
+}
+
+/// One daemon as a real process.
+pub struct Gateway {
+    process: Child,
+    pub clients: SocketAddr,
+    pub readiness: SocketAddr,
+    pub peers: SocketAddr,
+    pub metrics: SocketAddr,
+    /// What it has written to standard output.
+    pub log: std::path::PathBuf,
+    settings: std::path::PathBuf,
+}
+
+impl Gateway {
+    pub fn start(name: &str, platform: &PlatformStandin, seeds: &[SocketAddr]) -> Self {
+        Self::start_with(name, platform, seeds, json!({}))
+    }
+
+    pub fn start_with(
+        name: &str,
+        platform: &PlatformStandin,
+        seeds: &[SocketAddr],
+        bounds: Value,
+    ) -> Self {
+        Self::start_at(name, platform.address, seeds, bounds)
+    }
+
+    /// Starts a daemon that reaches the platform at `platform`.
+    pub fn start_at(name: &str, platform: SocketAddr, seeds: &[SocketAddr], bounds: Value) -> Self {
+        let ip = own_address();
+        let at_port = |port| SocketAddr::new(ip, port);
+        let (clients, readiness, peers) = (at_port(8001), at_port(8002), at_port(8003));
+        let mut all = json!({
+            "grace-s": 3, "strict-revoke": true, "revoke-ms": 5000, "retry-ratio": 0.2,
+            "retry-window-s": 10, "retry-slack": 50, "lease-ms": 1500, "report-window-s": 1,
+        });
+        let changes = bounds.as_object().cloned().unwrap_or_default();
+        all.as_object_mut().expect("object").extend(changes);
+        let settings = json!({
+            "node": name, "zone": "hall-a", "zones": {"hall-a": "r", "hall-b": "r"},
+            "listen": {"front": clients, "readiness": readiness, "control": peers},
+            "port-range": [8004, 8010],
+            "seeds": seeds, "bounds": all, "unknown-field": [1, 2],
+            "platform": {"address": platform},
+            "cloud-api": {"address": platform, "duties": ["metering", "autoscale"]},
+        });
+        let file = format!("gateway-{name}-{ip}.json");
+        let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
+        std::fs::write(&path, settings.to_string()).expect("settings");
+        let log = path.with_extension("log");
+        let process = spawn(&path, &log);
+        let metrics = at_port(8004);
+        Self { process, clients, readiness, peers, metrics, log, settings: path }
+    }
+
+    /// Kills the process and starts it again at the same addresses.
+    pub fn kill_and_restart(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+        self.process = spawn(&self.settings, &self.log);
+    }
+
+    pub fn is_ready(&self) -> bool {
+        let url = format!("http://{}/-/readiness", self.readiness);
+        ureq::get(&url).call().is_ok()
+    }
+
+    pub fn wait_ready(&self) {
+        wait_for("readiness", || self.is_ready());
+    }
+
+    pub fn signal(&self, name: &str) {
+        let id = self.process.id().to_string();
+        let status = Command::new("kill").args([name, &id]).status().expect("kill");
+        assert!(status.success());
+    }
+
+    pub fn has_ended(&mut self) -> bool {
+        self.process.try_wait().expect("wait").is_some()
+    }
+}
+
+impl Drop for Gateway {
+    fn drop(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+        let _ = std::fs::remove_file(&self.settings);
+        let _ = std::fs::remove_file(&self.log);
+    }
+}
+
+/// A configuration with plain, once-only and streaming routes to one service.
+pub fn configuration(version: u64, keys: &[&str]) -> Value {
+    let route = |name: &str, prefix: &str, kind: &str, attempts: u32, resume: bool| {
+        json!({
+            "name": name, "host": "site.example", "path-prefix": prefix, "kind": kind,
+            "timeout-ms": 4000, "target-latency-ms": 100, "priority": 1, "service": "pool",
+            "attempts": attempts, "public": false, "stream-resume": resume, "gap-target-ms": 200,
+        })
+    };
+    json!({
+        "version": version,
+        "routes": [
+            route("plain", "/plain/", "idempotent", 2, false),
+            route("once", "/once/", "non_idempotent", 1, false),
+            route("stream", "/stream/", "streaming", 2, true),
+            route("rigid", "/rigid/", "streaming", 1, false),
+        ],
+        "services": [{"name": "pool", "health-path": "/health", "max-conns": 50}],
+        "limits": {"max-header-bytes": 16384, "max-body-bytes": 10000,
+            "header-timeout-ms": 3000, "idle-timeout-ms": 15000},
+        "tenants": [{"name": "reader", "api-keys": keys, "unit": "tokens", "plain-tokens": 100,
+            "per-s": 1_000_000, "burst": 1_000_000}],
+    })
+}
+
+pub fn endpoint_entry(endpoint: &EndpointStandin, state: &str) -> Value {
+    json!({
+        "service": "pool", "address": endpoint.address, "zone": "hall-a", "version": "v1",
+        "slots": 4, "state": state, "cold-left-ms": 0, "seq": 1,
+    })
+}
+
+/// A daemon with endpoints in these manners, ready to serve.
+pub struct Site {
+    pub platform: PlatformStandin,
+    pub endpoints: Vec<EndpointStandin>,
+    pub gateway: Gateway,
+}
+
+impl Site {
+    pub fn start(manners: &[EndpointManner]) -> Self {
+        let platform = PlatformStandin::start();
+        platform.put("config", "main", configuration(3, &["key-1"]));
+        let endpoints: Vec<EndpointStandin> = manners
+            .iter()
+            .enumerate()
+            .map(|(index, manner)| EndpointStandin::start(&format!("i-{index}"), *manner))
+            .collect();
+        for endpoint in &endpoints {
+            platform.put("servers", &endpoint.id, endpoint_entry(endpoint, "ready"));
+        }
+        let gateway = Gateway::start("edge-1", &platform, &[]);
+        gateway.wait_ready();
+        Self { platform, endpoints, gateway }
+    }
+
+    pub fn ask(&self, path: &str, id: &str) -> RawAnswer {
+        ask(self.gateway.clients, path, id, "key-1", &[], b"")
+    }
+
+    /// Requests that the endpoints have seen, by endpoint.
+    pub fn runs(&self) -> Vec<usize> {
+        self.endpoints.iter().map(|endpoint| endpoint.seen().len()).collect()
+    }
+}
+
+/// An answer as it came over the wire.
+#[derive(Debug)]
+pub struct RawAnswer {
+    pub status: u16,
+    pub head: String,
+    pub body: Vec<u8>,
+    /// Whether the body's framing says that it is whole.
+    pub whole: bool,
+}
+
+impl RawAnswer {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let mut lines = self.head.lines().skip(1).filter_map(|line| line.split_once(": "));
+        lines.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value)
+    }
+
+    pub fn text(&self) -> String {
+        String::from_utf8_lossy(&self.body).into_owned()
+    }
+}
+
+/// Sends one request over a connection of its own and reads all that comes back.
+pub fn ask(
+    address: SocketAddr,
+    path: &str,
+    id: &str,
+    key: &str,
+    headers: &[&str],
+    body: &[u8],
+) -> RawAnswer {
+    send_raw(address, &request_bytes(path, id, key, headers, body))
+}
+
+/// Bytes of one request over a connection of its own.
+pub fn request_bytes(path: &str, id: &str, key: &str, headers: &[&str], body: &[u8]) -> Vec<u8> {
+    let method = if body.is_empty() { "GET" } else { "POST" };
+    let mut head = format!(
+        "{method} {path} HTTP/1.1\r\nHost: site.example\r\nX-Request-Id: {id}\r\n\
+         X-Deadline-Ms: 3000\r\nAuthorization: Token {key}\r\nConnection: close\r\n"
+    );
+    for header in headers {
+        head.push_str(header);
+        head.push_str("\r\n");
+    }
+    if !body.is_empty() {
+        head.push_str(&format!("Content-Length: {}\r\n", body.len()));
+    }
+    head.push_str("\r\n");
+    let mut bytes = head.into_bytes();
+    bytes.extend_from_slice(body);
+    bytes
+}
+
+pub fn send_raw(address: SocketAddr, bytes: &[u8]) -> RawAnswer {
+    try_send_raw(address, bytes).expect("connect and send")
+}
+
+/// Sends bytes over a new connection and reads all that comes back, if it takes them.
+pub fn try_send_raw(address: SocketAddr, bytes: &[u8]) -> std::io::Result<RawAnswer> {
+    let mut stream = TcpStream::connect(address)?;
+    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.write_all(bytes)?;
+    let mut all = Vec::new();
+    let _ = stream.read_to_end(&mut all);
+    Ok(parse_answer(&all))
+}
+
+fn parse_answer(all: &[u8]) -> RawAnswer {
+    let end = all.windows(4).position(|window| window == b"\r\n\r\n").unwrap_or(all.len());
+    let head = String::from_utf8_lossy(&all[..end]).into_owned();
+    let status = head.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
+    let rest = &all[(end + 4).min(all.len())..];
+    let mut answer = RawAnswer { status, head, body: rest.to_vec(), whole: false };
+    match answer.header("content-length").and_then(|text| text.parse::<usize>().ok()) {
+        Some(length) => answer.whole = rest.len() == length,
+        None => (answer.body, answer.whole) = join_chunks(rest),
+    }
+    answer
+}
+
+fn join_chunks(mut rest: &[u8]) -> (Vec<u8>, bool) {
+    let mut body = Vec::new();
+    while let Some(end) = rest.windows(2).position(|window| window == b"\r\n") {
+        let size = std::str::from_utf8(&rest[..end]).ok();
+        let Some(size) = size.and_then(|text| usize::from_str_radix(text, 16).ok()) else { break };
+        let data = &rest[end + 2..];
+        if size == 0 {
+            return (body, true);
+        }
+        let taken = size.min(data.len());
+        body.extend_from_slice(&data[..taken]);
+        rest = &data[(size + 2).min(data.len())..];
+    }
+    (body, false)
+}
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -9,6 +9,7 @@
 mod event_cutter;
 mod exchange;
 mod fleet;
+mod gateway_site;
 mod groups;
 mod leader_state;
 mod loopback_proxy;
--- a/tests/gateway/operations.rs
+++ b/tests/gateway/operations.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     endpoint_standin::EndpointManner,
-    serving::{Site, configuration, wait_for},
+    gateway_site::{Site, configuration, wait_for},
 };
 
 fn read(site: &Site, path: &str) -> String {
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -18,9 +18,9 @@
 use crate::{
     duties::{check_reports, reports},
     endpoint_standin::{EndpointManner, EndpointStandin},
+    gateway_site::{Gateway, RawAnswer, configuration, request_bytes, try_send_raw, wait_for},
     loopback_proxy::{LinkState, LoopbackProxy},
     platform_standin::PlatformStandin,
-    serving::{Gateway, RawAnswer, configuration, request_bytes, try_send_raw, wait_for},
 };
 
 /// Seeds played where the environment names no number.
