--- a/tests/gateway/serving.rs
+++ b/tests/gateway/serving.rs
@@ -1,7 +1,7 @@
 //! The way of a request through the real daemon, between raw clients and stand-ins.
 
 use std::{
-    io::Write,
+    io::{Read, Write},
     net::TcpStream,
     time::{Duration, Instant},
 };
