--- a/src/gateway/gossip/codec.rs
+++ b/src/gateway/gossip/codec.rs
@@ -15,7 +15,7 @@
     exchange_capnp::{daemon_state, news, peer_word},
     gateway::{
         endpoint::{EndpointList, EndpointRecord, EndpointState},
-        policy::{endpoint_load::LoadSum, quota::AccountCounters, usage_counts::WindowCounts},
+        policy::{endpoint_load::EndpointLoad, quota::AccountCounters, usage_counts::WindowCounts},
     },
     ids::{IncarnationId, SharedName},
 };
@@ -50,7 +50,7 @@
     /// Requests that began to run, by window and account.
     pub windows: BTreeMap<u64, WindowCounts>,
     /// Loads, by the numbers of the endpoints.
-    pub loads: HashMap<u64, LoadSum>,
+    pub loads: HashMap<u64, EndpointLoad>,
     /// Prompt tokens sent to be read, by service.
     pub sent: BTreeMap<SharedName, u64>,
 }
@@ -168,8 +168,8 @@
             let mut entry = loads.reborrow().get(index as u32);
             entry.set_replica(*endpoint);
             entry.set_running(load.running);
-            entry.set_prompt_tokens(u32::try_from(load.uncached).unwrap_or(u32::MAX));
-            entry.set_memory_tokens(u32::try_from(load.memory).unwrap_or(u32::MAX));
+            entry.set_prompt_tokens(u32::try_from(load.uncached_tokens).unwrap_or(u32::MAX));
+            entry.set_memory_tokens(u32::try_from(load.memory_tokens).unwrap_or(u32::MAX));
         }
     }};
 }
@@ -189,10 +189,10 @@
         }
         let mut loads = HashMap::new();
         for load in source.get_loads()? {
-            let sum = LoadSum {
+            let sum = EndpointLoad {
                 running: load.get_running(),
-                uncached: u64::from(load.get_prompt_tokens()),
-                memory: u64::from(load.get_memory_tokens()),
+                uncached_tokens: u64::from(load.get_prompt_tokens()),
+                memory_tokens: u64::from(load.get_memory_tokens()),
             };
             loads.insert(load.get_replica(), sum);
         }
--- a/src/gateway/gossip/exchange.rs
+++ b/src/gateway/gossip/exchange.rs
@@ -344,8 +344,8 @@
     for (window, counts) in counters.windows {
         usage.hear(source, window, counts);
     }
-    let heard = ReportedLoads { at: now, loads: counters.loads, sent: counters.sent };
-    context.endpoints.borrow_mut().hear(source, heard);
+    let loads = ReportedLoads { at: now, loads: counters.loads, sent: counters.sent };
+    context.endpoints.borrow_mut().apply_report(source, loads);
 }
 
 fn hear_configuration(
--- a/src/gateway/policy/endpoint_choice.rs
+++ b/src/gateway/policy/endpoint_choice.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use super::{
-    endpoint_load::LoadSum,
+    endpoint_load::EndpointLoad,
     endpoint_status::EndpointStatus,
     prompt_cache::{PartEnd, part_chain},
 };
@@ -79,7 +79,7 @@
     /// Endpoint.
     pub endpoint: Rc<EndpointRecord>,
     /// Prompt tokens that it is expected to have to read.
-    pub uncached: u64,
+    pub uncached_tokens: u64,
     /// Expected wait for the first token, in milliseconds.
     pub estimated_wait_ms: f64,
 }
@@ -96,7 +96,7 @@
 }
 
 /// Chooses among the endpoints that take requests and were not tried.
-pub fn choose<L: Fn(&EndpointStatus) -> LoadSum>(
+pub fn choose<L: Fn(&EndpointStatus) -> EndpointLoad>(
     candidates: &[&EndpointStatus],
     site: &ChoiceSite<'_, L>,
     query: &ChoiceQuery<'_>,
@@ -115,12 +115,12 @@
             continue;
         }
         let is_affinity = affinity.as_ref() == Some(&status.record.id);
-        let uncached = uncached_tokens(status, query, &chain, is_affinity);
+        let uncached_tokens = uncached_tokens(status, query, &chain, is_affinity);
         let noise_ms = rng.random_range(0.0..NOISE_MS);
-        let estimated_wait_ms = site.estimated_wait_ms(status, &load, uncached) + noise_ms;
+        let estimated_wait_ms = site.estimated_wait_ms(status, &load, uncached_tokens) + noise_ms;
         if best.as_ref().is_none_or(|best| estimated_wait_ms < best.estimated_wait_ms) {
             let endpoint = status.record.clone();
-            best = Some(EndpointChoice { endpoint, uncached, estimated_wait_ms });
+            best = Some(EndpointChoice { endpoint, uncached_tokens, estimated_wait_ms });
         }
     }
     match best {
@@ -131,10 +131,15 @@
 }
 
 impl<L> ChoiceSite<'_, L> {
-    fn estimated_wait_ms(&self, status: &EndpointStatus, load: &LoadSum, uncached: u64) -> f64 {
+    fn estimated_wait_ms(
+        &self,
+        status: &EndpointStatus,
+        load: &EndpointLoad,
+        uncached: u64,
+    ) -> f64 {
         let slots = f64::from(status.record.slots);
         let running = f64::from(load.running);
-        let prefill = (load.uncached + uncached) as f64 / self.prefill_rate;
+        let prefill = (load.uncached_tokens + uncached) as f64 / self.prefill_rate;
         let batch = running / slots * FULL_BATCH_MS;
         let queue = (running + 1.0 - slots).max(0.0) * BEYOND_SLOTS_MS;
         let zone = if &*status.record.zone == self.zone { 0.0 } else { OTHER_ZONE_MS };
--- a/src/gateway/policy/endpoint_load.rs
+++ b/src/gateway/policy/endpoint_load.rs
@@ -18,7 +18,8 @@
 /// or else its bound on the response. A request that names no tokens counts as none.
 pub fn estimated_memory(tokens: Option<TokenCounts>, expected_response: Option<u64>) -> u64 {
     let Some(tokens) = tokens else { return 0 };
-    let response = expected_response.map_or(tokens.answer, |guess| guess.min(tokens.answer));
+    let response =
+        expected_response.map_or(tokens.response, |expected| expected.min(tokens.response));
     tokens.prompt + response
 }
 
@@ -26,28 +27,28 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunLoad {
     /// Uncached prompt tokens that the endpoint has not read yet.
-    pub uncached: u64,
+    pub uncached_tokens: u64,
     /// Memory that the run may take, in tokens.
-    pub memory: u64,
+    pub memory_tokens: u64,
 }
 
 /// Loads of a daemon at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LoadSum {
+pub struct EndpointLoad {
     /// Requests.
     pub running: u32,
     /// Uncached prompt tokens that the endpoint has not read yet.
-    pub uncached: u64,
+    pub uncached_tokens: u64,
     /// Memory that the runs may take, in tokens.
-    pub memory: u64,
+    pub memory_tokens: u64,
 }
 
-impl LoadSum {
+impl EndpointLoad {
     /// Adds another sum.
     pub fn add(&mut self, other: &Self) {
         self.running += other.running;
-        self.uncached += other.uncached;
-        self.memory += other.memory;
+        self.uncached_tokens += other.uncached_tokens;
+        self.memory_tokens += other.memory_tokens;
     }
 }
 
@@ -57,7 +58,7 @@
     /// When the report came.
     pub at: Instant,
     /// Its loads, by the numbers of the endpoints.
-    pub loads: HashMap<u64, LoadSum>,
+    pub loads: HashMap<u64, EndpointLoad>,
     /// Uncached prompt tokens that it has sent since it started, by service.
     pub sent: BTreeMap<SharedName, u64>,
 }
--- a/src/gateway/policy/endpoint_status.rs
+++ b/src/gateway/policy/endpoint_status.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::{endpoint_load::LoadSum, prompt_cache::PromptCache};
+use super::{endpoint_load::EndpointLoad, prompt_cache::PromptCache};
 use crate::{endpoint_health::EndpointHealth, gateway::endpoint::EndpointRecord};
 
 /// Time for which an endpoint counts as full after it has refused a request as full.
@@ -20,7 +20,7 @@
     /// Record in the store's list.
     pub record: Rc<EndpointRecord>,
     /// Load of this daemon's own requests.
-    pub own: LoadSum,
+    pub own: EndpointLoad,
     /// Health by the outcome of its own attempts.
     pub health: EndpointHealth,
     /// Prompt parts that the endpoint probably has cached.
@@ -35,7 +35,7 @@
     pub fn new(record: Rc<EndpointRecord>) -> Self {
         Self {
             record,
-            own: LoadSum::default(),
+            own: EndpointLoad::default(),
             health: EndpointHealth::default(),
             cache: PromptCache::default(),
             has_ended: false,
@@ -52,7 +52,7 @@
     /// load of all daemons. `memory_capacity` is none for services without an engine.
     pub fn is_full(
         &self,
-        load: &LoadSum,
+        load: &EndpointLoad,
         memory_tokens: u64,
         memory_capacity: Option<u64>,
         now: Instant,
@@ -65,7 +65,7 @@
             None => f64::from(load.running) >= slots * (1.0 + PLAIN_QUEUE_PER_SLOT),
             Some(capacity) => {
                 load.running >= self.record.slots
-                    || (load.running > 0 && load.memory + memory_tokens > capacity)
+                    || (load.running > 0 && load.memory_tokens + memory_tokens > capacity)
             }
         }
     }
--- a/src/gateway/policy/endpoint_table.rs
+++ b/src/gateway/policy/endpoint_table.rs
@@ -16,7 +16,7 @@
 
 use super::{
     endpoint_choice::{ChoiceQuery, ChoiceResult, ChoiceSite, choose},
-    endpoint_load::{LoadSum, ReportedLoads, RunLoad, endpoint_number},
+    endpoint_load::{EndpointLoad, ReportedLoads, RunLoad, endpoint_number},
     endpoint_status::EndpointStatus,
     prefill_rate::{DEFAULT_PREFILL_RATE, PrefillRate},
     prompt_cache::part_chain,
@@ -44,7 +44,7 @@
 pub struct EndpointTable {
     zone: SharedName,
     endpoints: BTreeMap<SharedName, EndpointStatus>,
-    heard: HashMap<ReportSource, ReportedLoads>,
+    reports: HashMap<ReportSource, ReportedLoads>,
     sent: BTreeMap<SharedName, u64>,
     rates: HashMap<SharedName, PrefillRate>,
 }
@@ -55,7 +55,7 @@
         Self {
             zone,
             endpoints: BTreeMap::new(),
-            heard: HashMap::new(),
+            reports: HashMap::new(),
             sent: BTreeMap::new(),
             rates: HashMap::new(),
         }
@@ -82,29 +82,29 @@
     }
 
     /// Applies another daemon's report.
-    pub fn hear(&mut self, from: ReportSource, state: ReportedLoads) {
-        let now = state.at;
+    pub fn apply_report(&mut self, from: ReportSource, report: ReportedLoads) {
+        let now = report.at;
         if let ReportSource::Group { number, .. } = from {
             // A new representative reports the same group: its report replaces the other's.
             let is_same_group = |other: &ReportSource| match other {
                 ReportSource::Group { number: group, .. } => *group == number,
                 ReportSource::Daemon(_) => false,
             };
-            self.heard.retain(|other, _| !is_same_group(other));
+            self.reports.retain(|other, _| !is_same_group(other));
         }
-        self.heard.insert(from, state);
-        self.heard.retain(|_, other| now.saturating_duration_since(other.at) < REPORT_KEPT);
+        self.reports.insert(from, report);
+        self.reports.retain(|_, other| now.saturating_duration_since(other.at) < REPORT_KEPT);
     }
 
     /// Loads of the own group, by the numbers of the endpoints.
-    pub fn group_loads(&self, now: Instant) -> HashMap<u64, LoadSum> {
-        let mut loads: HashMap<u64, LoadSum> =
+    pub fn group_loads(&self, now: Instant) -> HashMap<u64, EndpointLoad> {
+        let mut loads: HashMap<u64, EndpointLoad> =
             self.own_loads().map(|(id, load)| (endpoint_number(id), load)).collect();
-        for (_, state) in self.heard.iter().filter(|(from, _)| from.is_in_own_group()) {
-            if now.saturating_duration_since(state.at) > LOAD_KEPT {
+        for (_, report) in self.reports.iter().filter(|(from, _)| from.is_in_own_group()) {
+            if now.saturating_duration_since(report.at) > LOAD_KEPT {
                 continue;
             }
-            for (endpoint, load) in &state.loads {
+            for (endpoint, load) in &report.loads {
                 loads.entry(*endpoint).or_default().add(load);
             }
         }
@@ -114,8 +114,8 @@
     /// Uncached prompt tokens that the own group has sent, by service.
     pub fn group_sent(&self) -> BTreeMap<SharedName, u64> {
         let mut sent = self.sent.clone();
-        for (_, state) in self.heard.iter().filter(|(from, _)| from.is_in_own_group()) {
-            for (service, tokens) in &state.sent {
+        for (_, report) in self.reports.iter().filter(|(from, _)| from.is_in_own_group()) {
+            for (service, tokens) in &report.sent {
                 *sent.entry(service.clone()).or_default() += tokens;
             }
         }
@@ -130,8 +130,8 @@
     /// Uncached prompt tokens that all daemons have sent; falls when one is forgotten.
     pub fn tokens_sent(&self, service: &str) -> u64 {
         let own = self.sent.get(service).copied().unwrap_or(0);
-        let heard = self.heard.values().filter_map(|state| state.sent.get(service));
-        own + heard.sum::<u64>()
+        let reported = self.reports.values().filter_map(|report| report.sent.get(service));
+        own + reported.sum::<u64>()
     }
 
     /// Prefill rate of a service's endpoints, in tokens a millisecond.
@@ -140,7 +140,7 @@
     }
 
     /// This daemon's loads.
-    pub fn own_loads(&self) -> impl Iterator<Item = (&SharedName, LoadSum)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (&SharedName, EndpointLoad)> {
         let used = self.endpoints.values().filter(|status| status.own.running > 0);
         used.map(|status| (&status.record.id, status.own))
     }
@@ -151,8 +151,8 @@
     }
 
     /// Requests of all daemons at the endpoints of a service, as far as known.
-    pub fn service_load(&self, service: &str, now: Instant) -> LoadSum {
-        let mut sum = LoadSum::default();
+    pub fn service_load(&self, service: &str, now: Instant) -> EndpointLoad {
+        let mut sum = EndpointLoad::default();
         for status in self.endpoints.values().filter(|status| &*status.record.service == service) {
             sum.add(&self.load_at(status, now));
         }
@@ -166,14 +166,14 @@
         })
     }
 
-    fn load_at(&self, status: &EndpointStatus, now: Instant) -> LoadSum {
+    fn load_at(&self, status: &EndpointStatus, now: Instant) -> EndpointLoad {
         let number = endpoint_number(&status.record.id);
         let mut sum = status.own;
-        for heard in self.heard.values() {
-            if now.saturating_duration_since(heard.at) > LOAD_KEPT {
+        for report in self.reports.values() {
+            if now.saturating_duration_since(report.at) > LOAD_KEPT {
                 continue;
             }
-            if let Some(load) = heard.loads.get(&number) {
+            if let Some(load) = report.loads.get(&number) {
                 sum.add(load);
             }
         }
@@ -202,12 +202,12 @@
     /// An attempt begins at an endpoint.
     pub fn begin(&mut self, id: &str, parts: &[PromptPart], load: RunLoad, now: Instant) {
         let Some(status) = self.endpoints.get_mut(id) else { return };
-        if load.uncached > 0 {
-            *self.sent.entry(status.record.service.clone()).or_default() += load.uncached;
+        if load.uncached_tokens > 0 {
+            *self.sent.entry(status.record.service.clone()).or_default() += load.uncached_tokens;
         }
         status.own.running += 1;
-        status.own.uncached += load.uncached;
-        status.own.memory += load.memory;
+        status.own.uncached_tokens += load.uncached_tokens;
+        status.own.memory_tokens += load.memory_tokens;
         status.cache.remember(&part_chain(parts));
         if status.health.state(now) == HealthState::Probing {
             status.health.begin_probe();
@@ -218,7 +218,7 @@
     /// no other prompt was known to wait there when it was sent.
     pub fn prefill_done(&mut self, id: &str, uncached: u64, taken: Duration, alone: bool) {
         let Some(status) = self.endpoints.get_mut(id) else { return };
-        status.own.uncached = status.own.uncached.saturating_sub(uncached);
+        status.own.uncached_tokens = status.own.uncached_tokens.saturating_sub(uncached);
         if alone {
             self.rates.entry(status.record.service.clone()).or_default().learn(uncached, taken);
         }
@@ -226,15 +226,16 @@
 
     /// Whether no prompt is known to wait at an endpoint.
     pub fn is_idle(&self, id: &str, now: Instant) -> bool {
-        self.endpoints.get(id).is_some_and(|status| self.load_at(status, now).uncached == 0)
+        self.endpoints.get(id).is_some_and(|status| self.load_at(status, now).uncached_tokens == 0)
     }
 
     /// An attempt has ended; `load` is the part of its load that was still counted.
     pub fn end(&mut self, id: &str, load: RunLoad, result: AttemptResult, now: Instant) {
         let Some(status) = self.endpoints.get_mut(id) else { return };
         status.own.running = status.own.running.saturating_sub(1);
-        status.own.uncached = status.own.uncached.saturating_sub(load.uncached);
-        status.own.memory = status.own.memory.saturating_sub(load.memory);
+        status.own.uncached_tokens =
+            status.own.uncached_tokens.saturating_sub(load.uncached_tokens);
+        status.own.memory_tokens = status.own.memory_tokens.saturating_sub(load.memory_tokens);
         status.health.record(result, now);
     }
 
--- a/src/gateway/policy/retries.rs
+++ b/src/gateway/policy/retries.rs
@@ -45,7 +45,7 @@
     GiveUp(GiveUpReason),
 }
 
-/// Why a request is given up after an attempt.
+/// Why no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
     /// No attempt has run it.
@@ -62,7 +62,7 @@
     is_server_error && kind == RouteKind::Idempotent
 }
 
-/// What follows a failed attempt; `may_have_run` tells of the attempts before it.
+/// What follows a failed attempt; `may_have_run` says whether an earlier one may have run.
 pub fn after_failure(failure: AttemptFailure, kind: RouteKind, may_have_run: bool) -> FailureStep {
     match failure {
         AttemptFailure::NotSent => FailureStep::TryNext,
@@ -101,7 +101,7 @@
 }
 
 impl NoAttempt {
-    /// The refusal; `may_have_run` tells of the attempts before.
+    /// The refusal; `may_have_run` says whether an earlier attempt may have run.
     pub fn refusal(self, may_have_run: bool, target: Duration) -> Refusal {
         match (self, may_have_run) {
             (Self::DeadlineOver, true) => Refusal::OutOfTime,
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -93,7 +93,8 @@
     attempts.tried.push(endpoint.id.clone());
     trace.attempt(&choice);
     let head = &admitted.call.head;
-    let load = RunLoad { uncached: choice.uncached, memory: memory_tokens(admitted) };
+    let load =
+        RunLoad { uncached_tokens: choice.uncached_tokens, memory_tokens: memory_tokens(admitted) };
     let guard = RunGuard::begin(context.clone(), &endpoint, &head.parts, load);
     let may_run_again = admitted.route.kind.may_run_again();
     let taking = context.connections.take(&endpoint, may_run_again, admitted.deadline);
@@ -210,7 +211,7 @@
 
 fn memory_tokens(admitted: &Admitted) -> u64 {
     let head = &admitted.call.head;
-    estimated_memory(head.tokens, head.answer_guess)
+    estimated_memory(head.tokens, head.expected_response)
 }
 
 fn endpoint_request(
--- a/src/gateway/request/call.rs
+++ b/src/gateway/request/call.rs
@@ -26,13 +26,13 @@
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Most tokens of the response.
-    pub answer: u64,
+    pub response: u64,
 }
 
 impl TokenCounts {
     /// Both together.
     pub fn total(self) -> u64 {
-        self.prompt + self.answer
+        self.prompt + self.response
     }
 }
 
@@ -58,7 +58,7 @@
     /// Parts of the prompt in order.
     pub parts: Vec<PromptPart>,
     /// Tokens that the client expects the response to have.
-    pub answer_guess: Option<u64>,
+    pub expected_response: Option<u64>,
     /// Last event that the client already has of a stream that it resumes itself.
     pub last_event: Option<u64>,
     /// Headers passed on unchanged.
--- a/src/gateway/request/connection_pool.rs
+++ b/src/gateway/request/connection_pool.rs
@@ -66,8 +66,8 @@
     #[display("connection broke: {_0}")]
     Broken(String),
     /// No response in time: the request may have run.
-    #[display("no answer in time")]
-    NoAnswer,
+    #[display("no response in time")]
+    NoResponse,
 }
 
 impl SendFailure {
@@ -113,7 +113,7 @@
         let sending = self.sender.try_send_request(request);
         match timeout_at(deadline, sending).await {
             // Timed out.
-            Err(_) => Err(SendFailure::NoAnswer),
+            Err(_) => Err(SendFailure::NoResponse),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => match error.take_message() {
                 Some(_) => Err(SendFailure::ClosedBefore),
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -53,7 +53,7 @@
 
     /// An endpoint was chosen.
     pub fn attempt(&mut self, choice: &EndpointChoice) {
-        let (endpoint, uncached) = (&choice.endpoint.id, choice.uncached);
+        let (endpoint, uncached) = (&choice.endpoint.id, choice.uncached_tokens);
         let wait = choice.estimated_wait_ms;
         // Writing to a string cannot fail.
         let _ = write!(self.steps, "{endpoint} uncached {uncached} wait {wait:.0};");
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -47,7 +47,7 @@
 
     /// The first event has come, so the endpoint has read the prompt.
     pub fn prefill_done(&mut self) {
-        let uncached = std::mem::take(&mut self.load.uncached);
+        let uncached = std::mem::take(&mut self.load.uncached_tokens);
         if uncached > 0 {
             let mut endpoints = self.context.endpoints.borrow_mut();
             endpoints.prefill_done(&self.endpoint.id, uncached, self.begun.elapsed(), self.alone);
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -84,7 +84,7 @@
         key: read_key(headers),
         tokens,
         parts: read_prefix(prefix),
-        answer_guess: number(headers, &LENGTH_HINT, "X-Length-Hint").ok().flatten(),
+        expected_response: number(headers, &LENGTH_HINT, "X-Length-Hint").ok().flatten(),
         last_event,
         method: parts.method,
         headers: travelling(parts.headers),
@@ -151,10 +151,12 @@
 
 fn read_tokens(value: &HeaderValue) -> Option<TokenCounts> {
     const LARGEST: u64 = 1 << 40;
-    let (prompt, answer) = value.to_str().ok()?.split_once(',')?;
-    let counts =
-        TokenCounts { prompt: prompt.trim().parse().ok()?, answer: answer.trim().parse().ok()? };
-    (counts.prompt < LARGEST && counts.answer < LARGEST).then_some(counts)
+    let (prompt, response) = value.to_str().ok()?.split_once(',')?;
+    let counts = TokenCounts {
+        prompt: prompt.trim().parse().ok()?,
+        response: response.trim().parse().ok()?,
+    };
+    (counts.prompt < LARGEST && counts.response < LARGEST).then_some(counts)
 }
 
 /// Reads the parts of a prompt; what cannot be read is left out, since parts only tell
--- a/tests/gateway/endpoint_choice.rs
+++ b/tests/gateway/endpoint_choice.rs
@@ -12,7 +12,7 @@
         gossip::report_source::ReportSource,
         policy::{
             endpoint_choice::{ChoiceQuery, ChoiceResult},
-            endpoint_load::{LoadSum, ReportedLoads, RunLoad, endpoint_number},
+            endpoint_load::{EndpointLoad, ReportedLoads, RunLoad, endpoint_number},
             endpoint_table::EndpointTable,
             prefill_rate::PrefillRate,
         },
@@ -73,7 +73,7 @@
 }
 
 #[googletest::test]
-fn daemons_agree_on_the_home_of_a_prompt() {
+fn daemons_agree_on_the_affinity_endpoint_of_a_prompt() {
     let records = || (0..12).map(|place| record(&format!("i-{place}"), "a")).collect();
     let (one, other) = (table(records()), table(records()));
     let now = Instant::now();
@@ -85,11 +85,11 @@
 }
 
 #[googletest::test]
-fn a_home_that_is_behind_is_left() {
+fn an_affinity_endpoint_with_a_long_wait_is_left() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
     let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
-    let load = RunLoad { uncached: 60_000, memory: 60_000 };
+    let load = RunLoad { uncached_tokens: 60_000, memory_tokens: 60_000 };
     table.begin(&affinity, &[], load, now);
     expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity))));
 }
@@ -99,10 +99,10 @@
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
     let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
-    let load = LoadSum { running: 4, uncached: 0, memory: 0 };
+    let load = EndpointLoad { running: 4, uncached_tokens: 0, memory_tokens: 0 };
     let loads = [(endpoint_number(&affinity), load)].into();
     let state = ReportedLoads { at: now, loads, sent: BTreeMap::new() };
-    table.hear(daemon(5), state);
+    table.apply_report(daemon(5), state);
     expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity.clone()))));
     let later = now + Duration::from_secs(3);
     expect_that!(chosen(&table, &query(&PARTS, &[]), later), eq(&Some(affinity)));
@@ -129,7 +129,7 @@
 fn a_prompt_beyond_the_memory_left_goes_elsewhere() {
     let mut table = table(vec![record("i-0", "a")]);
     let now = Instant::now();
-    table.begin("i-0", &[], RunLoad { uncached: 0, memory: 98_000 }, now);
+    table.begin("i-0", &[], RunLoad { uncached_tokens: 0, memory_tokens: 98_000 }, now);
     let result = table.choose(&query(&PARTS, &[]), now, &mut SmallRng::seed_from_u64(1));
     expect_that!(matches!(result, ChoiceResult::Full), eq(true));
 }
@@ -164,7 +164,7 @@
 }
 
 #[googletest::test]
-fn read_rate_is_learnt() {
+fn prefill_rate_is_learnt() {
     let mut rate = PrefillRate::default();
     for _ in 0..200 {
         rate.learn(10_000, millis(45 + 100));
--- a/tests/gateway/exchange.rs
+++ b/tests/gateway/exchange.rs
@@ -14,7 +14,7 @@
             },
             peer_table::PeerSummary,
         },
-        policy::{endpoint_load::LoadSum, quota::AccountCounters},
+        policy::{endpoint_load::EndpointLoad, quota::AccountCounters},
     },
     ids::IncarnationId,
 };
@@ -56,7 +56,7 @@
         ]
         .into(),
         windows: [(77, counts)].into(),
-        loads: [(5, LoadSum { running: 1, uncached: 2, memory: 3 })].into(),
+        loads: [(5, EndpointLoad { running: 1, uncached_tokens: 2, memory_tokens: 3 })].into(),
         sent: [("pool".into(), 99)].into(),
     }
 }
--- a/tests/gateway/request_rules.rs
+++ b/tests/gateway/request_rules.rs
@@ -256,7 +256,7 @@
 #[googletest::test]
 fn requests_are_charged_by_their_quotas_unit() {
     let quota = |in_tokens| AccountQuota { rate: None, burst: 0.0, in_tokens, default_tokens: 7 };
-    let tokens = Some(TokenCounts { prompt: 100, answer: 20 });
+    let tokens = Some(TokenCounts { prompt: 100, response: 20 });
     expect_that!(quota_units(&quota(false), tokens), eq(1));
     expect_that!(quota_units(&quota(true), tokens), eq(120));
     expect_that!(quota_units(&quota(true), None), eq(7));
@@ -264,7 +264,7 @@
 
 #[googletest::test]
 fn memory_is_estimated_by_the_expected_response() {
-    let tokens = Some(TokenCounts { prompt: 100, answer: 20 });
+    let tokens = Some(TokenCounts { prompt: 100, response: 20 });
     expect_that!(estimated_memory(tokens, None), eq(120));
     expect_that!(estimated_memory(tokens, Some(5)), eq(105));
     expect_that!(estimated_memory(tokens, Some(500)), eq(120));
