--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -2,9 +2,11 @@
 //! the operators' configuration, and carries out the leader's tasks of its deployment.
 //!
 //! `request` is the path of a request, `policy` holds the rules that decide (no I/O),
-//! `gossip` what daemons tell each other, `leader` what one daemon at a time does towards
-//! the cloud. docs/architecture.md shows how they work together.
+//! `gossip` is how daemons exchange reports, `leader` does the tasks of the leader lease's
+//! holder. `call`, `configuration` and `endpoint` are the data that these share; `context`
+//! is the state of one daemon. docs/architecture.md shows how they work together.
 
+pub mod call;
 pub mod configuration;
 pub mod configuration_check;
 pub mod context;
--- a/src/gateway/policy/admission.rs
+++ b/src/gateway/policy/admission.rs
@@ -10,8 +10,8 @@
 
 use super::{key_freshness::KeyFreshness, refusal::Refusal};
 use crate::gateway::{
+    call::{CallHead, TokenCounts},
     configuration::{Account, AccountQuota, Configuration, Route, ServiceWeight},
-    request::call::{CallHead, TokenCounts},
 };
 
 /// What a request's head has been matched to.
--- a/src/gateway/policy/endpoint_choice.rs
+++ b/src/gateway/policy/endpoint_choice.rs
@@ -22,7 +22,7 @@
 };
 use crate::{
     endpoint_health::HealthState,
-    gateway::{endpoint::EndpointRecord, request::call::PromptPart},
+    gateway::{call::PromptPart, endpoint::EndpointRecord},
     ids::{SharedName, hash_parts},
 };
 
--- a/src/gateway/policy/endpoint_load.rs
+++ b/src/gateway/policy/endpoint_load.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    gateway::request::call::TokenCounts,
+    gateway::call::TokenCounts,
     ids::{SharedName, hash_parts},
 };
 
--- a/src/gateway/policy/endpoint_table.rs
+++ b/src/gateway/policy/endpoint_table.rs
@@ -24,9 +24,9 @@
 use crate::{
     endpoint_health::{AttemptResult, HealthState},
     gateway::{
+        call::PromptPart,
         endpoint::{EndpointList, EndpointRecord, EndpointState},
         gossip::report_source::ReportSource,
-        request::call::PromptPart,
     },
     ids::SharedName,
 };
--- a/src/gateway/policy/prompt_cache.rs
+++ b/src/gateway/policy/prompt_cache.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashMap;
 
-use crate::{gateway::request::call::PromptPart, ids::hash_parts};
+use crate::{gateway::call::PromptPart, ids::hash_parts};
 
 /// Parts remembered for each endpoint.
 /// Basis: chosen, not measured: bounds memory to some tens of kilobytes an endpoint.
--- a/src/gateway/policy/refusal.rs
+++ b/src/gateway/policy/refusal.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 
 use super::retry_after;
-use crate::{gateway::request::call::HeadError, ids::SharedName};
+use crate::{gateway::call::HeadError, ids::SharedName};
 
 /// Reason for which the gateway answers a request itself.
 #[derive(Clone, Debug, Display, PartialEq)]
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -5,7 +5,6 @@
 
 pub mod admission;
 pub mod attempt;
-pub mod call;
 pub mod client_listener;
 pub mod connection_pool;
 pub mod dispatch;
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -9,8 +9,8 @@
 use rand::RngExt;
 use tokio::time::{Instant, timeout_at};
 
-use super::call::{Call, CallHead};
 use crate::gateway::{
+    call::{Call, CallHead},
     configuration::{Account, Configuration, Route, Service},
     context::{GatewayContext, Intake},
     policy::{
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -15,7 +15,6 @@
 
 use super::{
     admission::Admitted,
-    call::AttemptHead,
     connection_pool::{EndpointConnection, SendFailure},
     drain::drain,
     request_log::RequestTrace,
@@ -25,6 +24,7 @@
 use crate::{
     endpoint_health::AttemptResult,
     gateway::{
+        call::AttemptHead,
         context::GatewayContext,
         policy::{
             endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointChoice},
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -4,10 +4,12 @@
 
 use tokio::time::Instant;
 
-use super::call::PromptPart;
 use crate::{
     endpoint_health::AttemptResult,
-    gateway::{context::GatewayContext, endpoint::EndpointRecord, policy::endpoint_load::RunLoad},
+    gateway::{
+        call::PromptPart, context::GatewayContext, endpoint::EndpointRecord,
+        policy::endpoint_load::RunLoad,
+    },
 };
 
 /// Counts a run at its endpoint. Dropping the guard ends the run and leaves the endpoint's
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -9,9 +9,9 @@
 };
 
 use crate::{
-    gateway::request::{
+    gateway::{
         call::{AttemptHead, Call, CallHead, HeadError, PromptPart, TokenCounts},
-        response_meaning::{ResponseMeaning, ResponseSigns},
+        request::response_meaning::{ResponseMeaning, ResponseSigns},
     },
     ids::SharedName,
 };
--- a/tests/gateway/decoders.rs
+++ b/tests/gateway/decoders.rs
@@ -6,9 +6,8 @@
 use serde_json::{Value, json};
 use willowarch::{
     gateway::{
-        configuration::RouteKind,
-        endpoint::EndpointState,
-        request::{call::HeadError, response_meaning::ResponseMeaning},
+        call::HeadError, configuration::RouteKind, endpoint::EndpointState,
+        request::response_meaning::ResponseMeaning,
     },
     platform::{
         configuration, endpoints,
--- a/tests/gateway/endpoint_choice.rs
+++ b/tests/gateway/endpoint_choice.rs
@@ -8,6 +8,7 @@
 use willowarch::{
     endpoint_health::AttemptResult,
     gateway::{
+        call::PromptPart,
         endpoint::{EndpointList, EndpointRecord, EndpointState},
         gossip::report_source::ReportSource,
         policy::{
@@ -16,7 +17,6 @@
             endpoint_table::EndpointTable,
             prefill_rate::PrefillRate,
         },
-        request::call::PromptPart,
     },
     ids::{IncarnationId, SharedName},
 };
--- a/tests/gateway/request_rules.rs
+++ b/tests/gateway/request_rules.rs
@@ -5,6 +5,7 @@
 use googletest::prelude::*;
 use tokio::time::Instant;
 use willowarch::gateway::{
+    call::TokenCounts,
     configuration::{AccountQuota, Route, RouteKind, ServiceWeight},
     policy::{
         admission::{quota_units, service_at, total_weight},
@@ -22,7 +23,6 @@
         store_watchers::{StoreWatch, is_store_failing},
         time_limits,
     },
-    request::call::TokenCounts,
 };
 
 const RESUMABLE: RouteKind = RouteKind::Stream { resume: true };
