--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -27,10 +27,9 @@
         usage_counts::UsageCounts,
         wall_clock::SteadyWallClock,
     },
-    readiness,
     request::{client_listener, connection_pool::ConnectionPool},
     settings::GatewaySettings,
-    store_watch,
+    status_listeners, store_watch,
 };
 use crate::{
     counting::OpenCount,
@@ -76,8 +75,14 @@
     let context = Rc::new(assemble(settings, kernel.handle()));
     let (name, zone) = (&context.settings.name, &context.settings.zone);
     spdlog::info!("started", kv: { name:, zone:, incarnation: = context.incarnation });
-    kernel.start(readiness::READINESS_SERVICE, readiness::run(readiness, context.clone()));
-    kernel.start(readiness::METRICS_SERVICE, readiness::show_metrics(metrics, context.clone()));
+    kernel.start(
+        status_listeners::READINESS_SERVICE,
+        status_listeners::serve_readiness(readiness, context.clone()),
+    );
+    kernel.start(
+        status_listeners::METRICS_SERVICE,
+        status_listeners::serve_metrics(metrics, context.clone()),
+    );
     let configuration = store_watch::keep_configuration(context.clone());
     kernel.start(store_watch::CONFIGURATION_SERVICE, configuration);
     kernel.start(store_watch::ENDPOINT_SERVICE, store_watch::keep_endpoints(context.clone()));
--- a/src/gateway/readiness.rs
+++ b/src/gateway/status_listeners.rs
@@ -28,7 +28,7 @@
 }
 
 /// Serves readiness checks until the daemon stops.
-pub async fn run(listener: TcpListener, context: Rc<GatewayContext>) {
+pub async fn serve_readiness(listener: TcpListener, context: Rc<GatewayContext>) {
     let phase = context.kernel.phase();
     let handler = move |request: Request<Incoming>| {
         let ready = context.readiness(Instant::now()) == Readiness::Ready;
@@ -43,7 +43,7 @@
 }
 
 /// Serves the metrics and, at `/state`, the daemon's state, until it stops.
-pub async fn show_metrics(listener: TcpListener, context: Rc<GatewayContext>) {
+pub async fn serve_metrics(listener: TcpListener, context: Rc<GatewayContext>) {
     let phase = context.kernel.phase();
     let handler = move |request: Request<Incoming>| {
         let text = match request.uri().path() {
