--- a/src/gateway/gossip/exchange.rs
+++ b/src/gateway/gossip/exchange.rs
@@ -31,8 +31,9 @@
     gateway::{
         context::GatewayContext,
         policy::{
-            catch_up::HeldRevisions, endpoint_choice::endpoint_number,
-            endpoint_load::ReportedLoads, usage_counts::WindowCounts,
+            catch_up::HeldRevisions,
+            endpoint_load::{ReportedLoads, endpoint_number},
+            usage_counts::WindowCounts,
         },
     },
     http::server,
@@ -343,8 +344,8 @@
     for (window, counts) in counters.windows {
         usage.hear(source, window, counts);
     }
-    let heard = ReportedLoads { at: now, loads: counters.loads, sent: counters.sent };
-    context.endpoints.borrow_mut().hear(source, heard);
+    let loads = ReportedLoads { at: now, loads: counters.loads, sent: counters.sent };
+    context.endpoints.borrow_mut().apply_report(source, loads);
 }
 
 fn hear_configuration(
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -2,7 +2,7 @@
 //!
 //! `client_head` reads a client's request; `endpoint` writes the request of one attempt and
 //! reads the response to it; `own_response` writes the heads that the gateway makes itself.
-//! Header names stay in here: the gateway sees `gateway::request::{call, response_meaning}`.
+//! Header names stay in here: the gateway sees `gateway::{call, request::response_meaning}`.
 
 mod client_head;
 mod endpoint;
--- a/src/platform/ingress/client_head.rs
+++ b/src/platform/ingress/client_head.rs
@@ -15,7 +15,7 @@
     DEADLINE, LAST_EVENT, LENGTH_HINT, PREFIX, REQUEST_ID, TOKENS, end_to_end, text,
 };
 use crate::{
-    gateway::request::call::{CallHead, HeadError, PromptPart, TokenCounts},
+    gateway::call::{CallHead, HeadError, PromptPart, TokenCounts},
     ids::SharedName,
 };
 
@@ -51,7 +51,7 @@
         key: read_key(headers),
         tokens: read_tokens(headers)?,
         parts: read_prefix(headers),
-        answer_guess: read_length_hint(headers),
+        expected_response: read_length_hint(headers),
         last_event: read_last_event(headers),
         method: parts.method,
         headers: end_to_end(parts.headers),
@@ -115,10 +115,12 @@
 }
 
 fn parse_tokens(value: &HeaderValue) -> Option<TokenCounts> {
-    let (prompt, answer) = value.to_str().ok()?.split_once(',')?;
-    let counts =
-        TokenCounts { prompt: prompt.trim().parse().ok()?, answer: answer.trim().parse().ok()? };
-    (counts.prompt < TOKEN_LIMIT && counts.answer < TOKEN_LIMIT).then_some(counts)
+    let (prompt, response) = value.to_str().ok()?.split_once(',')?;
+    let counts = TokenCounts {
+        prompt: prompt.trim().parse().ok()?,
+        response: response.trim().parse().ok()?,
+    };
+    (counts.prompt < TOKEN_LIMIT && counts.response < TOKEN_LIMIT).then_some(counts)
 }
 
 /// Reads the parts of a prompt up to the first malformed one. They only tell where a prompt
--- a/src/platform/ingress/endpoint.rs
+++ b/src/platform/ingress/endpoint.rs
@@ -11,9 +11,9 @@
     DEADLINE, EXPECT_INSTANCE, KEEP_ALIVE, LAST_EVENT, NOT_EXECUTED, PRIORITY, REQUEST_ID, TENANT,
     remove_hop_headers, text,
 };
-use crate::gateway::request::{
+use crate::gateway::{
     call::{AttemptHead, Call},
-    response_meaning::{ResponseMeaning, ResponseSigns},
+    request::response_meaning::{ResponseMeaning, ResponseSigns},
 };
 
 /// Builds the request of one attempt; method, path and body stay as the client sent them.
