--- a/src/native/cluster/averaging.rs
+++ b/src/native/cluster/averaging.rs
@@ -35,11 +35,6 @@
         let parts: Vec<&[u8]> = names.iter().map(|name| name.as_bytes()).collect();
         Self { hash: hash_parts(&parts), names }
     }
-
-    /// Hash of the names.
-    pub fn hash(&self) -> u64 {
-        self.hash
-    }
 }
 
 /// Values of one daemon at one moment, to be exchanged.
--- a/src/native/cluster/core.rs
+++ b/src/native/cluster/core.rs
@@ -150,7 +150,7 @@
         &self.items
     }
 
-    /// Own incarnation.
+    /// Own incarnation; read by the in-memory fleet of the tests.
     pub fn own(&self) -> IncarnationId {
         self.own
     }
@@ -161,6 +161,7 @@
     }
 
     /// Forgets what was still to be sent; the next exchanges of summaries make up for it.
+    /// The in-memory fleet of the tests calls it, to show that summaries alone suffice.
     pub fn drop_outboxes(&mut self) {
         self.outboxes.clear();
     }
--- a/src/native/cluster/items.rs
+++ b/src/native/cluster/items.rs
@@ -164,16 +164,11 @@
         }
     }
 
-    /// Number of items.
-    pub fn len(&self) -> usize {
+    /// Number of items, tombstones included.
+    pub fn count(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing is known.
-    pub fn is_empty(&self) -> bool {
-        self.items.is_empty()
-    }
-
     /// Bytes that the items take, roughly.
     pub fn bytes(&self) -> usize {
         self.items.values().map(|(item, _)| item.bytes()).sum()
--- a/src/native/cluster/service.rs
+++ b/src/native/cluster/service.rs
@@ -149,7 +149,7 @@
                 let _ = reply.send(items.of_kind(kind).cloned().collect());
             }
             ClusterMessage::Gauge { reply } => {
-                let _ = reply.send((self.core.counters(), items.len(), items.bytes()));
+                let _ = reply.send((self.core.counters(), items.count(), items.bytes()));
             }
         }
     }
--- a/src/native/decide/fleet.rs
+++ b/src/native/decide/fleet.rs
@@ -69,6 +69,9 @@
 }
 
 /// Expected cost of an hour with these counts: prices, reclaims and shortage.
+///
+/// Only the tests call it: they compare [`choose_counts`] with all fleets there are, by the
+/// same cost, which is private to this module.
 pub fn expected_cost(
     need: f64,
     counts: &BTreeMap<FleetPlace, usize>,
--- a/src/native/decide/prefix.rs
+++ b/src/native/decide/prefix.rs
@@ -58,15 +58,10 @@
     }
 
     /// Number of cached blocks.
-    pub fn len(&self) -> usize {
+    pub fn block_count(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is cached.
-    pub fn is_empty(&self) -> bool {
-        self.blocks.is_empty()
-    }
-
     // NOTE: evicts a tenth at a time, so that the scan is paid rarely.
     fn evict(&mut self) -> Vec<u64> {
         if self.blocks.len() <= self.capacity {
--- a/src/native/request/outcome.rs
+++ b/src/native/request/outcome.rs
@@ -159,11 +159,6 @@
         Self { call }
     }
 
-    /// The call.
-    pub fn call(&self) -> &Arc<CallerCall> {
-        &self.call
-    }
-
     /// Ends it as "not run".
     pub fn refuse(self, reason: NotRunReason, retry_after: Duration) -> FinalAnswer {
         FinalAnswer::NotRun(NotRunProof { reason, retry_after })
@@ -197,11 +192,6 @@
         Self { call, begun_before: true }
     }
 
-    /// The call.
-    pub fn call(&self) -> &Arc<CallerCall> {
-        &self.call
-    }
-
     /// The attempt under way was not started, as the evidence shows.
     pub fn not_started(self, _evidence: NotStartedEvidence) -> CallStage {
         if self.begun_before {
@@ -223,14 +213,6 @@
 }
 
 impl CallStage {
-    /// The call.
-    pub fn call(&self) -> &Arc<CallerCall> {
-        match self {
-            Self::Undispatched(call) => call.call(),
-            Self::Dispatched(call) => call.call(),
-        }
-    }
-
     /// Begins the next attempt.
     pub fn begin(self) -> DispatchedCall {
         match self {
--- a/src/native/request/store.rs
+++ b/src/native/request/store.rs
@@ -284,15 +284,10 @@
     }
 
     /// Number of records.
-    pub fn len(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there are no records.
-    pub fn is_empty(&self) -> bool {
-        self.records.is_empty()
-    }
-
     /// Bytes that the records take, roughly.
     pub fn bytes(&self) -> usize {
         self.bytes
--- a/src/native/request/tickets.rs
+++ b/src/native/request/tickets.rs
@@ -167,15 +167,10 @@
     }
 
     /// Number of remembered tickets.
-    pub fn len(&self) -> usize {
+    pub fn ticket_count(&self) -> usize {
         self.held.len()
     }
 
-    /// Whether no ticket is remembered.
-    pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
-    }
-
     fn forget_old(&mut self, now: Instant) {
         loop {
             let crowded = self.held.len() > LEDGER_LIMIT;
@@ -288,14 +283,9 @@
     }
 
     /// Number of remembered tickets.
-    pub fn len(&self) -> usize {
+    pub fn ticket_count(&self) -> usize {
         self.holders.values().map(|holder| holder.tickets.len()).sum()
     }
-
-    /// Whether no ticket is remembered.
-    pub fn is_empty(&self) -> bool {
-        self.len() == 0
-    }
 }
 
 impl WitnessedHolder {
--- a/src/native/serve/store_service.rs
+++ b/src/native/serve/store_service.rs
@@ -165,7 +165,7 @@
             let _ = reply.send(store.running());
         }
         RequestMessage::Gauge { reply } => {
-            let _ = reply.send(StoreGauge { records: store.len(), bytes: store.bytes() });
+            let _ = reply.send(StoreGauge { records: store.record_count(), bytes: store.bytes() });
         }
     }
 }
--- a/src/native/serve/ticket_service.rs
+++ b/src/native/serve/ticket_service.rs
@@ -132,7 +132,7 @@
                 self.witnessed.settle(ticket, settled, now);
             }
             TicketMessage::Gauge { reply } => {
-                let _ = reply.send((self.held.len(), self.witnessed.len()));
+                let _ = reply.send((self.held.ticket_count(), self.witnessed.ticket_count()));
             }
         }
     }
--- a/tests/native/decisions.rs
+++ b/tests/native/decisions.rs
@@ -156,7 +156,7 @@
         let mut cache = PrefixCache::new(64);
         for chain in chains {
             cache.insert(&chain);
-            prop_assert!(cache.len() <= 64);
+            prop_assert!(cache.block_count() <= 64);
             prop_assert_eq!(cache.overlap(&chain[chain.len() - 1..]), 1);
         }
     }
--- a/tests/native/request_model.rs
+++ b/tests/native/request_model.rs
@@ -121,9 +121,9 @@
     }
     store.expire(now);
     expect_that!(store.bytes(), le(2_000));
-    expect_that!(store.len(), gt(0));
+    expect_that!(store.record_count(), gt(0));
     store.expire(now + Duration::from_secs(61));
-    expect_that!(store.len(), eq(0));
+    expect_that!(store.record_count(), eq(0));
     expect_that!(store.bytes(), eq(0));
 }
 
@@ -317,7 +317,7 @@
         }
         store.expire(now + Duration::from_secs(61));
         prop_assert_eq!(store.bytes(), 0);
-        prop_assert_eq!(store.len(), 0);
+        prop_assert_eq!(store.record_count(), 0);
     }
 
     /// No input makes the ticket decoder panic, and what it takes it writes back.
