--- a/src/native/cluster/core.rs
+++ b/src/native/cluster/core.rs
@@ -26,9 +26,9 @@
     native::decide::subset::daemon_position,
 };
 
-/// Ring successors that a daemon probes and sends news to.
+/// Ring successors that a daemon probes and sends new items to.
 const SUCCESSORS: usize = 3;
-/// Far daemons that it sends news to.
+/// Far daemons that it sends new items to.
 const FAR_LINKS: usize = 3;
 /// Time between probes of one neighbour.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
 /// A tick this late means that this process was paused.
 const PAUSE: Duration = Duration::from_millis(800);
 /// How long probes' failures are distrusted after a pause.
-const DISTRUST: Duration = Duration::from_secs(2);
+const PROBES_IGNORED: Duration = Duration::from_secs(2);
 /// How long removed members, gone VMs and old notices are remembered.
 const TOMBSTONE_KEEP: Duration = Duration::from_secs(6 * 3_600);
 /// Time between looks for stale items.
@@ -73,7 +73,7 @@
     recall_at: Instant,
     forget_at: Instant,
     last_tick: Instant,
-    distrust_until: Instant,
+    ignore_probes_until: Instant,
     counters: ClusterCounters,
     rng: SmallRng,
 }
@@ -97,7 +97,7 @@
             recall_at: now + RECALL_EVERY,
             forget_at: now + FORGET_EVERY,
             last_tick: now,
-            distrust_until: now,
+            ignore_probes_until: now,
             counters: ClusterCounters::default(),
             rng,
         };
@@ -181,7 +181,7 @@
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
         if now.saturating_duration_since(self.last_tick) > PAUSE {
-            self.distrust_until = now + DISTRUST;
+            self.ignore_probes_until = now + PROBES_IGNORED;
         }
         self.last_tick = now;
         self.greet_seeds(now, actions);
@@ -257,7 +257,7 @@
         now: Instant,
         actions: &mut Vec<ClusterAction>,
     ) {
-        if now < self.distrust_until {
+        if now < self.ignore_probes_until {
             return;
         }
         let Some(target) = self.target(incarnation) else { return };
@@ -286,7 +286,7 @@
         now: Instant,
         actions: &mut Vec<ClusterAction>,
     ) {
-        if now < self.distrust_until {
+        if now < self.ignore_probes_until {
             return;
         }
         if refused {
@@ -302,7 +302,7 @@
 
     /// Monitors remove the suspects among their neighbours once their time is over.
     fn remove_suspects(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
-        if now < self.distrust_until {
+        if now < self.ignore_probes_until {
             return;
         }
         for incarnation in self.neighbours() {
--- a/src/native/cluster/events.rs
+++ b/src/native/cluster/events.rs
@@ -8,7 +8,7 @@
 pub struct PeerTarget {
     /// Expected incarnation; an address that answers with another one is an error.
     pub incarnation: IncarnationId,
-    /// Where its gate listens.
+    /// Address of its peer listener.
     pub address: SharedName,
 }
 
--- a/src/native/cluster/members.rs
+++ b/src/native/cluster/members.rs
@@ -30,7 +30,7 @@
 /// Value of a member item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Where its gate listens.
+    /// Address of its peer listener.
     pub address: SharedName,
     /// Its availability zone.
     pub zone: SharedName,
--- a/src/native/daemon.rs
+++ b/src/native/daemon.rs
@@ -27,7 +27,7 @@
     peer::{self, LocalIdentity, client::PeerPool},
     request::store::{RequestHolder, RequestStore},
     serve::{
-        admin, caller_edge,
+        admin, client_listener,
         context::ServeContext,
         copies,
         limit_service::{self, LimitViews},
@@ -48,18 +48,18 @@
 
 /// Bytes of request records and copies that one daemon keeps.
 const RECORD_BYTES_LIMIT: usize = 64 * 1024 * 1024;
-/// Name of the gate's service.
-const GATE: &str = "gate";
+/// Name of the peer listener's service.
+const PEER_LISTENER: &str = "peer-listener";
 /// Name of the service that takes the daemon down.
 const LEAVER: &str = "leaver";
-/// Time that news of leaving get to reach the peers before the daemon ends.
-const FAREWELL: Duration = Duration::from_millis(500);
+/// Time for the announcement of leaving to reach the peers before the daemon ends.
+const LEAVE_SPREAD_TIME: Duration = Duration::from_millis(500);
 /// Part of a notice kept free for handing off.
 const HANDOFF_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Listeners of one daemon.
 struct DaemonListeners {
-    callers: TcpListener,
+    clients: TcpListener,
     admin: TcpListener,
     peers: TcpListener,
 }
@@ -84,7 +84,7 @@
 /// Runs a daemon until it stops. Must run inside a `tokio::task::LocalSet`.
 pub async fn run(settings: DaemonSettings) -> Result<KernelExit, StepError> {
     let listeners = DaemonListeners {
-        callers: server::bind(settings.caller_address).await?,
+        clients: server::bind(settings.caller_address).await?,
         admin: server::bind(settings.admin_address).await?,
         peers: server::bind(settings.peer_address).await?,
     };
@@ -145,7 +145,7 @@
         metrics: MetricsHandle::default(),
         timeline: TimelineHandle::new(address),
         active: OpenCount::default(),
-        callers: OpenCount::default(),
+        clients: OpenCount::default(),
         mirrors: RefCell::new(HashSet::new()),
         attempts: Cell::new(0),
         budgets: RefCell::new(HashMap::new()),
@@ -194,11 +194,11 @@
         context.pool.clone(),
     );
     kernel.start(limit_service::NAME, limits);
-    kernel.start(GATE, peer::server::serve(listeners.peers, context.clone()));
+    kernel.start(PEER_LISTENER, peer::server::serve(listeners.peers, context.clone()));
     kernel.start(platform_watch::NAME, platform_watch::run(context.clone()));
     kernel.start(planner::NAME, planner::run(context.clone()));
     kernel.start(admin::NAME, admin::run(listeners.admin, context.clone()));
-    kernel.start(caller_edge::NAME, caller_edge::run(listeners.callers, context.clone()));
+    kernel.start(client_listener::NAME, client_listener::run(listeners.clients, context.clone()));
     kernel.start(LEAVER, leave_when_told(context.clone(), own_notice));
 }
 
@@ -264,7 +264,7 @@
         }
     };
     hand_off(&context, deadline).await;
-    sleep(FAREWELL).await;
+    sleep(LEAVE_SPREAD_TIME).await;
     context.note_subject(EventKind::Phase, address, "stopping");
     context.kernel.enter(LifePhase::Stopping);
 }
@@ -291,13 +291,13 @@
 
 async fn wait_until_idle(context: &Rc<ServeContext>, deadline: Instant) {
     const LOOK_EVERY: Duration = Duration::from_millis(20);
-    let busy = || context.active.get() > 0 || context.callers.get() > 0;
+    let busy = || context.active.get() > 0 || context.clients.get() > 0;
     while busy() && Instant::now() < deadline {
         sleep(LOOK_EVERY).await;
     }
 }
 
-/// Brings the copies of what still runs up to date. Callers whose connections close
+/// Brings the copies of what still runs up to date. Clients whose connections close
 /// then ask any other daemon, which takes over from a copy.
 async fn hand_off(context: &Rc<ServeContext>, deadline: Instant) {
     let running = context
@@ -315,6 +315,6 @@
     let own = context.identity.incarnation;
     let partners = context.partner_targets(own, context.settings.copies);
     let offers = partners.iter().map(|partner| context.pool.append(partner, &running));
-    let limit = deadline.saturating_duration_since(Instant::now()).max(FAREWELL);
+    let limit = deadline.saturating_duration_since(Instant::now()).max(LEAVE_SPREAD_TIME);
     let _ = tokio::time::timeout(limit, futures::future::join_all(offers)).await;
 }
--- a/src/native/decide/limits.rs
+++ b/src/native/decide/limits.rs
@@ -20,8 +20,8 @@
 const QUIET: f64 = 0.01;
 /// How far over the mean demand for its weight an account is taken to be over its share.
 const OVER_SHARE: f64 = 1.2;
-/// Longest and shortest time told to a refused caller.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(30));
+/// Longest and shortest time told to a refused client.
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(30));
 
 #[derive(Debug)]
 struct AccountBucket {
@@ -113,13 +113,13 @@
         }
         let missing = needed - bucket.level;
         let wait = if bucket.rate > 0.0 { missing / bucket.rate } else { f64::INFINITY };
-        let longest = COME_BACK.1.as_secs_f64();
+        let longest = RETRY_AFTER.1.as_secs_f64();
         let wait = Duration::from_secs_f64(wait.min(longest));
-        LimitVerdict::Refused(wait.max(COME_BACK.0))
+        LimitVerdict::Refused(wait.max(RETRY_AFTER.0))
     }
 
     /// Priority by this daemon's own view of demand: it is fresh, where the averages over
-    /// all daemons are seconds old, and callers come to daemons at random.
+    /// all daemons are seconds old, and clients come to daemons at random.
     fn priority(&self, account: &SharedName, now: Instant) -> RequestPriority {
         let Some(own) = self.accounts.get(account) else { return RequestPriority::Normal };
         let (mut demand, mut weight) = (0.0, 0.0);
--- a/src/native/decide/reclaim.rs
+++ b/src/native/decide/reclaim.rs
@@ -41,7 +41,7 @@
 /// Way chosen for a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReclaimWay {
-    /// Stay until the answer is complete.
+    /// Stay until the response is complete.
     Finish,
     /// Move the KV cache, then go on there.
     Move,
--- a/src/native/decide/retries.rs
+++ b/src/native/decide/retries.rs
@@ -19,17 +19,17 @@
 
 /// Budget of one service.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryBudget {
+pub struct RetryBucket {
     level: f64,
 }
 
-impl Default for RetryBudget {
+impl Default for RetryBucket {
     fn default() -> Self {
         Self { level: RETRY_RESERVE }
     }
 }
 
-impl RetryBudget {
+impl RetryBucket {
     /// A first attempt was made.
     pub fn earn(&mut self) {
         self.level = (self.level + RETRY_SHARE).min(RETRY_RESERVE);
--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -35,7 +35,7 @@
 /// well before it is ejected.
 const FAILURE_MS: f64 = 400.0;
 /// Time between probes of a service's ejected endpoints by one daemon: each probe is a
-/// caller's request that will probably fail.
+/// client's request that will probably fail.
 const PROBE_EVERY: Duration = Duration::from_millis(500);
 /// Share of its own requests that a daemon keeps to, from one report to the next, while
 /// an endpoint has more than it should.
--- a/src/native/peer/calls.rs
+++ b/src/native/peer/calls.rs
@@ -16,9 +16,9 @@
             items::{ItemKey, SpreadItem},
         },
         request::{
-            call::CallerCall,
+            call::ClientCall,
             store::RequestCopy,
-            tickets::{ConsentVerdict, SealVerdict, SettledAnswer, TicketId},
+            tickets::{ConsentVerdict, SealVerdict, SettledResponse, TicketId},
         },
     },
 };
@@ -169,9 +169,9 @@
         &self,
         target: &PeerTarget,
         ticket: TicketId,
-        call: &CallerCall,
+        call: &ClientCall,
         limit: Duration,
-    ) -> Result<SettledAnswer, StepError> {
+    ) -> Result<SettledResponse, StepError> {
         let call = codec::to_json(call);
         self.call("run at holder", target, limit, |client| async move {
             let mut request = client.run_once_request();
@@ -226,7 +226,7 @@
         &self,
         target: &PeerTarget,
         ticket: TicketId,
-        settled: &SettledAnswer,
+        settled: &SettledResponse,
     ) -> Result<(), StepError> {
         let settled = codec::to_json(settled);
         self.call("settle ticket", target, CALL_LIMIT, |client| async move {
--- a/src/native/peer/codec.rs
+++ b/src/native/peer/codec.rs
@@ -168,7 +168,7 @@
         call: None,
         first_token: copy.get_first_token() as usize,
         tokens: tokens.iter().map(read_token).collect::<Result<_, _>>()?,
-        answer: read_json(copy.get_final()?, "final answer")?,
+        response: read_json(copy.get_final()?, "final answer")?,
     })
 }
 
@@ -185,8 +185,8 @@
             builder.set_digest(digest);
         }
     }
-    if let Some(answer) = &copy.answer {
-        builder.set_final(&to_json(answer));
+    if let Some(response) = &copy.response {
+        builder.set_final(&to_json(response));
     }
     let mut tokens = builder.init_tokens(copy.tokens.len() as u32);
     for (index, token) in copy.tokens.iter().enumerate() {
--- a/src/native/peer/server.rs
+++ b/src/native/peer/server.rs
@@ -21,7 +21,7 @@
             service::ClusterMessage,
         },
         request::{
-            call::CallerCall,
+            call::ClientCall,
             store::OfferVerdict,
             tickets::{SealVerdict, TicketId},
         },
@@ -237,7 +237,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let ticket = read_ticket(params.get_ticket()?)?;
-        let call: Option<CallerCall> = codec::read_json(params.get_call()?, "call")?;
+        let call: Option<ClientCall> = codec::read_json(params.get_call()?, "call")?;
         let call = call.ok_or_else(|| Error::failed("no call".into()))?;
         let settled = once::run_as_holder(&self.context, ticket, Arc::new(call)).await;
         results.get().set_settled(&codec::to_json(&settled));
--- a/src/native/request/call.rs
+++ b/src/native/request/call.rs
@@ -1,4 +1,4 @@
-//! A caller's call after its checks: what peers copy and what endpoints are sent.
+//! A client's call after its checks: what peers copy and what endpoints are sent.
 
 use std::sync::Arc;
 
@@ -22,11 +22,11 @@
 pub struct CompletionCall {
     /// Prompt; chat messages are joined into one.
     pub prompt: Arc<str>,
-    /// Tokens of the answer.
+    /// Tokens of the response.
     pub max_tokens: u32,
     /// Seed of the sampling: a resumed answer goes on alike.
     pub seed: u64,
-    /// Whether the caller spoke the chat form.
+    /// Whether the client spoke the chat form.
     pub chat: bool,
 }
 
@@ -43,7 +43,7 @@
 
 /// A checked call of one client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallerCall {
+pub struct ClientCall {
     /// Client account.
     pub account: SharedName,
     /// Service that is to answer.
@@ -56,7 +56,7 @@
     pub traceparent: Option<SharedName>,
 }
 
-impl CallerCall {
+impl ClientCall {
     /// SHA-256 over everything that makes two calls the same.
     pub fn digest(&self) -> [u8; 32] {
         let same = (&self.account, &self.service, &self.content);
--- a/src/native/request/outcome.rs
+++ b/src/native/request/outcome.rs
@@ -9,7 +9,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::call::CallerCall;
+use super::call::ClientCall;
 use crate::{
     errors::{FailureCause, StepError},
     native::headers,
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnknownReason {
-    /// The endpoint's answer did not arrive.
+    /// The endpoint's response did not arrive.
     #[display("the endpoint's answer did not arrive")]
     AnswerLost,
     /// The daemon that dispatched it is gone.
@@ -82,15 +82,15 @@
         self.reason
     }
 
-    /// When the caller may come back.
+    /// When the client may come back.
     pub fn retry_after(&self) -> Duration {
         self.retry_after
     }
 }
 
-/// A plain endpoint's answer.
+/// A plain endpoint's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -102,19 +102,19 @@
 /// The one final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FinalAnswer {
-    /// All tokens of the answer have been produced.
+pub enum FinalResponse {
+    /// All tokens of the response have been produced.
     Streamed,
     /// A plain endpoint answered.
-    Plain(PlainAnswer),
+    Plain(PlainResponse),
     /// It did not run.
     NotRun(NotRunProof),
     /// It may have run.
     Unknown(UnknownReason),
 }
 
-impl FinalAnswer {
-    /// Whether the endpoint's own answer is there.
+impl FinalResponse {
+    /// Whether the endpoint's own response is there.
     pub fn is_answered(&self) -> bool {
         matches!(self, Self::Streamed | Self::Plain(_))
     }
@@ -139,9 +139,9 @@
         matches!(error.cause, FailureCause::Unreachable(_)).then_some(Self(()))
     }
 
-    /// Evidence in an answer: the endpoint says that it refused before starting.
-    pub fn from_headers(answer: &hyper::HeaderMap) -> Option<Self> {
-        let marked = answer.get(headers::NOT_STARTED).is_some_and(|value| value == "true");
+    /// Evidence in a response: the endpoint says that it refused before starting.
+    pub fn from_headers(response: &hyper::HeaderMap) -> Option<Self> {
+        let marked = response.get(headers::NOT_STARTED).is_some_and(|value| value == "true");
         marked.then_some(Self(()))
     }
 }
@@ -149,19 +149,19 @@
 /// A call for which no dispatch has begun. Not `Clone`: the right is unique.
 #[derive(Debug)]
 pub struct UndispatchedCall {
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 }
 
 impl UndispatchedCall {
     /// A call that was just accepted, or one that this process took over together
     /// with the knowledge that nothing was dispatched.
-    pub fn new(call: Arc<CallerCall>) -> Self {
+    pub fn new(call: Arc<ClientCall>) -> Self {
         Self { call }
     }
 
     /// Ends it as "not run".
-    pub fn refuse(self, reason: NotRunReason, retry_after: Duration) -> FinalAnswer {
-        FinalAnswer::NotRun(NotRunProof { reason, retry_after })
+    pub fn refuse(self, reason: NotRunReason, retry_after: Duration) -> FinalResponse {
+        FinalResponse::NotRun(NotRunProof { reason, retry_after })
     }
 
     /// Begins the first attempt; from here on "not run" needs evidence.
@@ -173,7 +173,7 @@
 /// A call with an attempt under way.
 #[derive(Debug)]
 pub struct DispatchedCall {
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
     begun_before: bool,
 }
 
@@ -188,7 +188,7 @@
 
 impl DispatchedCall {
     /// A call that another process may have dispatched already.
-    pub fn taken_over(call: Arc<CallerCall>) -> Self {
+    pub fn taken_over(call: Arc<ClientCall>) -> Self {
         Self { call, begun_before: true }
     }
 
@@ -207,8 +207,8 @@
     }
 
     /// Ends it as "unknown".
-    pub fn give_up(self, reason: UnknownReason) -> FinalAnswer {
-        FinalAnswer::Unknown(reason)
+    pub fn give_up(self, reason: UnknownReason) -> FinalResponse {
+        FinalResponse::Unknown(reason)
     }
 }
 
@@ -227,7 +227,7 @@
         reason: NotRunReason,
         retry_after: Duration,
         unknown: UnknownReason,
-    ) -> FinalAnswer {
+    ) -> FinalResponse {
         match self {
             Self::Undispatched(call) => call.refuse(reason, retry_after),
             Self::Dispatched(call) => call.give_up(unknown),
--- a/src/native/request/answer_log.rs
+++ b/src/native/request/response_log.rs
@@ -5,8 +5,8 @@
 use tokio::sync::watch;
 
 use super::{
-    outcome::FinalAnswer,
-    store::{AnswerToken, RequestCopy, RequestHolder},
+    outcome::FinalResponse,
+    store::{RequestCopy, RequestHolder, ResponseToken},
 };
 use crate::ids::RequestName;
 
@@ -21,7 +21,7 @@
     pub term: u32,
 }
 
-/// Tokens of an answer, in one text: a shared string for each took five times the memory.
+/// Tokens of a response, in one text: a shared string for each took five times the memory.
 #[derive(Debug, Default)]
 pub(super) struct TokenText {
     text: String,
@@ -50,12 +50,12 @@
         }
     }
 
-    fn from(&self, first: usize) -> Vec<AnswerToken> {
+    fn from(&self, first: usize) -> Vec<ResponseToken> {
         let mut start = self.start_of(first);
         let tokens = self.ends[first..].iter().map(|end| {
             let token = &self.text[start..*end as usize];
             start = *end as usize;
-            AnswerToken::from(token)
+            ResponseToken::from(token)
         });
         tokens.collect()
     }
@@ -63,15 +63,15 @@
 
 /// What grows while a request runs.
 #[derive(Debug)]
-pub(super) struct AnswerLog {
+pub(super) struct ResponseLog {
     pub(super) digest: [u8; 32],
     pub(super) term: u32,
     pub(super) holder: RequestHolder,
     pub(super) tokens: TokenText,
-    pub(super) answer: Option<Arc<FinalAnswer>>,
+    pub(super) response: Option<Arc<FinalResponse>>,
 }
 
-impl AnswerLog {
+impl ResponseLog {
     pub(super) fn copy_from(&self, name: &RequestName, first_token: usize) -> RequestCopy {
         let first_token = first_token.min(self.tokens.len());
         RequestCopy {
@@ -82,26 +82,26 @@
             call: None,
             first_token,
             tokens: self.tokens.from(first_token),
-            answer: self.answer.clone(),
+            response: self.response.clone(),
         }
     }
 
     pub(super) fn progress(&self) -> RequestProgress {
-        let ended = self.answer.is_some();
+        let ended = self.response.is_some();
         RequestProgress { tokens: self.tokens.len(), ended, term: self.term }
     }
 }
 
-/// Reading end of a request's state, for tasks of the same thread: following an answer
+/// Reading end of a request's state, for tasks of the same thread: following a response
 /// token by token through the store's mailbox would cost two task switches a token.
 #[derive(Debug)]
-pub struct AnswerView {
+pub struct ResponseView {
     pub(super) name: RequestName,
-    pub(super) log: Rc<RefCell<AnswerLog>>,
+    pub(super) log: Rc<RefCell<ResponseLog>>,
     pub(super) progress: watch::Receiver<RequestProgress>,
 }
 
-impl AnswerView {
+impl ResponseView {
     /// How far the request has come.
     pub fn progress(&self) -> RequestProgress {
         self.log.borrow().progress()
--- a/src/native/request/store.rs
+++ b/src/native/request/store.rs
@@ -2,7 +2,7 @@
 //!
 //! A record's `term` counts take-overs. Updates of a lower term are dropped, so a
 //! holder that was paused over its replacement learns that it is superseded, and
-//! nothing that it sends changes what callers are given.
+//! nothing that it sends changes what clients are given.
 
 use std::{
     cell::RefCell,
@@ -15,14 +15,14 @@
 use tokio::{sync::watch, time::Instant};
 
 use super::{
-    answer_log::{AnswerLog, AnswerView, RequestProgress, TokenText},
-    call::CallerCall,
-    outcome::FinalAnswer,
+    call::ClientCall,
+    outcome::FinalResponse,
+    response_log::{RequestProgress, ResponseLog, ResponseView, TokenText},
 };
 use crate::ids::{IncarnationId, RequestName, SharedName};
 
-/// Token of an answer.
-pub type AnswerToken = Arc<str>;
+/// Token of a response.
+pub type ResponseToken = Arc<str>;
 
 /// Bookkeeping bytes of a record, beside its texts.
 const RECORD_BYTES: usize = 400;
@@ -36,7 +36,7 @@
     pub address: SharedName,
 }
 
-/// State of one request, or the news of it since an earlier state.
+/// State of one request, or an update: what is new since an earlier state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestCopy {
     /// Its name.
@@ -45,29 +45,29 @@
     pub term: u32,
     /// Who runs it.
     pub holder: RequestHolder,
-    /// Digest of the call; news have none.
+    /// Digest of the call; updates have none.
     pub digest: Option<[u8; 32]>,
     /// The call, where it is known. Peers are not sent it: whoever takes a request over
-    /// does so for a caller, who brings it.
-    pub call: Option<Arc<CallerCall>>,
-    /// Index in the answer of the first of `tokens`.
+    /// does so for a client, who brings it.
+    pub call: Option<Arc<ClientCall>>,
+    /// Index in the response of the first of `tokens`.
     pub first_token: usize,
     /// Tokens from `first_token` on.
-    pub tokens: Vec<AnswerToken>,
+    pub tokens: Vec<ResponseToken>,
     /// Final outcome, if it has ended.
-    pub answer: Option<Arc<FinalAnswer>>,
+    pub response: Option<Arc<FinalResponse>>,
 }
 
 #[derive(Debug)]
 struct StoredRequest {
-    call: Option<Arc<CallerCall>>,
-    log: Rc<RefCell<AnswerLog>>,
+    call: Option<Arc<ClientCall>>,
+    log: Rc<RefCell<ResponseLog>>,
     progress: watch::Sender<RequestProgress>,
     expires_at: Instant,
     bytes: usize,
 }
 
-/// What a daemon finds when a caller names a request.
+/// What a daemon finds when a client names a request.
 #[derive(Clone, Debug)]
 pub enum ClaimVerdict {
     /// Unknown so far: it now exists here, held by this daemon.
@@ -107,11 +107,11 @@
         Self { own, keep, byte_limit, records: HashMap::new(), expiry: BTreeSet::new(), bytes: 0 }
     }
 
-    /// Claims `name` for a caller that asks for `call`.
+    /// Claims `name` for a client that asks for `call`.
     pub fn claim(
         &mut self,
         name: &RequestName,
-        call: &Arc<CallerCall>,
+        call: &Arc<ClientCall>,
         now: Instant,
     ) -> ClaimVerdict {
         let digest = call.digest();
@@ -137,7 +137,7 @@
         record.change(|log| {
             log.term += 1;
             log.holder = own;
-            log.answer = None;
+            log.response = None;
         });
         let copy = record.copy_from(name, 0);
         self.touch(name, now);
@@ -146,7 +146,7 @@
 
     /// Adds a token to a request that this daemon holds under `term`. `false` if it
     /// was superseded meanwhile.
-    pub fn append(&mut self, name: &RequestName, term: u32, token: AnswerToken) -> bool {
+    pub fn append(&mut self, name: &RequestName, term: u32, token: ResponseToken) -> bool {
         let Some(record) = self.records.get_mut(name) else { return false };
         if !record.is_running_under(&self.own, term) {
             return false;
@@ -163,19 +163,19 @@
         &mut self,
         name: &RequestName,
         term: u32,
-        answer: Arc<FinalAnswer>,
+        response: Arc<FinalResponse>,
         now: Instant,
     ) -> bool {
         let Some(record) = self.records.get_mut(name) else { return false };
         if !record.is_running_under(&self.own, term) {
             return false;
         }
-        record.change(|log| log.answer = Some(answer));
+        record.change(|log| log.response = Some(response));
         self.touch(name, now);
         true
     }
 
-    /// Takes a peer's copy, whole or news, unless a state that goes before is known.
+    /// Takes a peer's copy, whole or an update, unless a state with precedence is known.
     pub fn offer(&mut self, copy: RequestCopy, now: Instant) -> OfferVerdict {
         let name = copy.name.clone();
         let Some(record) = self.records.get(&name) else { return self.offer_unknown(copy, now) };
@@ -196,7 +196,7 @@
 
     fn offer_unknown(&mut self, copy: RequestCopy, now: Instant) -> OfferVerdict {
         let Some(digest) = copy.digest.filter(|_| copy.first_token == 0) else {
-            // NOTE: news of a request that expired here; without its beginning there is
+            // An update of a request that expired here: without its beginning there is
             // nothing to keep. The sender offers it whole again.
             return OfferVerdict::Known(RequestCopy { tokens: Vec::new(), ..copy });
         };
@@ -210,9 +210,9 @@
         let mut added = 0;
         record.change(|log| {
             if copy.term > log.term {
-                // NOTE: a new holder may know fewer tokens; its own are the answer from here.
+                // NOTE: a new holder may know fewer tokens; its own are the response from here.
                 log.tokens.truncate(copy.first_token);
-                log.answer = None;
+                log.response = None;
             }
             log.term = copy.term;
             if log.holder.incarnation != copy.holder.incarnation {
@@ -223,8 +223,8 @@
                 added += token_bytes(&token);
                 log.tokens.push(&token);
             }
-            if copy.answer.is_some() {
-                log.answer = copy.answer;
+            if copy.response.is_some() {
+                log.response = copy.response;
             }
         });
         record.bytes += added;
@@ -238,13 +238,13 @@
     }
 
     /// Reading end of a request's state.
-    pub fn view(&self, name: &RequestName) -> Option<AnswerView> {
+    pub fn view(&self, name: &RequestName) -> Option<ResponseView> {
         let record = self.records.get(name)?;
         let progress = record.progress.subscribe();
-        Some(AnswerView { name: name.clone(), log: record.log.clone(), progress })
+        Some(ResponseView { name: name.clone(), log: record.log.clone(), progress })
     }
 
-    /// Number of callers and peers that wait on a request.
+    /// Number of clients and peers that wait on a request.
     pub fn watchers(&self, name: &RequestName) -> usize {
         self.records.get(name).map_or(0, |record| record.progress.receiver_count())
     }
@@ -296,7 +296,7 @@
     fn insert(
         &mut self,
         name: &RequestName,
-        call: Option<Arc<CallerCall>>,
+        call: Option<Arc<ClientCall>>,
         digest: [u8; 32],
         term: u32,
         holder: RequestHolder,
@@ -304,7 +304,8 @@
     ) {
         let bytes = RECORD_BYTES + call.as_deref().map_or(0, content_bytes);
         let expires_at = now + self.keep;
-        let log = AnswerLog { digest, term, holder, tokens: TokenText::default(), answer: None };
+        let log =
+            ResponseLog { digest, term, holder, tokens: TokenText::default(), response: None };
         let record = StoredRequest {
             call,
             progress: watch::Sender::new(log.progress()),
@@ -326,10 +327,10 @@
 }
 
 impl StoredRequest {
-    /// Whether the endpoint's answer is complete; other ends may be followed by another
+    /// Whether the endpoint's response is complete; other ends may be followed by another
     /// try, since only requests that may be repeated are stored.
     fn is_answered(&self) -> bool {
-        self.log.borrow().answer.as_ref().is_some_and(|answer| answer.is_answered())
+        self.log.borrow().response.as_ref().is_some_and(|response| response.is_answered())
     }
 
     fn digest(&self) -> [u8; 32] {
@@ -338,7 +339,7 @@
 
     fn is_running_at(&self, holder: &RequestHolder) -> bool {
         let log = self.log.borrow();
-        log.answer.is_none() && log.holder == *holder
+        log.response.is_none() && log.holder == *holder
     }
 
     fn is_running_under(&self, holder: &RequestHolder, term: u32) -> bool {
@@ -351,17 +352,17 @@
     }
 
     /// Changes the state and tells those who wait on it.
-    fn change(&self, change: impl FnOnce(&mut AnswerLog)) {
+    fn change(&self, change: impl FnOnce(&mut ResponseLog)) {
         change(&mut self.log.borrow_mut());
         self.progress.send_replace(self.log.borrow().progress());
     }
 }
 
-fn token_bytes(token: &AnswerToken) -> usize {
+fn token_bytes(token: &ResponseToken) -> usize {
     token.len() + size_of::<u32>()
 }
 
-fn content_bytes(call: &CallerCall) -> usize {
+fn content_bytes(call: &ClientCall) -> usize {
     match &call.content {
         super::call::CallContent::Completion(completion) => completion.prompt.len(),
         super::call::CallContent::Plain(plain) => plain.path.len() + plain.body.len(),
--- a/src/native/request/tickets.rs
+++ b/src/native/request/tickets.rs
@@ -16,7 +16,7 @@
 use derive_more::{Display, Error};
 use tokio::time::Instant;
 
-use super::outcome::FinalAnswer;
+use super::outcome::FinalResponse;
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{IncarnationId, hash_parts};
@@ -76,7 +76,7 @@
 enum HeldState {
     Issued,
     Begun { digest: [u8; 32] },
-    Ended { digest: Option<[u8; 32]>, answer: FinalAnswer },
+    Ended { digest: Option<[u8; 32]>, response: FinalResponse },
 }
 
 /// Answer to a holder's attempt to use a ticket.
@@ -87,7 +87,7 @@
     /// The request is under way here.
     InProgress,
     /// It has ended.
-    Ended(FinalAnswer),
+    Ended(FinalResponse),
     /// The ticket was used for a different request.
     KeyReused,
     /// The record was dropped, or the ticket was never issued here.
@@ -142,26 +142,26 @@
             HeldState::Ended { digest: Some(other), .. } if *other != digest => {
                 TicketUse::KeyReused
             }
-            HeldState::Ended { answer, .. } => TicketUse::Ended(answer.clone()),
+            HeldState::Ended { response, .. } => TicketUse::Ended(response.clone()),
         }
     }
 
-    /// Ends a ticket; its answer is given to whoever asks again.
-    pub fn end(&mut self, ticket: TicketId, answer: FinalAnswer) {
+    /// Ends a ticket; its response is given to whoever asks again.
+    pub fn end(&mut self, ticket: TicketId, response: FinalResponse) {
         if let Some(HeldTicket { state, .. }) = self.held.get_mut(&ticket.sequence) {
             let digest = match state {
                 HeldState::Begun { digest } => Some(*digest),
                 HeldState::Ended { .. } => return,
                 HeldState::Issued => None,
             };
-            *state = HeldState::Ended { digest, answer };
+            *state = HeldState::Ended { digest, response };
         }
     }
 
-    /// Final answer of a ticket that has ended.
-    pub fn ended(&self, ticket: TicketId) -> Option<FinalAnswer> {
+    /// Final response of a ticket that has ended.
+    pub fn ended(&self, ticket: TicketId) -> Option<FinalResponse> {
         match &self.held.get(&ticket.sequence)?.state {
-            HeldState::Ended { answer, .. } => Some(answer.clone()),
+            HeldState::Ended { response, .. } => Some(response.clone()),
             HeldState::Issued | HeldState::Begun { .. } => None,
         }
     }
@@ -173,12 +173,12 @@
 
     fn forget_old(&mut self, now: Instant) {
         loop {
-            let crowded = self.held.len() > LEDGER_LIMIT;
+            let over_limit = self.held.len() > LEDGER_LIMIT;
             let Some(entry) = self.held.first_entry() else { return };
             let held = entry.get();
             let expired = now.saturating_duration_since(held.issued_at) > TICKET_KEEP;
             let running = matches!(held.state, HeldState::Begun { .. });
-            if running || !(expired || crowded) {
+            if running || !(expired || over_limit) {
                 return;
             }
             entry.remove();
@@ -202,26 +202,27 @@
 pub enum SealVerdict {
     /// Never dispatched, and never will be.
     NotDispatched,
-    /// The holder may have dispatched; its answer has not arrived here.
+    /// The holder may have dispatched; its response has not arrived here.
     MayHaveRun,
-    /// The holder's final answer.
-    Ended(SettledAnswer),
+    /// The holder's final response.
+    Ended(SettledResponse),
 }
 
-/// Final answer as the holder reports it to the witness.
+/// Final response as the holder reports it to the witness.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SettledAnswer {
+pub struct SettledResponse {
     /// Digest of the call it answers.
     pub digest: [u8; 32],
-    /// The answer.
-    pub answer: FinalAnswer,
+    /// The response.
+    #[serde(rename = "answer")]
+    pub response: FinalResponse,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum WitnessedState {
     Granted,
     Sealed,
-    Settled(SettledAnswer),
+    Settled(SettledResponse),
 }
 
 /// What one incarnation has witnessed for others.
@@ -269,16 +270,16 @@
         match state {
             WitnessedState::Sealed => SealVerdict::NotDispatched,
             WitnessedState::Granted => SealVerdict::MayHaveRun,
-            WitnessedState::Settled(answer) => SealVerdict::Ended(answer.clone()),
+            WitnessedState::Settled(response) => SealVerdict::Ended(response.clone()),
         }
     }
 
-    /// Keeps the final answer that the holder reports.
-    pub fn settle(&mut self, ticket: TicketId, answer: SettledAnswer, now: Instant) {
+    /// Keeps the final response that the holder reports.
+    pub fn settle(&mut self, ticket: TicketId, response: SettledResponse, now: Instant) {
         let holder = self.holders.entry(ticket.holder).or_default();
         if ticket.sequence > holder.forgotten_up_to {
             let key = (ticket.sequence, ticket.scope);
-            holder.tickets.insert(key, (now, WitnessedState::Settled(answer)));
+            holder.tickets.insert(key, (now, WitnessedState::Settled(response)));
         }
     }
 
@@ -291,11 +292,11 @@
 impl WitnessedHolder {
     fn forget_old(&mut self, now: Instant) {
         loop {
-            let crowded = self.tickets.len() > LEDGER_LIMIT;
+            let over_limit = self.tickets.len() > LEDGER_LIMIT;
             let Some(entry) = self.tickets.first_entry() else { return };
             let (written_at, _) = entry.get();
             let expired = now.saturating_duration_since(*written_at) > TICKET_KEEP;
-            if !expired && !crowded {
+            if !expired && !over_limit {
                 return;
             }
             let ((sequence, _), _) = entry.remove_entry();
--- a/src/native/serve.rs
+++ b/src/native/serve.rs
@@ -1,9 +1,8 @@
-//! From a caller's request to its answer.
+//! From a client's request to its response.
 
 pub mod admin;
-pub mod answer;
 pub mod attempt;
-pub mod caller_edge;
+pub mod client_listener;
 pub mod context;
 pub mod copies;
 pub mod driver;
@@ -13,6 +12,7 @@
 pub mod planner;
 pub mod platform_watch;
 pub mod problem;
+pub mod response;
 pub mod resume;
 pub mod router;
 pub mod store_service;
--- a/src/native/serve/admin.rs
+++ b/src/native/serve/admin.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use hyper::{Method, Request, Response, StatusCode, body::Incoming, header::HeaderValue};
+use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use serde::Serialize;
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -11,6 +11,7 @@
     context::ServeContext,
     limit_service::LimitMessage,
     problem::Problem,
+    response::json_response,
     router::messages::{RouterMessage, RouterStatus},
     store_service::{RequestMessage, StoreGauge},
     ticket_service::TicketMessage,
@@ -38,7 +39,7 @@
 pub struct MemberLine {
     /// Incarnation.
     pub incarnation: IncarnationId,
-    /// Address of its gate.
+    /// Address of its peer listener.
     pub address: SharedName,
     /// Availability zone.
     pub zone: SharedName,
@@ -79,7 +80,7 @@
     let phase = stopping_only(&context);
     server::serve(listener, phase, move |request| {
         let context = context.clone();
-        async move { answer(context, request).await }
+        async move { handle(context, request).await }
     })
     .await;
 }
@@ -95,18 +96,10 @@
     receiver
 }
 
-fn json_answer(value: &impl Serialize) -> Response<ResponseBody> {
-    let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(whole_body(body));
-    let kind = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
-    response
-}
-
-async fn answer(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn handle(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/status") => json_answer(&status(&context).await),
+        (&Method::GET, "/status") => json_response(&status(&context).await),
         (&Method::GET, "/metrics") => {
             set_gauges(&context).await;
             Response::new(whole_body(context.metrics.render()))
@@ -114,11 +107,11 @@
         (&Method::GET, "/timeline") => {
             let query = request.uri().query().unwrap_or_default();
             let subject = query.strip_prefix("subject=").unwrap_or_default();
-            json_answer(&context.timeline.read(subject))
+            json_response(&context.timeline.read(subject))
         }
         (&Method::POST, "/drain") => {
             context.kernel.enter(LifePhase::Draining);
-            json_answer(&json!({ "draining": true }))
+            json_response(&json!({ "draining": true }))
         }
         (&Method::POST, "/notices") => take_notice(&context, request).await,
         _ => Problem::new(StatusCode::NOT_FOUND, "(path)", "is not served here").into_response(),
@@ -141,7 +134,7 @@
     let item = SpreadItem::new(ItemKind::Notice, notice.vm.clone(), 1, &notice);
     let event = ClusterEvent::Items(None, vec![item]);
     match context.cluster.send(ClusterMessage::Event(event)) {
-        Ok(()) => json_answer(&notice),
+        Ok(()) => json_response(&notice),
         Err(error) => Problem::new(StatusCode::SERVICE_UNAVAILABLE, "(daemon)", error.to_string())
             .into_response(),
     }
--- a/src/native/serve/attempt.rs
+++ b/src/native/serve/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an endpoint: sends the call, takes tokens or the answer, and leaves
+//! One attempt at an endpoint: sends the call, takes tokens or the response, and leaves
 //! when a notice says so.
 
 use std::{rc::Rc, sync::Arc};
@@ -20,9 +20,9 @@
         endpoint::{EngineOrder, EngineToken, STREAM_END, sse::EventDecoder},
         headers,
         request::{
-            call::{CallContent, CallerCall, CompletionCall, PlainCall},
-            outcome::{FinalAnswer, NotStartedEvidence, PlainAnswer},
-            store::AnswerToken,
+            call::{CallContent, ClientCall, CompletionCall, PlainCall},
+            outcome::{FinalResponse, NotStartedEvidence, PlainResponse},
+            store::ResponseToken,
         },
     },
 };
@@ -30,8 +30,8 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// The endpoint's answer is complete.
-    Answered(FinalAnswer),
+    /// The endpoint's response is complete.
+    Answered(FinalResponse),
     /// The endpoint did not start it.
     NotStarted(NotStartedEvidence, StepError),
     /// It failed and may have run.
@@ -51,7 +51,7 @@
     /// Term under which it runs here.
     pub term: u32,
     /// Call.
-    pub call: &'a Arc<CallerCall>,
+    pub call: &'a Arc<ClientCall>,
     /// Order in which engines take it.
     pub priority: RequestPriority,
     /// This attempt.
@@ -65,7 +65,7 @@
     pub async fn stream(
         &self,
         completion: &CompletionCall,
-        tokens: &mut Vec<AnswerToken>,
+        tokens: &mut Vec<ResponseToken>,
     ) -> AttemptEnd {
         let order = EngineOrder {
             prompt: completion.prompt.to_string(),
@@ -135,8 +135,8 @@
         Ok(response)
     }
 
-    fn is_own(&self, answer: &HeaderMap) -> bool {
-        let echoed = answer.get(headers::ATTEMPT_ID).and_then(|value| value.to_str().ok());
+    fn is_own(&self, response: &HeaderMap) -> bool {
+        let echoed = response.get(headers::ATTEMPT_ID).and_then(|value| value.to_str().ok());
         echoed == Some(&self.attempt.to_string())
     }
 
@@ -165,7 +165,7 @@
         }
         let content_type = head.headers.get(hyper::header::CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
-        AttemptEnd::Answered(FinalAnswer::Plain(PlainAnswer {
+        AttemptEnd::Answered(FinalResponse::Plain(PlainResponse {
             status,
             content_type: content_type.unwrap_or("application/octet-stream").into(),
             body: collected.to_bytes().to_vec(),
@@ -175,7 +175,7 @@
     async fn take_tokens(
         &self,
         response: Response<Incoming>,
-        tokens: &mut Vec<AnswerToken>,
+        tokens: &mut Vec<ResponseToken>,
     ) -> AttemptEnd {
         let step = "read stream";
         if !response.status().is_success() {
@@ -228,10 +228,10 @@
     }
 
     /// Takes one event of the stream; `Some` if the attempt has ended with it.
-    async fn take_event(&self, event: &str, tokens: &mut Vec<AnswerToken>) -> Option<AttemptEnd> {
+    async fn take_event(&self, event: &str, tokens: &mut Vec<ResponseToken>) -> Option<AttemptEnd> {
         let step = "read stream";
         if event == STREAM_END {
-            return Some(AttemptEnd::Answered(FinalAnswer::Streamed));
+            return Some(AttemptEnd::Answered(FinalResponse::Streamed));
         }
         let Ok(token) = serde_json::from_str::<EngineToken>(event) else {
             let cause = FailureCause::Malformed("not a token".into());
@@ -241,7 +241,7 @@
             let cause = FailureCause::Malformed(format!("token {} out of order", token.index));
             return Some(AttemptEnd::Failed(self.error(step, cause)));
         }
-        let text: AnswerToken = token.text.into();
+        let text: ResponseToken = token.text.into();
         tokens.push(text.clone());
         self.slot.produced.set(tokens.len());
         let append =
@@ -278,7 +278,7 @@
 }
 
 /// Content of a call as a completion, if it is one.
-pub fn as_completion(call: &CallerCall) -> Option<&CompletionCall> {
+pub fn as_completion(call: &ClientCall) -> Option<&CompletionCall> {
     match &call.content {
         CallContent::Completion(completion) => Some(completion),
         CallContent::Plain(_) => None,
--- a/src/native/serve/caller_edge.rs
+++ b/src/native/serve/client_listener.rs
@@ -1,4 +1,4 @@
-//! The callers' port: model-serving HTTP with server-sent events, and plain HTTP.
+//! The clients' port: model-serving HTTP with server-sent events, and plain HTTP.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,11 +12,11 @@
 };
 
 use super::{
-    answer::{AnswerReader, json_response, plain_response, vanished},
     context::ServeContext,
     once::{self, OnceOutcome},
-    parse::{self, AnswerForm, CheckedRequest},
+    parse::{self, CheckedRequest, ResponseForm},
     problem::Problem,
+    response::{ResponseReader, json_response, plain_response, vanished},
     resume::{self, ObtainedRequest},
     store_service::RequestMessage,
     timeline::EventKind,
@@ -25,29 +25,29 @@
     http::{ResponseBody, server, whole_body},
     ids::RequestName,
     kernel::SendError,
-    native::{headers, request::outcome::FinalAnswer},
+    native::{headers, request::outcome::FinalResponse},
 };
 
 /// Name of the service.
-pub const NAME: &str = "caller-edge";
-/// Longest time a caller may take to send its body.
+pub const NAME: &str = "client-listener";
+/// Longest time a client may take to send its body.
 const BODY_TIME: Duration = Duration::from_secs(30);
 /// Most tickets issued at a time.
 const TICKET_LIMIT: u64 = 100;
 
-/// Serves callers on `listener` until the daemon stops.
+/// Serves clients on `listener` until the daemon stops.
 pub async fn run(listener: TcpListener, context: Rc<ServeContext>) {
     let phase = context.kernel.phase();
     server::serve(listener, phase, move |request| {
         let context = context.clone();
-        async move { answer(context, request).await }
+        async move { handle(context, request).await }
     })
     .await;
 }
 
-async fn answer(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn handle(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
     let started_at = Instant::now();
-    let _caller = context.callers.enter();
+    let _client = context.clients.enter();
     let result = route(&context, request).await;
     let response = result.unwrap_or_else(Problem::into_response);
     context.metrics.duration("answer_head", started_at.elapsed());
@@ -87,7 +87,7 @@
     }
 }
 
-/// For the platform's balancer: whether to send callers here.
+/// For the platform's balancer: whether to send clients here.
 fn health(context: &Rc<ServeContext>) -> Response<ResponseBody> {
     let ready = !context.is_leaving() && !context.table().is_empty();
     let mut response = Response::new(whole_body(if ready { "ready\n" } else { "not ready\n" }));
@@ -212,7 +212,7 @@
 ) -> Result<Response<ResponseBody>, Problem> {
     let account = parse::account(request.headers(), &context.table())?;
     let name = RequestName::new(account.name.clone(), key);
-    context.note(EventKind::CallerLeft, &name, "cancelled by its caller");
+    context.note(EventKind::ClientLeft, &name, "cancelled by its caller");
     context.requests.send(RequestMessage::Remove { name }).map_err(overloaded)?;
     Ok(json_response(&json!({ "cancelled": key })))
 }
@@ -221,16 +221,16 @@
     context: &Rc<ServeContext>,
     checked: CheckedRequest,
 ) -> Result<Response<ResponseBody>, Problem> {
-    const CALLER_WAIT: Duration = Duration::from_secs(45);
+    const CLIENT_WAIT: Duration = Duration::from_secs(45);
     let call = std::sync::Arc::new(checked.call);
     let key = checked.key.as_deref();
-    match once::serve_within(context, key, call, CALLER_WAIT).await {
+    match once::serve_within(context, key, call, CLIENT_WAIT).await {
         OnceOutcome::KeyReused => Err(Problem::key_reused()),
         OnceOutcome::ForeignTicket => Err(Problem::foreign_ticket()),
-        OnceOutcome::Final(FinalAnswer::Plain(plain)) => Ok(plain_response(&plain)),
-        OnceOutcome::Final(answer) => {
+        OnceOutcome::Final(FinalResponse::Plain(plain)) => Ok(plain_response(&plain)),
+        OnceOutcome::Final(response) => {
             // NOTE: a request that may not be repeated is never streamed.
-            let problem = Problem::of(&answer, false);
+            let problem = Problem::of(&response, false);
             Err(problem.unwrap_or_else(|| Problem::bad_request("(path)", "cannot be streamed")))
         }
     }
@@ -245,19 +245,19 @@
     let call = std::sync::Arc::new(checked.call);
     match resume::obtain(context, &name, call).await.map_err(overloaded)? {
         ObtainedRequest::KeyReused => return Err(Problem::key_reused()),
-        ObtainedRequest::Refused(answer) => {
-            let problem = Problem::of(&answer, true);
+        ObtainedRequest::Refused(response) => {
+            let problem = Problem::of(&response, true);
             return Err(problem.unwrap_or_else(|| Problem::bad_request("(body)", "was refused")));
         }
         ObtainedRequest::Ready => {}
     }
     let view = context.requests.ask(|reply| RequestMessage::View { name: name.clone(), reply });
     let Some(view) = view.await.map_err(overloaded)? else { return Err(vanished()) };
-    let reader = AnswerReader::new(context, &name, view, checked.have_tokens, keyed);
+    let reader = ResponseReader::new(context, &name, view, checked.have_tokens, keyed);
     let response = match checked.form {
-        AnswerForm::Events { chat } => reader.events(chat).await?,
-        AnswerForm::Document { chat } => reader.document(chat).await?,
-        AnswerForm::Plain => reader.plain().await?,
+        ResponseForm::Events { chat } => reader.events(chat).await?,
+        ResponseForm::Document { chat } => reader.document(chat).await?,
+        ResponseForm::Plain => reader.plain().await?,
     };
     Ok(with_key(response, &name))
 }
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -27,7 +27,7 @@
     native::{
         cloud_api::client::PlatformClient,
         cluster::{events::PeerTarget, members::MemberList, service::ClusterMessage},
-        decide::retries::RetryBudget,
+        decide::retries::RetryBucket,
         options::{rows::TableSnapshot, settings::DaemonSettings},
         peer::{LocalIdentity, client::PeerPool},
         request::store::RequestHolder,
@@ -70,14 +70,14 @@
     pub timeline: TimelineHandle,
     /// Requests that run here.
     pub active: OpenCount,
-    /// Callers that are being answered, also with what runs elsewhere.
-    pub callers: OpenCount,
+    /// Clients that are being answered, also with what runs elsewhere.
+    pub clients: OpenCount,
     /// Requests whose state is being mirrored from their holder.
     pub mirrors: RefCell<HashSet<RequestName>>,
     /// Attempts begun so far.
     pub attempts: Cell<u64>,
     /// Retry budgets by service.
-    pub budgets: RefCell<HashMap<SharedName, RetryBudget>>,
+    pub budgets: RefCell<HashMap<SharedName, RetryBucket>>,
 }
 
 impl ServeContext {
@@ -112,7 +112,7 @@
     }
 
     /// Uses the retry budget of a service.
-    pub fn budget(&self, service: &SharedName, act: impl FnOnce(&mut RetryBudget) -> bool) -> bool {
+    pub fn budget(&self, service: &SharedName, act: impl FnOnce(&mut RetryBucket) -> bool) -> bool {
         act(self.budgets.borrow_mut().entry(service.clone()).or_default())
     }
 
@@ -125,9 +125,9 @@
 
     /// Asks the router for an endpoint.
     pub async fn pick(&self, order: PickOrder) -> PickReply {
-        const COME_BACK: Duration = Duration::from_secs(1);
+        const RETRY_AFTER: Duration = Duration::from_secs(1);
         let reply = self.router.ask(|reply| RouterMessage::Pick(Box::new(order), reply)).await;
-        reply.unwrap_or(PickReply::Busy(COME_BACK))
+        reply.unwrap_or(PickReply::Busy(RETRY_AFTER))
     }
 
     /// Whether this daemon takes no new work.
@@ -145,7 +145,7 @@
     }
 
     /// Daemons that keep the tokens of all requests that `holder` runs. They are the same
-    /// for all its requests, so that news of many go in one message.
+    /// for all its requests, so that one message carries the updates of many.
     pub fn partner_targets(&self, holder: IncarnationId, count: usize) -> Vec<PeerTarget> {
         let key = [b"partners".as_slice(), &holder.0.to_le_bytes()].concat();
         self.placed_targets(&key, holder, count)
@@ -184,10 +184,10 @@
         fallback.unwrap_or(own)
     }
 
-    /// Notes that a peer was refused at the gate.
+    /// Notes that a peer was refused at the peer listener.
     pub fn refused_peer(&self, what: &str) {
         self.metrics.count("peers_refused", 1);
-        spdlog::warn!("peer refused: {}", what, kv: { service = "gate" });
+        spdlog::warn!("peer refused: {}", what, kv: { service = "peer-listener" });
     }
 
     /// Notes an event of a request.
--- a/src/native/serve/copies.rs
+++ b/src/native/serve/copies.rs
@@ -1,6 +1,6 @@
 //! Service that keeps the tokens of running requests at this daemon's partners.
 //!
-//! News of all requests go in one message to each partner ten times a second, so
+//! The updates of all requests go in one message to each partner ten times a second, so
 //! copying costs the tokens' bytes and a constant number of messages a second, however
 //! many requests run and however many daemons there are. docs/design/copies.md weighs
 //! the ways.
@@ -20,7 +20,7 @@
     native::{
         cluster::events::PeerTarget,
         request::{
-            answer_log::{AnswerView, RequestProgress},
+            response_log::{RequestProgress, ResponseView},
             store::{OfferVerdict, RequestCopy},
         },
     },
@@ -36,7 +36,7 @@
 pub enum CopyMessage {
     /// A request runs here from now on.
     Track(RequestName),
-    /// A peer could not take news of these requests: it needs them whole, or knows better.
+    /// A peer could not apply updates of these requests: it needs them whole, or knows better.
     Refused(PeerTarget, Vec<RequestName>),
     /// A peer did not answer.
     Failed(PeerTarget),
@@ -44,10 +44,10 @@
 
 #[derive(Debug)]
 struct TrackedCopy {
-    view: AnswerView,
+    view: ResponseView,
     /// Tokens that each partner has been sent; a partner that is not here has nothing.
     sent: HashMap<PeerTarget, usize>,
-    /// Progress when the partners were last sent news.
+    /// Progress when the partners were last sent an update.
     progress: Option<RequestProgress>,
     /// When the directory was last told.
     told_at: Instant,
@@ -130,9 +130,9 @@
             copy.progress = Some(progress);
             for partner in &partners {
                 let sent = copy.sent.entry(partner.clone()).or_default();
-                let news = copy.view.copy_from(*sent);
-                *sent = news.first_token + news.tokens.len();
-                by_target.entry(partner.clone()).or_default().push(news);
+                let update = copy.view.copy_from(*sent);
+                *sent = update.first_token + update.tokens.len();
+                by_target.entry(partner.clone()).or_default().push(update);
             }
             if copy.told_at.elapsed() > context.settings.answer_keep / 3 {
                 copy.told_at = Instant::now();
@@ -142,22 +142,22 @@
         }
         self.tracked.retain(|_, copy| !copy.progress.is_some_and(|progress| progress.ended));
         for (target, copies) in by_target {
-            let bytes: usize = copies.iter().map(news_bytes).sum();
+            let bytes: usize = copies.iter().map(update_bytes).sum();
             context.metrics.count("copy_bytes", bytes as u64);
             context.metrics.count("copy_messages", 1);
-            let send = send_news(context.clone(), self.address.clone(), target, copies);
+            let send = send_updates(context.clone(), self.address.clone(), target, copies);
             tokio::task::spawn_local(send);
         }
     }
 }
 
-fn news_bytes(copy: &RequestCopy) -> usize {
+fn update_bytes(copy: &RequestCopy) -> usize {
     const FIELDS: usize = 64;
     let tokens: usize = copy.tokens.iter().map(|token| token.len() + size_of::<u64>()).sum();
     FIELDS + copy.name.key.len() + copy.name.account.len() + tokens
 }
 
-async fn send_news(
+async fn send_updates(
     context: Rc<ServeContext>,
     address: ServiceAddress<CopyMessage>,
     target: PeerTarget,
@@ -172,7 +172,7 @@
     let _ = address.send(message);
 }
 
-/// A partner refused news: if it knows a later term, this daemon is superseded.
+/// A partner refused an update: if it knows a later term, this daemon is superseded.
 async fn check_superseded(context: Rc<ServeContext>, target: PeerTarget, name: RequestName) {
     if let Ok(Some(known)) = context.pool.attach(&target, &name, 0, Duration::ZERO).await {
         supersede(&context, known).await;
--- a/src/native/serve/driver.rs
+++ b/src/native/serve/driver.rs
@@ -25,9 +25,9 @@
         },
         endpoint::ImportOrder,
         request::{
-            call::{CallContent, CallerCall},
-            outcome::{CallStage, DispatchedCall, FinalAnswer, NotRunReason, UnknownReason},
-            store::AnswerToken,
+            call::{CallContent, ClientCall},
+            outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UnknownReason},
+            store::ResponseToken,
         },
     },
 };
@@ -38,8 +38,8 @@
 const QUEUE_WAIT: Duration = Duration::from_secs(20);
 /// Longest wait for the move of a KV cache.
 const MOVE_LIMIT: Duration = Duration::from_secs(20);
-/// When a caller may come back after attempts have failed.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// When a client may come back after attempts have failed.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request to run under one term.
 pub struct RequestDriver {
@@ -48,8 +48,8 @@
     context: Rc<ServeContext>,
     name: RequestName,
     term: u32,
-    call: Arc<CallerCall>,
-    tokens: Vec<AnswerToken>,
+    call: Arc<ClientCall>,
+    tokens: Vec<ResponseToken>,
     weight: f64,
     exclude: Vec<SharedName>,
     attempts: u32,
@@ -59,7 +59,7 @@
 
 /// What to do after an attempt.
 enum NextStep {
-    End(FinalAnswer),
+    End(FinalResponse),
     Again(CallStage),
     Stop,
 }
@@ -70,8 +70,8 @@
         context: Rc<ServeContext>,
         name: RequestName,
         term: u32,
-        call: Arc<CallerCall>,
-        tokens: Vec<AnswerToken>,
+        call: Arc<ClientCall>,
+        tokens: Vec<ResponseToken>,
     ) -> Self {
         Self {
             // NOTE: one that was taken over has waited already.
@@ -103,18 +103,18 @@
         let cancelled = async move {
             view.wait_for(|progress| progress.ended || progress.term > term).await;
         };
-        let answer = tokio::select! {
-            answer = self.run_attempts(stage) => answer,
+        let response = tokio::select! {
+            response = self.run_attempts(stage) => response,
             () = cancelled => None,
         };
-        if let Some(answer) = answer {
-            self.end(answer);
+        if let Some(response) = response {
+            self.end(response);
         }
         (self.context, self.name)
     }
 
-    fn end(&self, answer: FinalAnswer) {
-        let label = answer.label();
+    fn end(&self, response: FinalResponse) {
+        let label = response.label();
         self.context.metrics.count_labelled("requests_ended", "outcome", label);
         let took = self.started_at.elapsed().as_millis();
         let detail = format!(
@@ -127,14 +127,14 @@
         let message = RequestMessage::End {
             name: self.name.clone(),
             term: self.term,
-            answer: Arc::new(answer),
+            response: Arc::new(response),
         };
         if let Err(error) = self.context.requests.send(message) {
             spdlog::error!("end lost: {}", error, kv: { service = "driver" });
         }
     }
 
-    async fn run_attempts(&mut self, mut stage: CallStage) -> Option<FinalAnswer> {
+    async fn run_attempts(&mut self, mut stage: CallStage) -> Option<FinalResponse> {
         loop {
             let slot = match self.pick().await {
                 PickReply::Slot(slot) => slot,
@@ -142,13 +142,17 @@
                     return Some(self.give_up(stage, NotRunReason::Overloaded, wait));
                 }
                 PickReply::Nowhere if self.exclude.is_empty() => {
-                    return Some(self.give_up(stage, NotRunReason::NoEndpoint, COME_BACK));
+                    return Some(self.give_up(stage, NotRunReason::NoEndpoint, RETRY_AFTER));
                 }
                 PickReply::Nowhere => {
                     // NOTE: every endpoint was tried; those tried first may work by now.
                     self.exclude.clear();
                     if self.attempts >= ATTEMPT_LIMIT {
-                        return Some(self.give_up(stage, NotRunReason::EndpointRefused, COME_BACK));
+                        return Some(self.give_up(
+                            stage,
+                            NotRunReason::EndpointRefused,
+                            RETRY_AFTER,
+                        ));
                     }
                     sleep(retry_pause(self.attempts, &mut rand::rng())).await;
                     continue;
@@ -158,14 +162,14 @@
             let dispatched = stage.begin();
             let end = self.attempt(&slot).await;
             match self.judge(end, dispatched, slot).await {
-                NextStep::End(answer) => return Some(answer),
+                NextStep::End(response) => return Some(response),
                 NextStep::Again(next) => stage = next,
                 NextStep::Stop => return None,
             }
         }
     }
 
-    fn give_up(&self, stage: CallStage, reason: NotRunReason, wait: Duration) -> FinalAnswer {
+    fn give_up(&self, stage: CallStage, reason: NotRunReason, wait: Duration) -> FinalResponse {
         stage.give_up(reason, wait, UnknownReason::AttemptsFailed)
     }
 
@@ -230,7 +234,7 @@
         slot: EndpointSlot,
     ) -> NextStep {
         match end {
-            AttemptEnd::Answered(answer) => NextStep::End(answer),
+            AttemptEnd::Answered(response) => NextStep::End(response),
             AttemptEnd::Superseded => NextStep::Stop,
             AttemptEnd::Leaving(way) => {
                 self.leave(way, slot).await;
@@ -241,7 +245,7 @@
                 let stage = call.not_started(evidence);
                 if self.attempts >= ATTEMPT_LIMIT {
                     let reason = NotRunReason::EndpointRefused;
-                    return NextStep::End(self.give_up(stage, reason, COME_BACK));
+                    return NextStep::End(self.give_up(stage, reason, RETRY_AFTER));
                 }
                 NextStep::Again(stage)
             }
@@ -250,7 +254,11 @@
                 let allowed = self.context.budget(&self.call.service, |budget| budget.spend());
                 let stage = CallStage::Dispatched(call.begin_again());
                 if !allowed || self.attempts >= ATTEMPT_LIMIT {
-                    return NextStep::End(self.give_up(stage, NotRunReason::NoEndpoint, COME_BACK));
+                    return NextStep::End(self.give_up(
+                        stage,
+                        NotRunReason::NoEndpoint,
+                        RETRY_AFTER,
+                    ));
                 }
                 self.context.metrics.count("retries", 1);
                 sleep(retry_pause(self.attempts - 1, &mut rand::rng())).await;
@@ -283,7 +291,7 @@
         let call = OutgoingCall::get("move KV cache", &next.pick.address, "/kv/import")
             .with_json(Method::POST, body);
         let moved = self.context.http.fetch(&call, MOVE_LIMIT).await;
-        let moved = moved.is_ok_and(|answer| answer.status.is_success());
+        let moved = moved.is_ok_and(|response| response.status.is_success());
         let outcome = if moved { "moved" } else { "failed" };
         self.context.metrics.count_labelled("cache_moves", "outcome", outcome);
     }
--- a/src/native/serve/once.rs
+++ b/src/native/serve/once.rs
@@ -1,7 +1,7 @@
 //! Requests that may not be repeated: finds the one daemon that may dispatch them.
 //!
 //! docs/design/at-most-once.md weighs the ways. The right to dispatch is a ticket
-//! (`crate::native::request::tickets`). A caller may take one beforehand; one that brings its
+//! (`crate::native::request::tickets`). A client may take one beforehand; one that brings its
 //! own key instead costs a conditional create in the object API, which binds the key
 //! to a ticket; one without a key gets a ticket that nobody else knows of.
 
@@ -21,28 +21,28 @@
     native::{
         cloud_api::client::WriteCondition,
         request::{
-            call::CallerCall,
-            outcome::{FinalAnswer, NotRunReason, UndispatchedCall, UnknownReason},
-            tickets::{SealVerdict, SettledAnswer, TicketId, TicketUse},
+            call::ClientCall,
+            outcome::{FinalResponse, NotRunReason, UndispatchedCall, UnknownReason},
+            tickets::{SealVerdict, SettledResponse, TicketId, TicketUse},
         },
     },
 };
 
-/// Kind of the objects that bind a caller's key to a ticket.
+/// Kind of the objects that bind a client's key to a ticket.
 const CLAIM_KIND: &str = "claims";
 /// Longest time that a holder is waited for.
 const HOLDER_LIMIT: Duration = Duration::from_secs(30);
 /// Time between tries to reach a holder that may have dispatched.
 const HOLDER_RETRY: Duration = Duration::from_millis(200);
-/// Tries to settle a claim whose write's answer was lost.
+/// Tries to settle a claim whose write's response was lost.
 const CLAIM_TRIES: u32 = 4;
-/// When a caller may come back.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// When a client may come back.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// What a request that may not be repeated came to.
 #[derive(Debug)]
 pub enum OnceOutcome {
-    /// Its final answer.
-    Final(FinalAnswer),
+    /// Its final response.
+    Final(FinalResponse),
     /// The key was used for another request of the account.
     KeyReused,
     /// The key is a ticket of another client account.
@@ -63,11 +63,11 @@
     context.tickets.ask(|reply| TicketMessage::Issue { witness, scope, reply }).await.ok()
 }
 
-/// Serves a request under the caller's key, if it gave one.
+/// Serves a request under the client's key, if it gave one.
 pub async fn serve(
     context: &Rc<ServeContext>,
     key: Option<&str>,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 ) -> OnceOutcome {
     let scope = TicketId::scope_of(&call.account);
     let ticket = match key.map(str::parse::<TicketId>) {
@@ -82,15 +82,15 @@
     resolve(context, ticket, call).await
 }
 
-fn refuse(call: Arc<CallerCall>, reason: NotRunReason) -> OnceOutcome {
-    OnceOutcome::Final(UndispatchedCall::new(call).refuse(reason, COME_BACK))
+fn refuse(call: Arc<ClientCall>, reason: NotRunReason) -> OnceOutcome {
+    OnceOutcome::Final(UndispatchedCall::new(call).refuse(reason, RETRY_AFTER))
 }
 
-/// Serves a request under a key of the caller's own, bound to a ticket by a claim.
+/// Serves a request under a key of the client's own, bound to a ticket by a claim.
 async fn serve_claimed(
     context: &Rc<ServeContext>,
     key: &str,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 ) -> OnceOutcome {
     let object = claim_name(&call.account, key);
     let Some(own) = issue(context, &call.account).await else {
@@ -106,7 +106,7 @@
         }
     };
     let outcome = resolve(context, bound, call.clone()).await;
-    if bound == own || !matches!(outcome, OnceOutcome::Final(FinalAnswer::NotRun(_))) {
+    if bound == own || !matches!(outcome, OnceOutcome::Final(FinalResponse::NotRun(_))) {
         return outcome;
     }
     // The earlier try did not run, and its ticket never will: bind the key anew.
@@ -154,13 +154,13 @@
 }
 
 /// Spends a ticket that was not used.
-async fn abandon(context: &Rc<ServeContext>, ticket: TicketId, call: &Arc<CallerCall>) {
+async fn abandon(context: &Rc<ServeContext>, ticket: TicketId, call: &Arc<ClientCall>) {
     let digest = call.digest();
     let begin = context.tickets.ask(|reply| TicketMessage::Begin { ticket, digest, reply });
     if matches!(begin.await, Ok(TicketUse::Granted)) {
         let undispatched = UndispatchedCall::new(call.clone());
-        let answer = undispatched.refuse(NotRunReason::ClaimFailed, COME_BACK);
-        let _ = context.tickets.send(TicketMessage::End { ticket, answer });
+        let response = undispatched.refuse(NotRunReason::ClaimFailed, RETRY_AFTER);
+        let _ = context.tickets.send(TicketMessage::End { ticket, response });
     }
 }
 
@@ -168,7 +168,7 @@
 async fn resolve(
     context: &Rc<ServeContext>,
     ticket: TicketId,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 ) -> OnceOutcome {
     let digest = call.digest();
     let settled = if ticket.holder == context.identity.incarnation {
@@ -177,7 +177,7 @@
         ask_holder(context, ticket, call).await
     };
     if settled.digest == digest {
-        OnceOutcome::Final(settled.answer)
+        OnceOutcome::Final(settled.response)
     } else {
         OnceOutcome::KeyReused
     }
@@ -186,8 +186,8 @@
 async fn ask_holder(
     context: &Rc<ServeContext>,
     ticket: TicketId,
-    call: Arc<CallerCall>,
-) -> SettledAnswer {
+    call: Arc<ClientCall>,
+) -> SettledResponse {
     let digest = call.digest();
     let deadline = Instant::now() + HOLDER_LIMIT;
     loop {
@@ -204,16 +204,16 @@
                 let name = RequestName::new(call.account.clone(), ticket.to_string());
                 context.note(EventKind::TicketSealed, &name, "its holder could not be reached");
                 let undispatched = UndispatchedCall::new(call);
-                let answer = undispatched.refuse(NotRunReason::HolderGone, Duration::ZERO);
-                return SettledAnswer { digest, answer };
+                let response = undispatched.refuse(NotRunReason::HolderGone, Duration::ZERO);
+                return SettledResponse { digest, response };
             }
             Some(SealVerdict::MayHaveRun) | None => {}
         }
-        // NOTE: while the holder is a member it may come back with the answer; once it
+        // NOTE: while the holder is a member it may come back with the response; once it
         // has been removed, nobody else ever learns it.
         if context.target(ticket.holder).is_none() || Instant::now() >= deadline {
-            let answer = FinalAnswer::Unknown(UnknownReason::HolderLost);
-            return SettledAnswer { digest, answer };
+            let response = FinalResponse::Unknown(UnknownReason::HolderLost);
+            return SettledResponse { digest, response };
         }
         sleep(HOLDER_RETRY).await;
     }
@@ -232,10 +232,10 @@
 pub async fn run_as_holder(
     context: &Rc<ServeContext>,
     ticket: TicketId,
-    call: Arc<CallerCall>,
-) -> SettledAnswer {
+    call: Arc<ClientCall>,
+) -> SettledResponse {
     let digest = call.digest();
-    let unknown = |reason| SettledAnswer { digest, answer: FinalAnswer::Unknown(reason) };
+    let unknown = |reason| SettledResponse { digest, response: FinalResponse::Unknown(reason) };
     if ticket.holder != context.identity.incarnation {
         return unknown(UnknownReason::HolderLost);
     }
@@ -243,25 +243,25 @@
     match begin.await {
         Ok(TicketUse::Granted) => spawn_run(context, ticket, call, digest),
         Ok(TicketUse::InProgress) => {}
-        Ok(TicketUse::Ended(answer)) => return SettledAnswer { digest, answer },
+        Ok(TicketUse::Ended(response)) => return SettledResponse { digest, response },
         Ok(TicketUse::KeyReused) => {
-            let answer = FinalAnswer::Unknown(UnknownReason::TicketExpired);
-            return SettledAnswer { digest: [0; 32], answer };
+            let response = FinalResponse::Unknown(UnknownReason::TicketExpired);
+            return SettledResponse { digest: [0; 32], response };
         }
         Ok(TicketUse::Forgotten) => return unknown(UnknownReason::TicketExpired),
         Err(_) => return unknown(UnknownReason::HolderLost),
     }
     match context.tickets.ask(|reply| TicketMessage::Wait { ticket, reply }).await {
-        Ok(answer) => SettledAnswer { digest, answer },
+        Ok(response) => SettledResponse { digest, response },
         Err(_) => unknown(UnknownReason::HolderLost),
     }
 }
 
-/// Runs in a task of its own, so that a caller that leaves does not end it.
+/// Runs in a task of its own, so that a client that leaves does not end it.
 fn spawn_run(
     context: &Rc<ServeContext>,
     ticket: TicketId,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
     digest: [u8; 32],
 ) {
     let active = context.active.enter();
@@ -269,14 +269,14 @@
     context.clone().kernel.spawn("once", async move {
         let _active = active;
         let mut run = OnceRun::new(context.clone(), ticket, call);
-        let answer = run.run().await;
-        run.note_end(&answer);
-        let _ = context.tickets.send(TicketMessage::End { ticket, answer: answer.clone() });
-        settle(&context, ticket, SettledAnswer { digest, answer }).await;
+        let response = run.run().await;
+        run.note_end(&response);
+        let _ = context.tickets.send(TicketMessage::End { ticket, response: response.clone() });
+        settle(&context, ticket, SettledResponse { digest, response }).await;
     });
 }
 
-async fn settle(context: &Rc<ServeContext>, ticket: TicketId, settled: SettledAnswer) {
+async fn settle(context: &Rc<ServeContext>, ticket: TicketId, settled: SettledResponse) {
     if ticket.witness == ticket.holder {
         return;
     }
@@ -286,13 +286,13 @@
     }
 }
 
-/// Runs `serve` within the time that a caller is kept waiting.
+/// Runs `serve` within the time that a client is kept waiting.
 pub async fn serve_within(
     context: &Rc<ServeContext>,
     key: Option<&str>,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
     limit: Duration,
 ) -> OnceOutcome {
     let served = timeout(limit, serve(context, key, call)).await;
-    served.unwrap_or(OnceOutcome::Final(FinalAnswer::Unknown(UnknownReason::AnswerLost)))
+    served.unwrap_or(OnceOutcome::Final(FinalResponse::Unknown(UnknownReason::AnswerLost)))
 }
--- a/src/native/serve/once/run.rs
+++ b/src/native/serve/once/run.rs
@@ -4,14 +4,14 @@
 
 use tokio::time::Instant;
 
-use super::COME_BACK;
+use super::RETRY_AFTER;
 use crate::{
     ids::{RequestName, SharedName},
     native::{
         decide::{fair_queue::QueueTurn, limits::RequestPriority},
         request::{
-            call::{CallContent, CallerCall},
-            outcome::{CallStage, FinalAnswer, NotRunReason, UndispatchedCall, UnknownReason},
+            call::{CallContent, ClientCall},
+            outcome::{CallStage, FinalResponse, NotRunReason, UndispatchedCall, UnknownReason},
             tickets::{ConsentVerdict, TicketId},
         },
         serve::{
@@ -33,7 +33,7 @@
 pub struct OnceRun {
     context: Rc<ServeContext>,
     ticket: TicketId,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
     name: RequestName,
     refused_by: Vec<SharedName>,
     started_at: Instant,
@@ -42,20 +42,20 @@
 
 impl OnceRun {
     /// Run of `ticket` for `call`.
-    pub fn new(context: Rc<ServeContext>, ticket: TicketId, call: Arc<CallerCall>) -> Self {
+    pub fn new(context: Rc<ServeContext>, ticket: TicketId, call: Arc<ClientCall>) -> Self {
         let name = RequestName::new(call.account.clone(), ticket.to_string());
         let (started_at, priority) = (Instant::now(), RequestPriority::Normal);
         Self { context, ticket, call, name, refused_by: Vec::new(), started_at, priority }
     }
 
     /// Notes the one terminal event.
-    pub fn note_end(&self, answer: &FinalAnswer) {
-        let label = answer.label();
+    pub fn note_end(&self, response: &FinalResponse) {
+        let label = response.label();
         self.context.metrics.count_labelled("requests_ended", "outcome", label);
-        let reason = match answer {
-            FinalAnswer::NotRun(proof) => format!(" ({})", proof.reason()),
-            FinalAnswer::Unknown(reason) => format!(" ({reason})"),
-            FinalAnswer::Streamed | FinalAnswer::Plain(_) => String::new(),
+        let reason = match response {
+            FinalResponse::NotRun(proof) => format!(" ({})", proof.reason()),
+            FinalResponse::Unknown(reason) => format!(" ({reason})"),
+            FinalResponse::Streamed | FinalResponse::Plain(_) => String::new(),
         };
         let refusals = self.refused_by.len();
         let took = self.started_at.elapsed().as_millis();
@@ -63,13 +63,13 @@
         self.context.note(EventKind::Ended, &self.name, detail);
     }
 
-    /// Runs to the final answer.
-    pub async fn run(&mut self) -> FinalAnswer {
+    /// Runs to the final response.
+    pub async fn run(&mut self) -> FinalResponse {
         let undispatched = UndispatchedCall::new(self.call.clone());
         match admit(&self.context, &self.call).await {
             Ok(Ok(priority)) => self.priority = priority,
             Ok(Err((reason, wait))) => return undispatched.refuse(reason, wait),
-            Err(_) => return undispatched.refuse(NotRunReason::Overloaded, COME_BACK),
+            Err(_) => return undispatched.refuse(NotRunReason::Overloaded, RETRY_AFTER),
         }
         self.context.note(
             EventKind::Accepted,
@@ -82,7 +82,7 @@
             let slot = match self.pick().await {
                 PickReply::Slot(slot) => slot,
                 PickReply::Busy(wait) => return stage.refuse(NotRunReason::Overloaded, wait),
-                PickReply::Nowhere => return stage.refuse(NotRunReason::NoEndpoint, COME_BACK),
+                PickReply::Nowhere => return stage.refuse(NotRunReason::NoEndpoint, RETRY_AFTER),
             };
             if !consented {
                 if let Err(reason) = self.obtain_consent().await {
@@ -91,11 +91,11 @@
                 consented = true;
             }
             match self.dispatch(stage, &slot).await {
-                Ok(answer) => return answer,
+                Ok(response) => return response,
                 Err(undispatched) => stage = undispatched,
             }
             if self.refused_by.len() >= REFUSAL_LIMIT {
-                return stage.refuse(NotRunReason::EndpointRefused, COME_BACK);
+                return stage.refuse(NotRunReason::EndpointRefused, RETRY_AFTER);
             }
         }
     }
@@ -141,7 +141,7 @@
         &mut self,
         stage: UndispatchedCall,
         slot: &EndpointSlot,
-    ) -> Result<FinalAnswer, UndispatchedCall> {
+    ) -> Result<FinalResponse, UndispatchedCall> {
         self.context.note(EventKind::Dispatched, &self.name, format!("VM {}", slot.pick.id));
         let call = self.call.clone();
         let dispatched = stage.begin();
@@ -159,7 +159,7 @@
             CallContent::Completion(_) => return Ok(dispatched.give_up(UnknownReason::AnswerLost)),
         };
         match end {
-            AttemptEnd::Answered(answer) => Ok(answer),
+            AttemptEnd::Answered(response) => Ok(response),
             AttemptEnd::NotStarted(evidence, error) => {
                 self.refused_by.push(slot.pick.id.clone());
                 self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
--- a/src/native/serve/parse.rs
+++ b/src/native/serve/parse.rs
@@ -1,4 +1,4 @@
-//! Checks a caller's request and turns it into a call. Everything wrong is answered
+//! Checks a client's request and turns it into a call. Everything wrong is answered
 //! with a 4xx that names the field; nothing is guessed.
 
 use std::sync::Arc;
@@ -15,7 +15,7 @@
             check::is_name,
             rows::{AccountRow, ServiceRow, ServiceType, TableSnapshot},
         },
-        request::call::{CallContent, CallerCall, CompletionCall, PlainCall},
+        request::call::{CallContent, ClientCall, CompletionCall, PlainCall},
     },
 };
 
@@ -23,12 +23,12 @@
 pub const BODY_LIMIT: usize = 1024 * 1024;
 /// Most tokens that one answer may have.
 const MAX_TOKENS: u64 = 8_192;
-/// Tokens of an answer whose caller does not say.
+/// Tokens of a response whose client does not say.
 const DEFAULT_TOKENS: u64 = 256;
 /// Keys that start so are made by daemons.
 const OWN_KEY_PREFIX: &str = "auto-";
 
-/// Fields that callers of model serving send and that change nothing here.
+/// Fields that clients of model serving send and that change nothing here.
 const IGNORED_FIELDS: [&str; 12] = [
     "temperature",
     "top_p",
@@ -44,9 +44,9 @@
     "service_tier",
 ];
 
-/// Which form the answer takes.
+/// Which form the response takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerForm {
+pub enum ResponseForm {
     /// Completion, streamed as server-sent events.
     Events {
         /// Whether in the chat form.
@@ -57,7 +57,7 @@
         /// Whether in the chat form.
         chat: bool,
     },
-    /// The plain endpoint's own answer.
+    /// The plain endpoint's own response.
     Plain,
 }
 
@@ -65,17 +65,17 @@
 #[derive(Clone, Debug)]
 pub struct CheckedRequest {
     /// Call to run.
-    pub call: CallerCall,
-    /// Key that the caller gave.
+    pub call: ClientCall,
+    /// Key that the client gave.
     pub key: Option<SharedName>,
-    /// Form of the answer.
-    pub form: AnswerForm,
-    /// Tokens that a resuming caller has.
+    /// Form of the response.
+    pub form: ResponseForm,
+    /// Tokens that a resuming client has.
     pub have_tokens: usize,
 }
 
 impl CheckedRequest {
-    /// Name of the request: by the caller's key, or by `made` where it gave none.
+    /// Name of the request: by the client's key, or by `made` where it gave none.
     pub fn name(&self, made: &str) -> RequestName {
         let key = self.key.clone().unwrap_or_else(|| format!("{OWN_KEY_PREFIX}{made}").into());
         RequestName::new(self.call.account.clone(), key)
@@ -165,14 +165,14 @@
     };
     let stream = flag(object, "stream")?;
     let content = CompletionCall { prompt: prompt.into(), max_tokens, seed, chat };
-    let call = CallerCall {
+    let call = ClientCall {
         account: account.name.clone(),
         service: service.name.clone(),
         repeatable: true,
         content: CallContent::Completion(content),
         traceparent: traceparent(headers)?,
     };
-    let form = if stream { AnswerForm::Events { chat } } else { AnswerForm::Document { chat } };
+    let form = if stream { ResponseForm::Events { chat } } else { ResponseForm::Document { chat } };
     let have_tokens = have_tokens(headers)?;
     Ok(CheckedRequest { call, key, form, have_tokens })
 }
@@ -251,7 +251,7 @@
     }
 }
 
-/// Seed of a request whose caller gave none: the same whenever the caller asks again.
+/// Seed of a request whose client gave none: the same whenever the client asks again.
 fn derived_seed(account: &str, key: Option<&str>) -> u64 {
     // NOTE: as JSON numbers travel through other programs as doubles, 53 bits.
     const EXACT_BITS: u32 = 53;
@@ -280,7 +280,7 @@
     if is_json && !body.is_empty() && serde_json::from_str::<Value>(&body).is_err() {
         return Err(Problem::bad_request("(body)", "must be JSON, as its content type says"));
     }
-    let call = CallerCall {
+    let call = ClientCall {
         account: account.name.clone(),
         service: row.name.clone(),
         repeatable: row.repeatable,
@@ -292,5 +292,5 @@
         traceparent: traceparent(headers)?,
     };
     let key = idempotency_key(headers)?;
-    Ok(CheckedRequest { call, key, form: AnswerForm::Plain, have_tokens: 0 })
+    Ok(CheckedRequest { call, key, form: ResponseForm::Plain, have_tokens: 0 })
 }
--- a/src/native/serve/planner.rs
+++ b/src/native/serve/planner.rs
@@ -171,7 +171,7 @@
             0 => WriteCondition::Absent,
             version => WriteCondition::Version(version),
         };
-        // NOTE: counted from before the write was sent, not from its answer.
+        // NOTE: counted from before the write was sent, not from its response.
         let asked_at = Instant::now();
         let value = json!(record);
         match self.context.platform.write_object(LEASE_KIND, NAME, &value, condition).await {
--- a/src/native/serve/problem.rs
+++ b/src/native/serve/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them: problem documents (RFC 9457), with when to come back.
+//! Errors as clients see them: problem documents (RFC 9457), with when to come back.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     http::{ResponseBody, whole_body},
     native::{
         headers,
-        request::outcome::{FinalAnswer, NotRunProof, UnknownReason},
+        request::outcome::{FinalResponse, NotRunProof, UnknownReason},
     },
 };
 
@@ -92,7 +92,7 @@
 
     /// It cannot be said whether the request ran.
     pub fn unknown(reason: UnknownReason, repeatable: bool) -> Self {
-        const COME_BACK: Duration = Duration::from_secs(1);
+        const RETRY_AFTER: Duration = Duration::from_secs(1);
         Self {
             kind: "/problems/unknown",
             title: "Unknown",
@@ -100,16 +100,16 @@
             detail: reason.to_string().into(),
             field: None,
             outcome: "unknown",
-            retry_after: repeatable.then_some(COME_BACK.as_secs_f64()),
+            retry_after: repeatable.then_some(RETRY_AFTER.as_secs_f64()),
         }
     }
 
-    /// Problem of a final answer that is none.
-    pub fn of(answer: &FinalAnswer, repeatable: bool) -> Option<Self> {
-        match answer {
-            FinalAnswer::Streamed | FinalAnswer::Plain(_) => None,
-            FinalAnswer::NotRun(proof) => Some(Self::not_run(proof)),
-            FinalAnswer::Unknown(reason) => Some(Self::unknown(*reason, repeatable)),
+    /// Problem of a final response that is none.
+    pub fn of(response: &FinalResponse, repeatable: bool) -> Option<Self> {
+        match response {
+            FinalResponse::Streamed | FinalResponse::Plain(_) => None,
+            FinalResponse::NotRun(proof) => Some(Self::not_run(proof)),
+            FinalResponse::Unknown(reason) => Some(Self::unknown(*reason, repeatable)),
         }
     }
 
--- a/src/native/serve/answer.rs
+++ b/src/native/serve/response.rs
@@ -1,4 +1,4 @@
-//! Answers as callers get them: read from the request store as they grow, streamed as
+//! Answers as clients get them: read from the request store as they grow, streamed as
 //! events or given whole.
 
 use std::{rc::Rc, time::Duration};
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::{Response, StatusCode, header::HeaderValue};
 use serde::Serialize;
-use serde_json::{Value, json};
+use serde_json::json;
 use tokio::sync::mpsc;
 
 use super::{
@@ -18,25 +18,27 @@
     ids::RequestName,
     kernel::LifePhase,
     native::request::{
-        answer_log::AnswerView,
-        outcome::{FinalAnswer, PlainAnswer, UnknownReason},
+        outcome::{FinalResponse, PlainResponse, UnknownReason},
+        response_log::ResponseView,
         store::RequestCopy,
     },
 };
 
-/// Chunks that wait for a slow caller before its stream waits too.
+/// Chunks that wait for a slow client before its stream waits too.
 const STREAM_CHUNKS: usize = 32;
 
-/// JSON answer.
-pub fn json_response(value: &Value) -> Response<ResponseBody> {
-    let mut response = Response::new(whole_body(value.to_string()));
+/// Response with a JSON body.
+pub fn json_response(value: &impl Serialize) -> Response<ResponseBody> {
+    // These types always serialize.
+    let body = serde_json::to_vec(value).unwrap_or_default();
+    let mut response = Response::new(whole_body(body));
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
     response
 }
 
 /// Answer of a plain endpoint.
-pub fn plain_response(plain: &PlainAnswer) -> Response<ResponseBody> {
+pub fn plain_response(plain: &PlainResponse) -> Response<ResponseBody> {
     let mut response = Response::new(whole_body(plain.body.clone()));
     *response.status_mut() = StatusCode::from_u16(plain.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Ok(kind) = HeaderValue::from_str(&plain.content_type) {
@@ -45,31 +47,31 @@
     response
 }
 
-/// The record was removed while its caller waited: it was cancelled, or refused in the
-/// same moment for another caller of the same key.
+/// The record was removed while its client waited: it was cancelled, or refused in the
+/// same moment for another client of the same key.
 pub fn vanished() -> Problem {
     Problem::unknown(UnknownReason::Cancelled, true)
 }
 
-/// Cancels a request when its last caller has left for good.
-struct CallerGuard {
+/// Cancels a request when its last client has left for good.
+struct ClientGuard {
     context: Rc<ServeContext>,
     name: RequestName,
     keyed: bool,
     done: bool,
 }
 
-impl Drop for CallerGuard {
+impl Drop for ClientGuard {
     fn drop(&mut self) {
         if self.done || self.context.is_leaving() {
             return;
         }
         let context = self.context.clone();
         let name = self.name.clone();
-        // NOTE: a caller without a key of its own cannot come back.
+        // NOTE: a client without a key of its own cannot come back.
         let grace = if self.keyed { context.settings.resume_grace } else { Duration::ZERO };
         tokio::task::spawn_local(async move {
-            context.note(EventKind::CallerLeft, &name, "its connection broke");
+            context.note(EventKind::ClientLeft, &name, "its connection broke");
             tokio::time::sleep(grace).await;
             cancel_if_alone(&context, name).await;
         });
@@ -83,7 +85,7 @@
         reply,
     });
     let Ok(Some(copy)) = read.await else { return };
-    if copy.answer.is_some() || copy.holder != context.holder() {
+    if copy.response.is_some() || copy.holder != context.holder() {
         return;
     }
     let watchers =
@@ -96,45 +98,45 @@
 }
 
 /// Reads a request's answer from the store as it grows.
-pub struct AnswerReader {
+pub struct ResponseReader {
     context: Rc<ServeContext>,
     name: RequestName,
-    view: AnswerView,
+    view: ResponseView,
     sent: usize,
-    guard: CallerGuard,
-    _caller: CountGuard,
+    guard: ClientGuard,
+    _client: CountGuard,
 }
 
-impl AnswerReader {
-    /// Reader for a caller that has `have_tokens` already; `keyed` if it can come back.
+impl ResponseReader {
+    /// Reader for a client that has `have_tokens` already; `keyed` if it can come back.
     pub fn new(
         context: &Rc<ServeContext>,
         name: &RequestName,
-        view: AnswerView,
+        view: ResponseView,
         have_tokens: usize,
         keyed: bool,
     ) -> Self {
         let guard =
-            CallerGuard { context: context.clone(), name: name.clone(), keyed, done: false };
-        let _caller = context.callers.enter();
+            ClientGuard { context: context.clone(), name: name.clone(), keyed, done: false };
+        let _client = context.clients.enter();
         Self {
             context: context.clone(),
             name: name.clone(),
             view,
             sent: have_tokens,
             guard,
-            _caller,
+            _client,
         }
     }
 
     /// Waits until there is more than has been sent, or the end.
-    async fn news(&mut self) -> Option<RequestCopy> {
+    async fn next_update(&mut self) -> Option<RequestCopy> {
         let sent = self.sent;
         if !self.view.wait_for(|progress| progress.ended || progress.tokens > sent).await {
             return None;
         }
         let copy = self.view.copy_from(sent);
-        if copy.answer.is_some() {
+        if copy.response.is_some() {
             self.guard.done = true;
         }
         Some(copy)
@@ -148,20 +150,20 @@
         Some(self.view.copy_from(0))
     }
 
-    /// A plain endpoint's answer.
+    /// A plain endpoint's response.
     pub async fn plain(mut self) -> Result<Response<ResponseBody>, Problem> {
         let copy = self.whole().await.ok_or_else(vanished)?;
-        match copy.answer.as_deref() {
-            Some(FinalAnswer::Plain(plain)) => Ok(plain_response(plain)),
-            Some(answer) => Err(Problem::of(answer, true).unwrap_or_else(vanished)),
+        match copy.response.as_deref() {
+            Some(FinalResponse::Plain(plain)) => Ok(plain_response(plain)),
+            Some(response) => Err(Problem::of(response, true).unwrap_or_else(vanished)),
             None => Err(vanished()),
         }
     }
 
-    /// The whole answer in one document.
+    /// The whole response in one document.
     pub async fn document(mut self, chat: bool) -> Result<Response<ResponseBody>, Problem> {
         let copy = self.whole().await.ok_or_else(vanished)?;
-        if let Some(problem) = copy.answer.as_deref().and_then(|end| Problem::of(end, true)) {
+        if let Some(problem) = copy.response.as_deref().and_then(|end| Problem::of(end, true)) {
             return Err(problem);
         }
         let text = copy.tokens.concat();
@@ -185,9 +187,9 @@
     /// Streams events. The head waits for the first token, so that a request that comes
     /// to nothing is answered with a status that says so.
     pub async fn events(mut self, chat: bool) -> Result<Response<ResponseBody>, Problem> {
-        let first = self.news().await.ok_or_else(vanished)?;
+        let first = self.next_update().await.ok_or_else(vanished)?;
         if first.tokens.is_empty()
-            && let Some(problem) = first.answer.as_deref().and_then(|end| Problem::of(end, true))
+            && let Some(problem) = first.response.as_deref().and_then(|end| Problem::of(end, true))
         {
             return Err(problem);
         }
@@ -208,21 +210,21 @@
         first: RequestCopy,
         sender: mpsc::Sender<Result<Bytes, BodyError>>,
     ) {
-        let mut news = Some(first);
+        let mut update = Some(first);
         let mut phase = self.context.kernel.phase();
         loop {
-            let Some(copy) = news else { return };
+            let Some(copy) = update else { return };
             let events = self.render(&copy, chat);
             if !events.is_empty() && sender.send(Ok(events)).await.is_err() {
                 return;
             }
-            if let Some(answer) = &copy.answer {
-                let end = render_end(&self.name, answer, chat);
+            if let Some(response) = &copy.response {
+                let end = render_end(&self.name, response, chat);
                 let _ = sender.send(Ok(end)).await;
                 return;
             }
-            news = tokio::select! {
-                news = self.news() => news,
+            update = tokio::select! {
+                update = self.next_update() => update,
                 () = sender.closed() => return,
                 _ = phase.wait_for(|phase| *phase == LifePhase::Stopping) => None,
             };
@@ -283,9 +285,9 @@
 }
 
 /// Last events of a stream. One that failed midway ends with its problem as an error
-/// event and without the usual end, so that no caller takes it for whole.
-fn render_end(name: &RequestName, answer: &FinalAnswer, chat: bool) -> Bytes {
-    match Problem::of(answer, true) {
+/// event and without the usual end, so that no client takes it for whole.
+fn render_end(name: &RequestName, response: &FinalResponse, chat: bool) -> Bytes {
+    match Problem::of(response, true) {
         None => {
             let chunk = render_chunk(name, None, chat, Some("stop"));
             Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n"))
--- a/src/native/serve/resume.rs
+++ b/src/native/serve/resume.rs
@@ -1,8 +1,8 @@
-//! Finds or starts the request that a caller names, wherever it runs.
+//! Finds or starts the request that a client names, wherever it runs.
 //!
 //! The daemon that accepts a request tells a few peers, which anyone can work out from
 //! the request's name, that it runs it; its tokens go to its partners, which anyone can
-//! work out from the daemon. A caller whose connection broke asks any daemon: that one
+//! work out from the daemon. A client whose connection broke asks any daemon: that one
 //! offers itself to the same peers, is told who runs the request, and follows that
 //! holder; if the holder cannot be reached, it gets the tokens from the holder's partners
 //! and takes the request over.
@@ -27,8 +27,8 @@
         cluster::events::PeerTarget,
         decide::limits::{LimitVerdict, RequestPriority},
         request::{
-            call::CallerCall,
-            outcome::{CallStage, DispatchedCall, FinalAnswer, NotRunReason, UndispatchedCall},
+            call::ClientCall,
+            outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UndispatchedCall},
             store::{ClaimVerdict, RequestCopy},
         },
     },
@@ -41,12 +41,12 @@
 /// Partners of a lost holder that are asked: one more than it sends to, since members
 /// may have changed meanwhile.
 const PARTNERS_ASKED: usize = 3;
-/// How long one look at a remote holder waits for news.
+/// How long one request to a remote holder waits for an update.
 const ATTACH_WAIT: Duration = Duration::from_millis(1_000);
-/// When a caller may come back to another daemon.
+/// When a client may come back to another daemon.
 const ELSEWHERE: Duration = Duration::ZERO;
-/// When a caller may come back after an overload.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// When a client may come back after an overload.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What was found.
 #[derive(Debug)]
@@ -56,14 +56,14 @@
     /// The key names another request.
     KeyReused,
     /// It was refused.
-    Refused(FinalAnswer),
+    Refused(FinalResponse),
 }
 
 /// Finds the request `name`, or starts it with `call`.
 pub async fn obtain(
     context: &Rc<ServeContext>,
     name: &RequestName,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 ) -> Result<ObtainedRequest, SendError> {
     let claim = context.requests.ask(|reply| RequestMessage::Claim {
         name: name.clone(),
@@ -81,7 +81,7 @@
 async fn start_new(
     context: &Rc<ServeContext>,
     name: &RequestName,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 ) -> Result<ObtainedRequest, SendError> {
     let undispatched = UndispatchedCall::new(call.clone());
     let copy = RequestCopy {
@@ -92,7 +92,7 @@
         call: Some(call.clone()),
         first_token: 0,
         tokens: Vec::new(),
-        answer: None,
+        response: None,
     };
     let (targets, known) = place(context, &copy).await;
     if let Some(known) = known {
@@ -126,7 +126,7 @@
         let (context, name) = driver.run(stage).await;
         drop(active);
         // NOTE: a driver also stops when another daemon has taken its request over; then
-        // callers here must get the answer from there.
+        // clients here must get the response from there.
         follow_again(context, name).await;
     });
 }
@@ -135,16 +135,16 @@
 /// back.
 pub async fn admit(
     context: &Rc<ServeContext>,
-    call: &CallerCall,
+    call: &ClientCall,
 ) -> Result<Result<RequestPriority, (NotRunReason, Duration)>, SendError> {
     if context.is_leaving() {
         return Ok(Err((NotRunReason::Draining, ELSEWHERE)));
     }
     if context.active.get() >= context.settings.request_limit {
-        return Ok(Err((NotRunReason::Overloaded, COME_BACK)));
+        return Ok(Err((NotRunReason::Overloaded, RETRY_AFTER)));
     }
     let Some(row) = context.table().account(&call.account) else {
-        return Ok(Err((NotRunReason::NoTable, COME_BACK)));
+        return Ok(Err((NotRunReason::NoTable, RETRY_AFTER)));
     };
     let verdict = context.limits.ask(|reply| LimitMessage::Admit {
         account: call.account.clone(),
@@ -172,8 +172,8 @@
     let answers = futures::future::join_all(offers).await;
     let mut taken = Vec::new();
     let mut known: Option<RequestCopy> = None;
-    for (target, answer) in targets.into_iter().zip(answers) {
-        match answer {
+    for (target, response) in targets.into_iter().zip(answers) {
+        match response {
             Ok(Ok(None)) => taken.push(target),
             Ok(Ok(Some(state))) => {
                 let goes_before = known.as_ref().is_none_or(|known| rank(&state) > rank(known));
@@ -189,9 +189,9 @@
     (taken, known)
 }
 
-/// Which of several known states goes first: an answer, then the later term.
+/// Which of several known states goes first: a response, then the later term.
 fn rank(copy: &RequestCopy) -> (bool, u32) {
-    let answered = copy.answer.as_ref().is_some_and(|answer| answer.is_answered());
+    let answered = copy.response.as_ref().is_some_and(|response| response.is_answered());
     (answered, copy.term)
 }
 
@@ -202,18 +202,18 @@
     let asked = partners.iter().map(|partner| {
         timeout(RECOVER_LIMIT, context.pool.attach(partner, name, own.first_token, Duration::ZERO))
     });
-    for answer in futures::future::join_all(asked).await {
-        if let Ok(Ok(Some(copy))) = answer {
+    for response in futures::future::join_all(asked).await {
+        if let Ok(Ok(Some(copy))) = response {
             supersede_quietly(context, copy).await;
         }
     }
 }
 
-/// Takes a request that peers know to be run elsewhere, for a caller that asks here.
+/// Takes a request that peers know to be run elsewhere, for a client that asks here.
 async fn adopt(
     context: &Rc<ServeContext>,
     known: RequestCopy,
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 ) -> Result<ObtainedRequest, SendError> {
     supersede(context, known.clone()).await;
     // NOTE: the second claim gives the record its call, which peers do not keep.
@@ -228,12 +228,12 @@
     context: &Rc<ServeContext>,
     copy: RequestCopy,
 ) -> Result<ObtainedRequest, SendError> {
-    if copy.answer.as_ref().is_some_and(|answer| answer.is_answered()) {
+    if copy.response.as_ref().is_some_and(|response| response.is_answered()) {
         return Ok(ObtainedRequest::Ready);
     }
     let name = copy.name.clone();
     let holder = context.target(copy.holder.incarnation);
-    let ended = copy.answer.is_some();
+    let ended = copy.response.is_some();
     match holder.filter(|_| !ended && copy.holder != context.holder()) {
         Some(holder) => {
             if context.mirrors.borrow_mut().insert(name.clone()) {
@@ -255,7 +255,7 @@
         None => return,
     };
     if lost && still_holder {
-        // NOTE: a daemon that is leaving has closed its callers' connections; they ask
+        // NOTE: a daemon that is leaving has closed its clients' connections; they ask
         // another daemon, which takes over instead.
         if !context.is_leaving() {
             let _ = take_over(&context, &name).await;
@@ -280,7 +280,7 @@
 fn follow_again(context: Rc<ServeContext>, name: RequestName) -> LocalBoxFuture<'static, ()> {
     Box::pin(async move {
         let Some(copy) = read_state(&context, &name).await else { return };
-        if copy.answer.is_none() && copy.holder != context.holder() {
+        if copy.response.is_none() && copy.holder != context.holder() {
             // NOTE: fails only while the daemon stops.
             let _ = follow(&context, copy).await;
         }
@@ -296,31 +296,31 @@
 ) -> bool {
     loop {
         let Some(own) = read_state(context, name).await else { return true };
-        if own.answer.is_some() || own.holder.incarnation != holder.incarnation {
+        if own.response.is_some() || own.holder.incarnation != holder.incarnation {
             return true;
         }
         let attached = context.pool.attach(holder, name, own.first_token, ATTACH_WAIT).await;
-        let Ok(Some(news)) = attached else { return false };
-        if news.holder.incarnation != holder.incarnation {
+        let Ok(Some(update)) = attached else { return false };
+        if update.holder.incarnation != holder.incarnation {
             // NOTE: the holder was itself superseded; its copy names the next one.
-            supersede(context, news).await;
+            supersede(context, update).await;
             return true;
         }
-        if news.term < own.term {
+        if update.term < own.term {
             // It does not know that it was superseded; nothing more comes from it.
             return false;
         }
-        let ended = news.answer.is_some();
-        supersede_quietly(context, news).await;
+        let ended = update.response.is_some();
+        supersede_quietly(context, update).await;
         if ended {
             return true;
         }
     }
 }
 
-async fn supersede_quietly(context: &Rc<ServeContext>, news: RequestCopy) {
-    let offer = context.requests.ask(|reply| RequestMessage::Offer { copy: news, reply });
-    // NOTE: news that are not newer change nothing.
+async fn supersede_quietly(context: &Rc<ServeContext>, update: RequestCopy) {
+    let offer = context.requests.ask(|reply| RequestMessage::Offer { copy: update, reply });
+    // An update that is not newer changes nothing; a send fails only while the daemon stops.
     let _ = offer.await;
 }
 
@@ -357,6 +357,6 @@
 }
 
 /// The record expired between two steps: nothing is known of the request any more.
-fn gone() -> FinalAnswer {
-    FinalAnswer::Unknown(crate::native::request::outcome::UnknownReason::HolderLost)
+fn gone() -> FinalResponse {
+    FinalResponse::Unknown(crate::native::request::outcome::UnknownReason::HolderLost)
 }
--- a/src/native/serve/router.rs
+++ b/src/native/serve/router.rs
@@ -328,13 +328,13 @@
             }
             if let Some(pending) = self.try_pick(pending) {
                 // NOTE: it keeps its turn; tags are in the order of virtual time.
-                self.put_back(pending);
+                self.requeue(pending);
                 return;
             }
         }
     }
 
-    fn put_back(&mut self, pending: PendingPick) {
+    fn requeue(&mut self, pending: PendingPick) {
         let order = &pending.order;
         let deadline = order.deadline;
         if let Some(queue) = self.queues.get_mut(&order.service) {
--- a/src/native/serve/router/messages.rs
+++ b/src/native/serve/router/messages.rs
@@ -29,7 +29,7 @@
     pub name: RequestName,
     /// Tokens of its prompt.
     pub prompt_tokens: usize,
-    /// Tokens of its whole answer.
+    /// Tokens of its whole response.
     pub max_tokens: usize,
 }
 
--- a/src/native/serve/router/poll.rs
+++ b/src/native/serve/router/poll.rs
@@ -26,7 +26,8 @@
 ) {
     let call = OutgoingCall::get("read load", &info.address, "/load");
     let report = http.fetch(&call, POLL_LIMIT).await;
-    let report = report.and_then(|answer| answer.json::<LoadReport>("read load", &info.address));
+    let report =
+        report.and_then(|response| response.json::<LoadReport>("read load", &info.address));
     // NOTE: an endpoint that does not report keeps its last load, corrected by our own
     // dispatches; attempts show whether it works.
     let Ok(report) = report else { return };
@@ -39,8 +40,8 @@
         &info.address,
         format!("/cache_events?after={after}"),
     );
-    let Ok(answer) = http.fetch(&call, POLL_LIMIT).await else { return };
-    let Ok(events) = answer.json::<Vec<CacheEvent>>("read cache events", &info.address) else {
+    let Ok(response) = http.fetch(&call, POLL_LIMIT).await else { return };
+    let Ok(events) = response.json::<Vec<CacheEvent>>("read cache events", &info.address) else {
         return;
     };
     let changes: Vec<CacheChange> = events.into_iter().map(CacheEvent::into_change).collect();
--- a/src/native/serve/store_service.rs
+++ b/src/native/serve/store_service.rs
@@ -11,10 +11,10 @@
     ids::RequestName,
     kernel::ServiceInbox,
     native::request::{
-        answer_log::AnswerView,
-        call::CallerCall,
-        outcome::FinalAnswer,
-        store::{AnswerToken, ClaimVerdict, OfferVerdict, RequestCopy, RequestStore},
+        call::ClientCall,
+        outcome::FinalResponse,
+        response_log::ResponseView,
+        store::{ClaimVerdict, OfferVerdict, RequestCopy, RequestStore, ResponseToken},
     },
 };
 
@@ -34,12 +34,12 @@
 /// What the service is asked.
 #[derive(Debug)]
 pub enum RequestMessage {
-    /// A caller asks for `call` under `name`.
+    /// A client asks for `call` under `name`.
     Claim {
         /// Name.
         name: RequestName,
         /// Call.
-        call: Arc<CallerCall>,
+        call: Arc<ClientCall>,
         /// Verdict.
         reply: oneshot::Sender<ClaimVerdict>,
     },
@@ -57,7 +57,7 @@
         /// Term under which it was produced.
         term: u32,
         /// Token.
-        token: AnswerToken,
+        token: ResponseToken,
     },
     /// A request that ran here has ended.
     End {
@@ -66,9 +66,9 @@
         /// Term under which it ran.
         term: u32,
         /// Outcome.
-        answer: Arc<FinalAnswer>,
+        response: Arc<FinalResponse>,
     },
-    /// A peer's copy, whole or news.
+    /// A peer's copy, whole or an update.
     Offer {
         /// Copy.
         copy: RequestCopy,
@@ -89,7 +89,7 @@
         /// Name.
         name: RequestName,
         /// Reading end, if known.
-        reply: oneshot::Sender<Option<AnswerView>>,
+        reply: oneshot::Sender<Option<ResponseView>>,
     },
     /// Number of those who wait on a request.
     Watchers {
@@ -145,8 +145,8 @@
             // by the progress.
             store.append(&name, term, token);
         }
-        RequestMessage::End { name, term, answer } => {
-            store.end(&name, term, answer, now);
+        RequestMessage::End { name, term, response } => {
+            store.end(&name, term, response, now);
         }
         RequestMessage::Offer { copy, reply } => {
             let _ = reply.send(store.offer(copy, now));
--- a/src/native/serve/ticket_service.rs
+++ b/src/native/serve/ticket_service.rs
@@ -8,9 +8,9 @@
     ids::IncarnationId,
     kernel::ServiceInbox,
     native::request::{
-        outcome::FinalAnswer,
+        outcome::FinalResponse,
         tickets::{
-            ConsentVerdict, SealVerdict, SettledAnswer, TicketId, TicketLedger, TicketUse,
+            ConsentVerdict, SealVerdict, SettledResponse, TicketId, TicketLedger, TicketUse,
             WitnessLedger,
         },
     },
@@ -45,14 +45,14 @@
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
-        answer: FinalAnswer,
+        response: FinalResponse,
     },
     /// Wait for the end of a ticket held here that is in progress.
     Wait {
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
-        reply: oneshot::Sender<FinalAnswer>,
+        reply: oneshot::Sender<FinalResponse>,
     },
     /// A holder asks for consent.
     Consent {
@@ -73,7 +73,7 @@
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
-        settled: SettledAnswer,
+        settled: SettledResponse,
     },
     /// Tickets held and witnessed.
     Gauge {
@@ -85,7 +85,7 @@
 struct TicketService {
     held: TicketLedger,
     witnessed: WitnessLedger,
-    waiting: HashMap<TicketId, Vec<oneshot::Sender<FinalAnswer>>>,
+    waiting: HashMap<TicketId, Vec<oneshot::Sender<FinalResponse>>>,
 }
 
 /// Runs the service of the daemon `own`.
@@ -110,15 +110,15 @@
             TicketMessage::Begin { ticket, digest, reply } => {
                 let _ = reply.send(self.held.begin(ticket, digest));
             }
-            TicketMessage::End { ticket, answer } => {
+            TicketMessage::End { ticket, response } => {
                 for waiting in self.waiting.remove(&ticket).unwrap_or_default() {
-                    let _ = waiting.send(answer.clone());
+                    let _ = waiting.send(response.clone());
                 }
-                self.held.end(ticket, answer);
+                self.held.end(ticket, response);
             }
             TicketMessage::Wait { ticket, reply } => match self.held.ended(ticket) {
-                Some(answer) => {
-                    let _ = reply.send(answer);
+                Some(response) => {
+                    let _ = reply.send(response);
                 }
                 None => self.waiting.entry(ticket).or_default().push(reply),
             },
--- a/src/native/serve/timeline.rs
+++ b/src/native/serve/timeline.rs
@@ -27,8 +27,9 @@
     TakenOver,
     /// A request has ended: the one terminal event, with its attempts summed.
     Ended,
-    /// A caller left.
-    CallerLeft,
+    /// A client left.
+    #[serde(rename = "caller-left")]
+    ClientLeft,
     /// A ticket was refused consent, or sealed.
     TicketSealed,
     /// A table row has come into force here.
--- a/tests/native/decisions.rs
+++ b/tests/native/decisions.rs
@@ -25,7 +25,7 @@
             limits::{AccountLimiter, LimitVerdict, RequestPriority},
             prefix::{PrefixCache, prefix_chain},
             reclaim::{LeavingStream, ReclaimWay, ReclaimWeights, plan_reclaim},
-            retries::RetryBudget,
+            retries::RetryBucket,
             routing::{EndpointInfo, RouteChoice, RouteQuery, RouteTable},
             subset::{window, window_size},
         },
@@ -164,7 +164,7 @@
     /// Retries stay a tenth of first attempts, beyond the reserve.
     #[test]
     fn retry_budget_is_a_share(events in vec(any::<bool>(), 1..400)) {
-        let mut budget = RetryBudget::default();
+        let mut budget = RetryBucket::default();
         let (mut firsts, mut retries) = (0.0, 0.0);
         for is_first in events {
             if is_first {
--- a/tests/native/request_model.rs
+++ b/tests/native/request_model.rs
@@ -8,14 +8,14 @@
 use willowarch::{
     ids::{IncarnationId, RequestName},
     native::request::{
-        call::{CallContent, CallerCall, CompletionCall},
+        call::{CallContent, ClientCall, CompletionCall},
         outcome::{
-            CallStage, DispatchedCall, FinalAnswer, NotRunReason, NotStartedEvidence,
+            CallStage, DispatchedCall, FinalResponse, NotRunReason, NotStartedEvidence,
             UndispatchedCall, UnknownReason,
         },
         store::{ClaimVerdict, OfferVerdict, RequestCopy, RequestHolder, RequestStore},
         tickets::{
-            ConsentVerdict, SealVerdict, SettledAnswer, TICKET_KEEP, TicketId, TicketLedger,
+            ConsentVerdict, SealVerdict, SettledResponse, TICKET_KEEP, TicketId, TicketLedger,
             TicketUse, WitnessLedger,
         },
     },
@@ -26,9 +26,9 @@
     RequestHolder { incarnation: IncarnationId(number), address }
 }
 
-fn call(prompt: &str) -> Arc<CallerCall> {
+fn call(prompt: &str) -> Arc<ClientCall> {
     let content = CompletionCall { prompt: prompt.into(), max_tokens: 9, seed: 1, chat: false };
-    Arc::new(CallerCall {
+    Arc::new(ClientCall {
         account: "reader".into(),
         service: "model".into(),
         repeatable: true,
@@ -50,7 +50,7 @@
         call: None,
         first_token,
         tokens: tokens.iter().map(|token| Arc::from(*token)).collect(),
-        answer: None,
+        response: None,
     }
 }
 
@@ -82,7 +82,7 @@
     expect_true!(store.append(&name(), 0, "a".into()));
     store.offer(news(1, 2, 0, &["a", "b"]), now);
     expect_false!(store.append(&name(), 0, "x".into()));
-    expect_false!(store.end(&name(), 0, Arc::new(FinalAnswer::Streamed), now));
+    expect_false!(store.end(&name(), 0, Arc::new(FinalResponse::Streamed), now));
     expect_that!(text(&store), eq("ab"));
 }
 
@@ -91,12 +91,12 @@
     let now = Instant::now();
     let mut store = store();
     store.claim(&name(), &call("p"), now);
-    let lost = FinalAnswer::Unknown(UnknownReason::AttemptsFailed);
+    let lost = FinalResponse::Unknown(UnknownReason::AttemptsFailed);
     expect_true!(store.end(&name(), 0, Arc::new(lost), now));
     expect_that!(store.claim(&name(), &call("p"), now), pat!(ClaimVerdict::Copied(anything())));
     let taken = store.take_over(&name(), now).expect("a record");
     expect_that!(taken.term, eq(1));
-    expect_that!(taken.answer, none());
+    expect_that!(taken.response, none());
 }
 
 #[googletest::test]
@@ -105,7 +105,7 @@
     let mut store = store();
     store.claim(&name(), &call("p"), now);
     store.append(&name(), 0, "a".into());
-    store.end(&name(), 0, Arc::new(FinalAnswer::Streamed), now);
+    store.end(&name(), 0, Arc::new(FinalResponse::Streamed), now);
     expect_that!(store.offer(news(9, 2, 0, &["x"]), now), pat!(OfferVerdict::Known(anything())));
     expect_that!(text(&store), eq("a"));
 }
@@ -143,11 +143,11 @@
         stage.give_up(NotRunReason::NoEndpoint, Duration::ZERO, UnknownReason::AttemptsFailed)
     };
     let first = UndispatchedCall::new(call("p")).begin();
-    expect_that!(give_up(first.not_started(evidence)), pat!(FinalAnswer::NotRun(anything())));
+    expect_that!(give_up(first.not_started(evidence)), pat!(FinalResponse::NotRun(anything())));
     let second = UndispatchedCall::new(call("p")).begin().begin_again();
-    expect_that!(give_up(second.not_started(evidence)), pat!(FinalAnswer::Unknown(anything())));
+    expect_that!(give_up(second.not_started(evidence)), pat!(FinalResponse::Unknown(anything())));
     let taken = DispatchedCall::taken_over(call("p"));
-    expect_that!(give_up(taken.not_started(evidence)), pat!(FinalAnswer::Unknown(anything())));
+    expect_that!(give_up(taken.not_started(evidence)), pat!(FinalResponse::Unknown(anything())));
 }
 
 #[googletest::test]
@@ -241,12 +241,12 @@
                 play.said_not_run = true;
             }
             TicketEvent::HolderEnds if play.running && !play.dead => {
-                held.end(ticket, FinalAnswer::Streamed);
+                held.end(ticket, FinalResponse::Streamed);
                 play.running = false;
                 play.ended = true;
             }
             TicketEvent::SettleArrives if play.ended => {
-                let settled = SettledAnswer { digest, answer: FinalAnswer::Streamed };
+                let settled = SettledResponse { digest, response: FinalResponse::Streamed };
                 witness.settle(ticket, settled, now);
             }
             TicketEvent::HolderDies => play.dead = true,
