--- a/src/control/table.rs
+++ b/src/control/table.rs
@@ -14,7 +14,7 @@
             check::OptionError,
             rows::{EDIT_FIELDS, TableRow},
         },
-        serve::platform_watch::ROW_KIND,
+        serve::planning::platform_watch::ROW_KIND,
     },
 };
 
--- a/src/native/cluster/service.rs
+++ b/src/native/cluster/service.rs
@@ -22,7 +22,7 @@
         options::rows::{TableRow, TableSnapshot},
         peer::client::PeerPool,
         serve::{
-            router::messages::RouterMessage,
+            services::router::messages::RouterMessage,
             timeline::{EventKind, TimelineHandle},
         },
     },
--- a/src/native/daemon.rs
+++ b/src/native/daemon.rs
@@ -27,13 +27,15 @@
     peer::{self, LocalIdentity, client::PeerPool},
     request::store::{RequestHolder, RequestStore},
     serve::{
-        admin, client_listener,
         context::ServeContext,
-        copies,
-        limit_service::{self, LimitViews},
-        planner, platform_watch,
-        router::{self, RouterInputs},
-        store_service, ticket_service,
+        listeners::{admin, client_listener},
+        planning::{planner, platform_watch},
+        services::{
+            copies,
+            limit_service::{self, LimitViews},
+            router::{self, RouterInputs},
+            store_service, ticket_service,
+        },
         timeline::{EventKind, TimelineHandle},
     },
 };
--- a/src/native/peer/server.rs
+++ b/src/native/peer/server.rs
@@ -26,8 +26,12 @@
             tickets::{SealVerdict, TicketId},
         },
         serve::{
-            context::ServeContext, limit_service::LimitMessage, once,
-            store_service::RequestMessage, ticket_service::TicketMessage,
+            context::ServeContext,
+            run::once,
+            services::{
+                limit_service::LimitMessage, store_service::RequestMessage,
+                ticket_service::TicketMessage,
+            },
         },
     },
     peer_capnp::{gate, peer},
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -11,11 +11,13 @@
 use tokio::sync::watch;
 
 use super::{
-    copies::CopyMessage,
-    limit_service::LimitMessage,
-    router::messages::{PickOrder, PickReply, RouterMessage},
-    store_service::RequestMessage,
-    ticket_service::TicketMessage,
+    services::{
+        copies::CopyMessage,
+        limit_service::LimitMessage,
+        router::messages::{PickOrder, PickReply, RouterMessage},
+        store_service::RequestMessage,
+        ticket_service::TicketMessage,
+    },
     timeline::{EventKind, TimelineHandle},
 };
 use crate::{
--- a/src/native/serve/admin.rs
+++ b/src/native/serve/listeners/admin.rs
@@ -7,15 +7,7 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-use super::{
-    context::ServeContext,
-    limit_service::LimitMessage,
-    problem::Problem,
-    response::json_response,
-    router::messages::{RouterMessage, RouterStatus},
-    store_service::{RequestMessage, StoreGauge},
-    ticket_service::TicketMessage,
-};
+use super::{problem::Problem, response::json_response};
 use crate::{
     http::{ResponseBody, server, whole_body},
     ids::{IncarnationId, SharedName},
@@ -28,6 +20,15 @@
             members::MemberStatus,
             service::ClusterMessage,
         },
+        serve::{
+            context::ServeContext,
+            services::{
+                limit_service::LimitMessage,
+                router::messages::{RouterMessage, RouterStatus},
+                store_service::{RequestMessage, StoreGauge},
+                ticket_service::TicketMessage,
+            },
+        },
     },
 };
 
--- a/src/native/serve/client_listener.rs
+++ b/src/native/serve/listeners/client_listener.rs
@@ -12,20 +12,27 @@
 };
 
 use super::{
-    context::ServeContext,
-    once::{self, OnceOutcome},
     parse::{self, CheckedRequest, ResponseForm},
     problem::Problem,
     response::{ResponseReader, json_response, plain_response, vanished},
-    resume::{self, ObtainedRequest},
-    store_service::RequestMessage,
-    timeline::EventKind,
 };
 use crate::{
     http::{ResponseBody, server, whole_body},
     ids::RequestName,
     kernel::SendError,
-    native::{headers, request::outcome::FinalResponse},
+    native::{
+        headers,
+        request::outcome::FinalResponse,
+        serve::{
+            context::ServeContext,
+            run::{
+                once::{self, OnceOutcome},
+                resume::{self, ObtainedRequest},
+            },
+            services::store_service::RequestMessage,
+            timeline::EventKind,
+        },
+    },
 };
 
 /// Name of the service.
--- a/src/native/serve/response.rs
+++ b/src/native/serve/listeners/response.rs
@@ -9,18 +9,21 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use super::{
-    context::ServeContext, problem::Problem, store_service::RequestMessage, timeline::EventKind,
-};
+use super::problem::Problem;
 use crate::{
     counting::CountGuard,
     http::{BodyError, ResponseBody, stream_body, whole_body},
     ids::RequestName,
     kernel::LifePhase,
-    native::request::{
-        outcome::{FinalResponse, PlainResponse, UnknownReason},
-        response_log::ResponseView,
-        store::RequestCopy,
+    native::{
+        request::{
+            outcome::{FinalResponse, PlainResponse, UnknownReason},
+            response_log::ResponseView,
+            store::RequestCopy,
+        },
+        serve::{
+            context::ServeContext, services::store_service::RequestMessage, timeline::EventKind,
+        },
     },
 };
 
--- a/src/native/serve/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -12,11 +12,6 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use super::{
-    context::ServeContext,
-    limit_service::{LimitMessage, service_demand_name},
-    timeline::EventKind,
-};
 use crate::{
     errors::{FailureCause, StepError},
     ids::SharedName,
@@ -34,6 +29,11 @@
             FleetAction, FleetPlace, FleetPlanner, FleetWeights, HeldVm, ServiceFleet,
         },
         options::rows::ServiceRow,
+        serve::{
+            context::ServeContext,
+            services::limit_service::{LimitMessage, service_demand_name},
+            timeline::EventKind,
+        },
     },
 };
 
--- a/src/native/serve/platform_watch.rs
+++ b/src/native/serve/planning/platform_watch.rs
@@ -8,7 +8,6 @@
 
 use tokio::time::{Instant, sleep};
 
-use super::context::ServeContext;
 use crate::{
     errors::StepError,
     ids::SharedName,
@@ -19,6 +18,7 @@
             items::{ItemKind, SpreadItem},
             service::ClusterMessage,
         },
+        serve::context::ServeContext,
     },
 };
 
--- /dev/null
+++ b/src/native/serve/run.rs
@@ -0,0 +1,7 @@
+//! The life of one request at this daemon: found or started, dispatched, retried, moved
+//! and ended.
+
+pub mod attempt;
+pub mod driver;
+pub mod once;
+pub mod resume;
--- a/src/native/serve/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -8,7 +8,6 @@
 use hyper::{HeaderMap, Method, Response, body::Incoming};
 use tokio::time::Duration;
 
-use super::{context::ServeContext, router::messages::EndpointSlot, store_service::RequestMessage};
 use crate::{
     clock::{WaitOver, wait_at_most},
     endpoint_health::AttemptResult,
@@ -24,6 +23,10 @@
             outcome::{FinalResponse, NotStartedEvidence, PlainResponse},
             store::ResponseToken,
         },
+        serve::{
+            context::ServeContext,
+            services::{router::messages::EndpointSlot, store_service::RequestMessage},
+        },
     },
 };
 
--- a/src/native/serve/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -5,13 +5,7 @@
 use hyper::Method;
 use tokio::time::{Instant, sleep};
 
-use super::{
-    attempt::{AttemptEnd, AttemptTask, as_completion},
-    context::ServeContext,
-    router::messages::{EndpointSlot, PickOrder, PickReply, StreamShape},
-    store_service::RequestMessage,
-    timeline::EventKind,
-};
+use super::attempt::{AttemptEnd, AttemptTask, as_completion};
 use crate::{
     http::client::OutgoingCall,
     ids::{RequestName, SharedName},
@@ -29,6 +23,14 @@
             outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UnknownReason},
             store::ResponseToken,
         },
+        serve::{
+            context::ServeContext,
+            services::{
+                router::messages::{EndpointSlot, PickOrder, PickReply, StreamShape},
+                store_service::RequestMessage,
+            },
+            timeline::EventKind,
+        },
     },
 };
 
--- a/src/native/serve/once.rs
+++ b/src/native/serve/run/once.rs
@@ -12,9 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::{
-    context::ServeContext, once::run::OnceRun, ticket_service::TicketMessage, timeline::EventKind,
-};
+use super::once::run::OnceRun;
 use crate::{
     errors::FailureCause,
     ids::{RequestName, SharedName, hash_parts},
@@ -25,6 +23,9 @@
             outcome::{FinalResponse, NotRunReason, UndispatchedCall, UnknownReason},
             tickets::{SealVerdict, SettledResponse, TicketId, TicketUse},
         },
+        serve::{
+            context::ServeContext, services::ticket_service::TicketMessage, timeline::EventKind,
+        },
     },
 };
 
--- a/src/native/serve/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -15,10 +15,12 @@
             tickets::{ConsentVerdict, TicketId},
         },
         serve::{
-            attempt::{AttemptEnd, AttemptTask},
             context::ServeContext,
-            resume::admit,
-            router::messages::{EndpointSlot, PickOrder, PickReply},
+            run::{
+                attempt::{AttemptEnd, AttemptTask},
+                resume::admit,
+            },
+            services::router::messages::{EndpointSlot, PickOrder, PickReply},
             timeline::EventKind,
         },
     },
--- a/src/native/serve/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -12,14 +12,7 @@
 use futures::future::LocalBoxFuture;
 use tokio::time::{Instant, timeout};
 
-use super::{
-    context::ServeContext,
-    copies::{CopyMessage, supersede},
-    driver::RequestDriver,
-    limit_service::LimitMessage,
-    store_service::RequestMessage,
-    timeline::EventKind,
-};
+use super::driver::RequestDriver;
 use crate::{
     ids::RequestName,
     kernel::SendError,
@@ -31,6 +24,15 @@
             outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UndispatchedCall},
             store::{ClaimVerdict, RequestCopy},
         },
+        serve::{
+            context::ServeContext,
+            services::{
+                copies::{CopyMessage, supersede},
+                limit_service::LimitMessage,
+                store_service::RequestMessage,
+            },
+            timeline::EventKind,
+        },
     },
 };
 
--- /dev/null
+++ b/src/native/serve/services.rs
@@ -0,0 +1,8 @@
+//! Services that own a daemon's state. Each runs as one task with a mailbox, so that its
+//! state has one writer.
+
+pub mod copies;
+pub mod limit_service;
+pub mod router;
+pub mod store_service;
+pub mod ticket_service;
--- a/src/native/serve/copies.rs
+++ b/src/native/serve/services/copies.rs
@@ -13,7 +13,7 @@
 
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use super::{context::ServeContext, store_service::RequestMessage};
+use super::store_service::RequestMessage;
 use crate::{
     ids::RequestName,
     kernel::{ServiceAddress, ServiceInbox},
@@ -23,6 +23,7 @@
             response_log::{RequestProgress, ResponseView},
             store::{OfferVerdict, RequestCopy},
         },
+        serve::context::ServeContext,
     },
 };
 
--- a/src/native/serve/router.rs
+++ b/src/native/serve/services/router.rs
@@ -18,7 +18,6 @@
         messages::{EndpointSlot, PickOrder, PickReply, RouterMessage, RouterStatus, StreamShape},
         poll::poll_endpoint,
     },
-    timeline::{EventKind, TimelineHandle},
 };
 use crate::{
     endpoint_health::AttemptResult,
@@ -36,6 +35,7 @@
             subset::{ring_position, window, window_size},
         },
         options::rows::{ServiceType, TableSnapshot},
+        serve::timeline::{EventKind, TimelineHandle},
     },
 };
 
--- a/tests/native/request_model.rs
+++ b/tests/native/request_model.rs
@@ -359,7 +359,7 @@
     /// Callers' input: any body and key gets a call or a problem that names a field.
     #[test]
     fn caller_input_gets_a_call_or_a_named_field(body in vec(any::<u8>(), 0..200), key in ".{0,40}") {
-        use willowarch::native::{options::rows::{TableRow, TableSnapshot}, serve::parse};
+        use willowarch::native::{options::rows::{TableRow, TableSnapshot}, serve::listeners::parse};
         let rows = serde_json::json!([
             { "kind": "account", "name": "reader", "api_key": "key" },
             { "kind": "service", "name": "model" },
