--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -31,7 +31,8 @@
             subset::{window, window_size},
         },
         request::{
-            store::{RequestCopy, RequestHolder, RequestStore},
+            copy::{RequestCopy, RequestHolder},
+            store::RequestStore,
             tickets::{TicketId, TicketLedger, WitnessLedger},
         },
         serve::timeline::{EventKind, TimelineHandle},
--- a/src/native/daemon.rs
+++ b/src/native/daemon.rs
@@ -25,7 +25,7 @@
     },
     options::{rows::TableSnapshot, settings::DaemonSettings},
     peer::{self, LocalIdentity, client::PeerPool},
-    request::store::{RequestHolder, RequestStore},
+    request::{copy::RequestHolder, store::RequestStore},
     serve::{
         context::ServeContext,
         listeners::{admin, client_listener},
@@ -72,7 +72,7 @@
     requests: ServiceInbox<store_service::RequestMessage>,
     tickets: ServiceInbox<ticket_service::TicketMessage>,
     router: ServiceInbox<router::messages::RouterMessage>,
-    copies: ServiceInbox<copies::CopyMessage>,
+    copies: ServiceInbox<copies::messages::CopyMessage>,
     limits: ServiceInbox<limit_service::LimitMessage>,
 }
 
--- a/src/native/peer/calls.rs
+++ b/src/native/peer/calls.rs
@@ -17,7 +17,7 @@
         },
         request::{
             call::ClientCall,
-            store::RequestCopy,
+            copy::RequestCopy,
             tickets::{ConsentVerdict, SealVerdict, SettledResponse, TicketId},
         },
     },
--- a/src/native/peer/codec.rs
+++ b/src/native/peer/codec.rs
@@ -14,7 +14,7 @@
         },
         options::check::is_name,
         request::{
-            store::{RequestCopy, RequestHolder},
+            copy::{RequestCopy, RequestHolder},
             tickets::ConsentVerdict,
         },
     },
--- a/src/native/request.rs
+++ b/src/native/request.rs
@@ -1,6 +1,7 @@
 //! A request's life: received, accepted, dispatched, and exactly one final outcome.
 
 pub mod call;
+pub mod copy;
 pub mod outcome;
 pub mod response_log;
 pub mod store;
--- a/src/native/request/response_log.rs
+++ b/src/native/request/response_log.rs
@@ -5,8 +5,8 @@
 use tokio::sync::watch;
 
 use super::{
+    copy::{RequestCopy, RequestHolder, ResponseToken},
     outcome::FinalResponse,
-    store::{RequestCopy, RequestHolder, ResponseToken},
 };
 use crate::ids::RequestName;
 
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -12,7 +12,7 @@
 
 use super::{
     services::{
-        copies::CopyMessage,
+        copies::messages::CopyMessage,
         limit_service::LimitMessage,
         router::messages::{PickOrder, PickReply, RouterMessage},
         store_service::RequestMessage,
@@ -32,7 +32,7 @@
         decide::retries::RetryBucket,
         options::{rows::TableSnapshot, settings::DaemonSettings},
         peer::{LocalIdentity, client::PeerPool},
-        request::store::RequestHolder,
+        request::copy::RequestHolder,
     },
 };
 
--- a/src/native/serve/listeners/response.rs
+++ b/src/native/serve/listeners/response.rs
@@ -17,9 +17,9 @@
     kernel::LifePhase,
     native::{
         request::{
+            copy::RequestCopy,
             outcome::{FinalResponse, PlainResponse, UnknownReason},
             response_log::ResponseView,
-            store::RequestCopy,
         },
         serve::{
             context::ServeContext, services::store_service::RequestMessage, timeline::EventKind,
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -20,8 +20,8 @@
         headers,
         request::{
             call::{CallContent, ClientCall, CompletionCall, PlainCall},
+            copy::ResponseToken,
             outcome::{FinalResponse, NotStartedEvidence, PlainResponse},
-            store::ResponseToken,
         },
         serve::{
             context::ServeContext,
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -20,8 +20,8 @@
         endpoint::ImportOrder,
         request::{
             call::{CallContent, ClientCall},
+            copy::ResponseToken,
             outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UnknownReason},
-            store::ResponseToken,
         },
         serve::{
             context::ServeContext,
--- a/src/native/serve/run/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -21,13 +21,14 @@
         decide::limits::{LimitVerdict, RequestPriority},
         request::{
             call::ClientCall,
+            copy::RequestCopy,
             outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UndispatchedCall},
-            store::{ClaimVerdict, RequestCopy},
+            store::ClaimVerdict,
         },
         serve::{
             context::ServeContext,
             services::{
-                copies::{CopyMessage, supersede},
+                copies::{messages::CopyMessage, supersede},
                 limit_service::LimitMessage,
                 store_service::RequestMessage,
             },
--- a/src/native/serve/services/copies.rs
+++ b/src/native/serve/services/copies.rs
@@ -5,6 +5,8 @@
 //! many requests run and however many daemons there are. docs/design/copies.md weighs
 //! the ways.
 
+pub mod messages;
+
 use std::{
     collections::HashMap,
     rc::{Rc, Weak},
@@ -13,15 +15,16 @@
 
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use super::store_service::RequestMessage;
+use super::{copies::messages::CopyMessage, store_service::RequestMessage};
 use crate::{
     ids::RequestName,
     kernel::{ServiceAddress, ServiceInbox},
     native::{
         cluster::events::PeerTarget,
         request::{
+            copy::RequestCopy,
             response_log::{RequestProgress, ResponseView},
-            store::{OfferVerdict, RequestCopy},
+            store::OfferVerdict,
         },
         serve::context::ServeContext,
     },
@@ -32,17 +35,6 @@
 /// Time between messages to one peer.
 const FLUSH_EVERY: Duration = Duration::from_millis(100);
 
-/// What the service is told.
-#[derive(Debug)]
-pub enum CopyMessage {
-    /// A request runs here from now on.
-    Track(RequestName),
-    /// A peer could not apply updates of these requests: it needs them whole, or knows better.
-    Refused(PeerTarget, Vec<RequestName>),
-    /// A peer did not answer.
-    Failed(PeerTarget),
-}
-
 #[derive(Debug)]
 struct TrackedCopy {
     view: ResponseView,
--- a/src/native/serve/services/store_service.rs
+++ b/src/native/serve/services/store_service.rs
@@ -12,9 +12,10 @@
     kernel::ServiceInbox,
     native::request::{
         call::ClientCall,
+        copy::{RequestCopy, ResponseToken},
         outcome::FinalResponse,
         response_log::ResponseView,
-        store::{ClaimVerdict, OfferVerdict, RequestCopy, RequestStore, ResponseToken},
+        store::{ClaimVerdict, OfferVerdict, RequestStore},
     },
 };
 
--- a/tests/native/request_model.rs
+++ b/tests/native/request_model.rs
@@ -9,11 +9,12 @@
     ids::{IncarnationId, RequestName},
     native::request::{
         call::{CallContent, ClientCall, CompletionCall},
+        copy::{RequestCopy, RequestHolder},
         outcome::{
             CallStage, DispatchedCall, FinalResponse, NotRunReason, NotStartedEvidence,
             UndispatchedCall, UnknownReason,
         },
-        store::{ClaimVerdict, OfferVerdict, RequestCopy, RequestHolder, RequestStore},
+        store::{ClaimVerdict, OfferVerdict, RequestStore},
         tickets::{
             ConsentVerdict, SealVerdict, SettledResponse, TICKET_KEEP, TicketId, TicketLedger,
             TicketUse, WitnessLedger,
