--- a/benches/decisions/fleet.rs
+++ b/benches/decisions/fleet.rs
@@ -218,7 +218,7 @@
     };
     ServiceFleet {
         service: "m".into(),
-        need,
+        required: need,
         bounds: (0, 1_000),
         held,
         pending: Vec::new(),
--- a/benches/decisions/serving.rs
+++ b/benches/decisions/serving.rs
@@ -245,7 +245,7 @@
                 Event::Arrive(request) => {
                     self.result.requests += 1.0;
                     let daemon = self.arrivals[request].daemon;
-                    self.budgets[daemon].earn();
+                    self.budgets[daemon].deposit();
                     self.admit(request);
                 }
                 Event::Attempt(request) => {
@@ -409,7 +409,7 @@
             RetryWay::Budgeted => {
                 self.tried[request].push(format!("vm-{engine}").into());
                 let daemon = self.arrivals[request].daemon;
-                if self.budgets[daemon].spend() {
+                if self.budgets[daemon].try_withdraw() {
                     let pause = retry_pause(retries, &mut self.rng).as_secs_f64();
                     self.schedule(self.now + pause, Event::Attempt(request));
                 }
--- a/src/native/decide.rs
+++ b/src/native/decide.rs
@@ -1,5 +1,10 @@
-//! Decisions, all pure: events and the clock's time in, choices out, random numbers
-//! from a source that is handed in. Nothing here reads a clock or does I/O.
+//! The rules of the native path, without I/O: events and the clock's time in, decisions out,
+//! random numbers from a source that is handed in.
+//!
+//! Each module's head says what it decides, from what, how old its inputs may be, and where
+//! the gateway's own rule for the same question stands (`crate::gateway::policy`). The
+//! experiments behind the constants are in `benches/decisions`, their results in
+//! docs/measurements.
 
 pub mod fair_queue;
 pub mod fleet;
--- a/src/native/decide/fair_queue.rs
+++ b/src/native/decide/fair_queue.rs
@@ -1,9 +1,12 @@
-//! Fair queue: when endpoints are full, accounts take turns by weighted tokens.
+//! Fair queue: the order in which requests get endpoints while all are full.
 //!
 //! Start-time fair queueing: each request is tagged with the virtual time at which its
 //! account could start it; the lowest tag goes next. A burst of one account moves only
-//! its own tags ahead. Accounts within their share go before those over it: their own long
-//! requests would otherwise hold up their short ones for as long as the burst lasts.
+//! its own tags ahead. Accounts within their share go before those over it; otherwise their own
+//! long requests would delay their short ones for as long as a burst lasts (commit 839e0bd).
+//!
+//! Inputs: the account's weight, its priority (`decide::limits`), and the tokens that the
+//! request is expected to cost. The queue is one daemon's; it knows nothing of the others'.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,6 +19,7 @@
 type QueueTag = (RequestPriority, u64, u64);
 
 /// Virtual time per weighted token, in units of the tag.
+/// Basis: chosen, not measured: tags are whole numbers; a thousandth of a token is exact enough.
 const TAG_SCALE: f64 = 1_000.0;
 
 /// What a request's turn depends on.
@@ -60,8 +64,8 @@
         }
     }
 
-    /// Adds a request; one that does not fit is given back. When the queue is full, the
-    /// request with the highest tag has to go, which may be another account's.
+    /// Adds a request. When the queue is full, returns the request with the highest tag, which
+    /// may be another account's.
     pub fn push(&mut self, turn: &QueueTurn, deadline: Instant, item: T) -> Option<T> {
         let account = &turn.account;
         if self.waiting.is_empty() {
@@ -82,21 +86,21 @@
         Some(dropped.item)
     }
 
-    /// Gives back a request that was just taken: it keeps its turn.
+    /// Returns a request that was just popped to the front of the queue.
     pub fn push_front(&mut self, deadline: Instant, item: T) {
         self.arrivals += 1;
         let tag = (RequestPriority::Normal, 0, self.arrivals);
         self.waiting.insert(tag, WaitingEntry { deadline, item });
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes the request with the lowest tag.
     pub fn pop(&mut self) -> Option<T> {
         let ((_, start, _), entry) = self.waiting.pop_first()?;
         self.virtual_time = self.virtual_time.max(start);
         Some(entry.item)
     }
 
-    /// Takes all requests whose deadline has passed.
+    /// Removes all requests whose deadline has passed.
     pub fn expire(&mut self, now: Instant) -> Vec<T> {
         let due: Vec<QueueTag> = self
             .waiting
--- a/src/native/decide/fleet.rs
+++ b/src/native/decide/fleet.rs
@@ -1,12 +1,19 @@
-//! Which VMs to hold, in which availability zone and price class.
+//! How many VMs of a service to hold, in which availability zone and price class.
 //!
-//! At any time the world is in one of a few states: nothing is wrong, or one zone's
-//! reclaimable VMs are gone and not yet replaced. A VM more is worth what it saves in expected shortage over these
-//! states; it costs its price, and what its own reclaim would cost in tokens computed
-//! again. Counts per place are improved by moving chunks of VMs, first large then small,
-//! while that lowers the expected cost. VMs that are held already count as a little
-//! cheaper than new ones, so that small changes of price move nothing.
+//! Decides which VMs to start and which to release, for the planner on the native path
+//! (`serve::planning::planner`). The gateway's rule, `gateway::policy::fleet_size`, spreads
+//! endpoints by fixed rules; this one minimizes an expected cost, so the two stay apart.
+//!
+//! Inputs: the VMs required (from averages of load, one to two epochs of 2 s old), the prices
+//! of this round, the VMs held (the VM list, read every 2 s), and the weights of the service's
+//! row. If the load is not known, the planner takes the number of VMs held as required.
+//!
+//! At any time nothing is wrong, or one zone's reclaimable VMs are gone and not yet replaced.
+//! One more VM is worth what it saves in expected shortage over these states; it costs its
+//! price, and what its own reclaim would cost in tokens computed again. Counts are improved by
+//! moving chunks of VMs between places, large ones first, while that lowers the expected cost.
 
+mod free_name;
 mod problem;
 
 use std::{
@@ -16,20 +23,29 @@
 
 use tokio::time::Instant;
 
-use super::fleet::problem::{FleetProblem, place_of};
+use self::{
+    free_name::free_name,
+    problem::{FleetProblem, place_of},
+};
 use crate::{
     ids::SharedName,
     native::cloud_api::messages::{PriceClass, PriceEntry},
 };
 
 /// How long fewer VMs must have been enough before one is released.
+/// Basis: chosen, not measured: longer than a start (2 minutes in the bench fleet).
 const RELEASE_AFTER: Duration = Duration::from_secs(300);
 /// After a notice or a refused start nothing is released for this time.
+/// Basis: chosen, not measured: zones go one after another in a wave of reclaims.
 const WAVE_HOLD: Duration = Duration::from_secs(600);
-/// Pause before a refused place is tried again; each further refusal doubles it.
+/// Pause before a place that refused a start is tried again; each further refusal doubles it.
+/// Basis: chosen, not measured: a few planner rounds.
 const REFUSED_FIRST: Duration = Duration::from_secs(10);
+/// Longest pause before a place that refused a start is tried again.
+/// Basis: chosen, not measured: as long as a wave is taken to last (`WAVE_HOLD`).
 const REFUSED_LONGEST: Duration = Duration::from_secs(600);
 /// Most VMs started in one round.
+/// Basis: chosen, not measured: bounds what a wrong figure can cost before the next round.
 const STARTS_PER_ROUND: usize = 16;
 
 /// Where and how a VM is held.
@@ -41,7 +57,7 @@
     pub class: PriceClass,
 }
 
-/// What the planner weighs for one service, from its row and from what was measured.
+/// Weights of one service, from its row.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetWeights {
     /// Cost of one VM missing for an hour while there is demand for it, in cost units.
@@ -54,15 +70,16 @@
     pub reclaim: f64,
 }
 
-/// Chooses counts per place for `need` VMs (a fraction counts as part of one).
+/// Chooses counts per place for `required` VMs (a fraction counts as part of one), `max` at
+/// most.
 pub fn choose_counts(
-    need: f64,
+    required: f64,
     prices: &[PriceEntry],
     held: &HashMap<FleetPlace, usize>,
     weights: &FleetWeights,
-    most: usize,
+    max: usize,
 ) -> BTreeMap<FleetPlace, usize> {
-    let problem = FleetProblem::new(need, most, prices, held, weights);
+    let problem = FleetProblem::new(required, max, prices, held, weights);
     let counts = problem.improve(vec![0; prices.len()]);
     let pairs = prices.iter().map(place_of).zip(counts);
     pairs.filter(|(_, count)| *count > 0).collect()
@@ -73,12 +90,12 @@
 /// Only the tests call it: they compare [`choose_counts`] with all fleets there are, by the
 /// same cost, which is private to this module.
 pub fn expected_cost(
-    need: f64,
+    required: f64,
     counts: &BTreeMap<FleetPlace, usize>,
     prices: &[PriceEntry],
     weights: &FleetWeights,
 ) -> f64 {
-    let problem = FleetProblem::new(need, usize::MAX, prices, &HashMap::new(), weights);
+    let problem = FleetProblem::new(required, usize::MAX, prices, &HashMap::new(), weights);
     let counts = prices.iter().map(|price| counts.get(&place_of(price)).copied().unwrap_or(0));
     problem.cost(&counts.collect::<Vec<usize>>())
 }
@@ -96,13 +113,13 @@
     pub leaving: bool,
 }
 
-/// What the planner sees of one service.
+/// One service as the planner knows it.
 #[derive(Clone, Debug)]
 pub struct ServiceFleet {
     /// Service.
     pub service: SharedName,
-    /// VMs that its demand needs now.
-    pub need: f64,
+    /// VMs that its load requires now; a fraction counts as part of one.
+    pub required: f64,
     /// Fewest and most VMs, from its row.
     pub bounds: (usize, usize),
     /// VMs that are held.
@@ -136,7 +153,7 @@
     pause: Duration,
 }
 
-/// Memory of the planner between rounds.
+/// State of the planner between rounds.
 #[derive(Debug, Default)]
 pub struct FleetPlanner {
     refused: HashMap<FleetPlace, RefusedPlace>,
@@ -147,7 +164,7 @@
 }
 
 impl FleetPlanner {
-    /// A start was refused: the place is left alone for a while.
+    /// Records a refused start: the place is left alone for a while.
     pub fn refused(&mut self, place: &FleetPlace, now: Instant) {
         let pause = match self.refused.get(place) {
             Some(before) => (before.pause * 2).min(REFUSED_LONGEST),
@@ -162,12 +179,12 @@
         self.refused.get(place).is_some_and(|refused| now < refused.until)
     }
 
-    /// A start was carried out.
+    /// Records a start that was carried out.
     pub fn started(&mut self, place: &FleetPlace) {
         self.refused.remove(place);
     }
 
-    /// Whether capacity is held on to because a wave is under way.
+    /// Whether a wave of reclaims is under way, in which nothing is released.
     pub fn is_wave(&self, now: Instant) -> bool {
         self.wave_until.is_some_and(|until| now < until)
     }
@@ -180,6 +197,12 @@
         }
     }
 
+    /// Prices of the places that are not left alone.
+    fn open_places(&self, prices: &[PriceEntry], now: Instant) -> Vec<PriceEntry> {
+        let open = prices.iter().filter(|price| !self.is_refused(&place_of(price), now));
+        open.cloned().collect()
+    }
+
     /// Decides one round for one service.
     pub fn decide(
         &mut self,
@@ -188,22 +211,12 @@
         now: Instant,
     ) -> Vec<FleetAction> {
         self.note_leaving(fleet, now);
-        let open: Vec<PriceEntry> = prices
-            .iter()
-            .filter(|price| {
-                let place = FleetPlace { zone: price.zone.clone(), class: price.class };
-                !self.is_refused(&place, now)
-            })
-            .cloned()
-            .collect();
+        let open = self.open_places(prices, now);
         let staying: Vec<&HeldVm> = fleet.held.iter().filter(|vm| !vm.leaving).collect();
-        let mut held: HashMap<FleetPlace, usize> = HashMap::new();
-        for vm in &staying {
-            *held.entry(vm.place.clone()).or_default() += 1;
-        }
-        let need = fleet.need.max(fleet.bounds.0 as f64);
-        // NOTE: a place that refuses starts may still be held, so all prices count here.
-        let target = choose_counts(need, prices, &held, &fleet.weights, fleet.bounds.1);
+        let held = count_by_place(&staying);
+        let required = fleet.required.max(fleet.bounds.0 as f64);
+        // A place that refuses starts may still be held, so all prices count here.
+        let target = choose_counts(required, prices, &held, &fleet.weights, fleet.bounds.1);
         let wanted: usize = target.values().sum();
         let have = staying.len() + fleet.pending.len();
         if wanted > have {
@@ -225,8 +238,8 @@
         open: &[PriceEntry],
         missing: usize,
     ) -> Vec<FleetAction> {
-        let need = fleet.need.max(fleet.bounds.0 as f64);
-        let problem = FleetProblem::new(need, usize::MAX, open, held, &fleet.weights);
+        let required = fleet.required.max(fleet.bounds.0 as f64);
+        let problem = FleetProblem::new(required, usize::MAX, open, held, &fleet.weights);
         let mut counts = problem.held.clone();
         let mut names: HashSet<SharedName> =
             fleet.held.iter().map(|vm| vm.name.clone()).chain(fleet.pending.clone()).collect();
@@ -262,10 +275,7 @@
         if self.is_wave(now) || now.saturating_duration_since(since) < RELEASE_AFTER {
             return None;
         }
-        let mut counts: HashMap<&FleetPlace, usize> = HashMap::new();
-        for vm in staying {
-            *counts.entry(&vm.place).or_default() += 1;
-        }
+        let counts = count_by_place(staying);
         let over = |vm: &&&HeldVm| counts[&vm.place] > target.get(&vm.place).copied().unwrap_or(0);
         let mut candidates: Vec<&&HeldVm> = staying.iter().filter(over).collect();
         candidates.sort_by_key(|vm| (vm.place.class != PriceClass::OnDemand, vm.name.clone()));
@@ -274,15 +284,10 @@
     }
 }
 
-/// Lowest free name at a place. Two planners that do not know of each other choose the
-/// same name, and the cloud starts it once.
-fn free_name(service: &SharedName, place: &FleetPlace, taken: &HashSet<SharedName>) -> SharedName {
-    let class = match place.class {
-        PriceClass::Reclaimable => "r",
-        PriceClass::OnDemand => "d",
-    };
-    let names = (1_usize..).map(|number| format!("{service}-{}-{class}-{number}", place.zone));
-    let mut free = names.map(SharedName::from).filter(|name| !taken.contains(name));
-    // NOTE: the numbers do not end, so there is a free one.
-    free.next().unwrap_or_default()
+fn count_by_place(vms: &[&HeldVm]) -> HashMap<FleetPlace, usize> {
+    let mut counts: HashMap<FleetPlace, usize> = HashMap::new();
+    for vm in vms {
+        *counts.entry(vm.place.clone()).or_default() += 1;
+    }
+    counts
 }
--- a/src/native/decide/fleet/problem.rs
+++ b/src/native/decide/fleet/problem.rs
@@ -8,16 +8,26 @@
     native::cloud_api::messages::{PriceClass, PriceEntry},
 };
 
-/// Share by which a VM that is held counts as cheaper than a new one.
+/// Fraction by which a VM that is held counts as cheaper than a new one, so that small changes
+/// of price move nothing.
+/// Basis: commit b0f751d, a trial without it: no effect on the totals of the bench fleet.
 const HELD_DISCOUNT: f64 = 0.15;
 
+/// Least gain that counts, in cost units: above rounding errors, so that the search ends.
+/// Basis: chosen, not measured.
+const GAIN_MIN: f64 = 1e-9;
+/// The VMs required, divided by this, make the first chunk; the next are halves of it.
+/// Basis: chosen, not measured: chunk moves are within 2% of the best on small cases
+/// (commit 4ba6ff5).
+const FIRST_CHUNK_PART: f64 = 4.0;
+
 /// Counts by place, in the order of the prices.
 pub type PlaceCounts = Vec<usize>;
 
 /// What the choice is made from.
 pub struct FleetProblem<'a> {
-    need: f64,
-    most: usize,
+    required: f64,
+    max: usize,
     prices: &'a [PriceEntry],
     /// VMs held at each place.
     pub held: PlaceCounts,
@@ -32,10 +42,10 @@
 }
 
 impl<'a> FleetProblem<'a> {
-    /// Problem of holding `need` VMs, `most` at most, given what is held.
+    /// Problem of holding `required` VMs, `max` at most, given what is held.
     pub fn new(
-        need: f64,
-        most: usize,
+        required: f64,
+        max: usize,
         prices: &'a [PriceEntry],
         held: &HashMap<FleetPlace, usize>,
         weights: &'a FleetWeights,
@@ -50,8 +60,8 @@
                 .position(|price| price.zone == **zone && price.class == PriceClass::Reclaimable)
         };
         Self {
-            need,
-            most,
+            required,
+            max,
             prices,
             held: held.collect(),
             reclaimable_of_zone: zones.iter().map(reclaimable).collect(),
@@ -62,7 +72,7 @@
     /// Expected cost of an hour: prices, reclaims and shortage.
     pub fn cost(&self, counts: &[usize]) -> f64 {
         let total: usize = counts.iter().sum();
-        let shortage = |left: usize| (self.need - left as f64).max(0.0) * self.weights.shortage;
+        let shortage = |left: usize| (self.required - left as f64).max(0.0) * self.weights.shortage;
         let zones = self.reclaimable_of_zone.len() as f64;
         // Part of an hour in which a given zone's reclaimable VMs are missing.
         let missing = self.weights.zone_loss * self.weights.replace_hours;
@@ -91,7 +101,7 @@
 
     /// Improves `counts` until no move of a chunk lowers the cost; larger chunks first.
     pub fn improve(&self, mut counts: PlaceCounts) -> PlaceCounts {
-        let mut chunk = (self.need / 4.0).ceil().max(1.0) as usize;
+        let mut chunk = (self.required / FIRST_CHUNK_PART).ceil().max(1.0) as usize;
         let mut cost = self.cost(&counts);
         loop {
             match self.best_move(&counts, chunk, cost) {
@@ -104,7 +114,6 @@
 
     /// The best of: a chunk removed or not, and none, one or two chunks added elsewhere.
     fn best_move(&self, counts: &[usize], chunk: usize, cost: f64) -> Option<(f64, PlaceCounts)> {
-        const LEAST_GAIN: f64 = 1e-9;
         let places = counts.len();
         let mut best: Option<(f64, PlaceCounts)> = None;
         let removals = (0..places).map(Some).chain([None]);
@@ -123,12 +132,12 @@
                     for place in [first, second].into_iter().flatten() {
                         next[place] += chunk;
                     }
-                    if next.iter().sum::<usize>() > self.most {
+                    if next.iter().sum::<usize>() > self.max {
                         continue;
                     }
                     let least = best.as_ref().map_or(cost, |(least, _)| *least);
                     let found = self.cost(&next);
-                    if found < least - LEAST_GAIN {
+                    if found < least - GAIN_MIN {
                         best = Some((found, next));
                     }
                 }
--- a/src/native/decide/limits.rs
+++ b/src/native/decide/limits.rs
@@ -1,8 +1,17 @@
-//! Limits of client accounts, held over all daemons together.
+//! Quotas of client accounts on the native path, held over all daemons together.
 //!
-//! Each daemon admits a share of an account's limit that is its share of the account's
-//! demand. The demand over all daemons is this daemon's view of an average that the
-//! daemons keep by pairwise exchanges (`crate::spread::averaging`), times their number.
+//! Decides whether a request of an account is admitted here and now, with which priority, or
+//! after which time there is room. In the gateway's rule, `gateway::policy::quota`, every
+//! daemon is told what the others admit; here daemons exchange averages only, so that messages
+//! do not grow with their number.
+//!
+//! Inputs: the account's quota and weight (its table row), this daemon's own demand (smoothed
+//! over seconds), and the mean demand a daemon over all daemons, which they keep by pairwise
+//! exchanges (`native::cluster::averaging`) and which is one to two epochs of 2 s old. Each
+//! daemon admits that part of the quota which its demand is of the demand of all.
+//!
+//! Without an average (just started, or a new account) a daemon admits an even part. A lost
+//! exchange makes the average less exact for one epoch.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,26 +20,39 @@
 use crate::ids::SharedName;
 
 /// Time constant of the demand estimate, in seconds.
+/// Basis: chosen, not measured: one epoch of the averages.
 const DEMAND_WINDOW_S: f64 = 2.0;
-/// Least share of a daemon, as a part of an even share.
-const LEAST_SHARE: f64 = 0.05;
+/// Least rate of a daemon, as a fraction of an even part, so that a daemon that was quiet
+/// until now can begin.
+/// Basis: commit b8e643a, bench limits: 2.0% (4.5% at worst) off the quota with it.
+const LEAST_FRACTION: f64 = 0.05;
 /// Burst that a quiet account may spend at once, in seconds of its local rate.
+/// Basis: chosen, not measured: half of an epoch. The bench limits runs with it.
 const BURST_S: f64 = 1.0;
 /// Demand below which an account counts as quiet, in tokens a second.
+/// Basis: chosen, not measured: reached only when the last request's demand has decayed.
 const QUIET: f64 = 0.01;
-/// How far over the mean demand for its weight an account is taken to be over its share.
+/// Demand a unit of weight, as a multiple of the mean, above which an account is over its
+/// share.
+/// Basis: chosen, not measured: a margin for the spread of a short demand window.
 const OVER_SHARE: f64 = 1.2;
-/// Longest and shortest time told to a refused client.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(30));
+/// Shortest time after which a refused client is told to retry.
+/// Basis: chosen, not measured: keeps a refused client from retrying at once.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
+/// Longest time after which a refused client is told to retry.
+/// Basis: chosen, not measured: the quota or the load may have changed by then.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
 #[derive(Debug)]
 struct AccountBucket {
     /// Tokens a second asked for here, smoothed.
     demand: f64,
     weight: f64,
-    /// The demand that went into the average in force, and into the one being made.
+    /// The demand that went into the current average, and into the one in progress.
     published: [f64; 2],
+    /// Tokens that may be spent now; negative after a request larger than the burst.
     level: f64,
+    /// Rate of this daemon, in tokens a second.
     rate: f64,
     filled_at: Instant,
 }
@@ -64,24 +86,24 @@
     }
 }
 
-/// What the limiter says of a request.
+/// Decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitVerdict {
-    /// Within the limit.
+    /// Within the quota.
     Admitted(RequestPriority),
-    /// Over it; there will be room after this time.
+    /// Over it; there is room after this time.
     Refused(Duration),
 }
 
 impl AccountLimiter {
-    /// Takes a new view of the average demand per daemon and of their number.
+    /// Sets the average demand a daemon, in tokens a second, and the number of daemons.
     pub fn set_averages(&mut self, averages: HashMap<SharedName, f64>, daemons: usize) {
         self.averages = averages;
         self.daemons = daemons as f64;
     }
 
-    /// Asks for `tokens` of an account of this weight, whose limit over all daemons is
-    /// `limit` a second.
+    /// Decides on a request of `tokens`; `limit` is the account's quota over all daemons, in
+    /// tokens a second.
     pub fn admit(
         &mut self,
         account: &SharedName,
@@ -104,8 +126,8 @@
         bucket.weight = weight;
         bucket.demand += tokens / DEMAND_WINDOW_S;
         bucket.rate = local_rate(bucket, average, daemons, limit);
-        // NOTE: a request larger than the burst is let in when the bucket is full, and
-        // leaves it in debt; else it could never run.
+        // A request larger than the burst is admitted when the bucket is full, and leaves it
+        // negative; otherwise it could never run.
         let needed = tokens.min(bucket.rate * BURST_S);
         if bucket.level >= needed {
             bucket.level -= tokens;
@@ -113,9 +135,9 @@
         }
         let missing = needed - bucket.level;
         let wait = if bucket.rate > 0.0 { missing / bucket.rate } else { f64::INFINITY };
-        let longest = RETRY_AFTER.1.as_secs_f64();
+        let longest = RETRY_AFTER_MAX.as_secs_f64();
         let wait = Duration::from_secs_f64(wait.min(longest));
-        LimitVerdict::Refused(wait.max(RETRY_AFTER.0))
+        LimitVerdict::Refused(wait.max(RETRY_AFTER_MIN))
     }
 
     /// Priority by this daemon's own view of demand: it is fresh, where the averages over
@@ -135,7 +157,7 @@
     }
 
     /// Demand of each account here, for the exchange with the others; asked for once an
-    /// epoch, when the average of the epoch before comes into force.
+    /// epoch, when the average of the epoch before becomes the current one.
     pub fn demand(&mut self, now: Instant) -> HashMap<SharedName, f64> {
         for bucket in self.accounts.values_mut() {
             bucket.fill(now);
@@ -163,8 +185,8 @@
     }
 }
 
-/// Rate of one daemon: the limit divided by demand. Where the demand of all is below
-/// the limit, the unused part is lent out evenly.
+/// Rate of one daemon, in tokens a second: the quota divided in proportion to demand. Where
+/// the demand of all is below the quota, the unused part is given out evenly.
 ///
 /// The share is worked out from the demand that went into the average, not from the
 /// demand of this moment: a moment at which a request arrives is one of high demand, and
@@ -175,8 +197,7 @@
     let own = bucket.published[0];
     let total = (average * daemons).max(own);
     if total > limit {
-        // NOTE: the least share lets a daemon that was quiet until now begin.
-        (limit * own / total).max(even * LEAST_SHARE)
+        (limit * own / total).max(even * LEAST_FRACTION)
     } else {
         own.max(bucket.demand) + (limit - total) / daemons
     }
--- a/src/native/decide/prefix.rs
+++ b/src/native/decide/prefix.rs
@@ -1,12 +1,20 @@
 //! Prompt prefixes as chains of block hashes, as engines cache them.
+//!
+//! Tokens are counted as words, so counts are estimates; the hashes are exact within one
+//! deployment, since daemons and endpoints split prompts alike.
 
 use std::collections::HashMap;
 
 use crate::ids::hash_parts;
 
 /// Words (counted as tokens) in one cached block.
+/// Basis: chosen, not measured: must equal the engines' block size.
 pub const BLOCK_TOKENS: usize = 16;
 
+/// One block in so many is evicted when the cache is full.
+/// Basis: chosen, not measured: one scan for each tenth of the capacity that is inserted.
+const EVICTED_PART: usize = 10;
+
 /// Number of tokens in `text`: words, for the purpose of estimates.
 pub fn count_tokens(text: &str) -> usize {
     text.split_ascii_whitespace().count()
@@ -62,7 +70,7 @@
         self.blocks.len()
     }
 
-    // NOTE: evicts a tenth at a time, so that the scan is paid rarely.
+    // Evicts a part at a time, so that the scan over all blocks is rare.
     fn evict(&mut self) -> Vec<u64> {
         if self.blocks.len() <= self.capacity {
             return Vec::new();
@@ -73,7 +81,7 @@
         let excess = self.blocks.len() - self.capacity;
         let evicted: Vec<u64> = by_age
             .into_iter()
-            .take(excess.max(self.capacity / 10))
+            .take(excess.max(self.capacity / EVICTED_PART))
             .map(|(_, block)| block)
             .collect();
         for block in &evicted {
--- a/src/native/decide/reclaim.rs
+++ b/src/native/decide/reclaim.rs
@@ -1,14 +1,21 @@
-//! What to do with a stream whose endpoint is being reclaimed.
+//! What to do with the streams of an endpoint whose VM is being reclaimed.
 //!
-//! Four ways: let it finish, move its KV cache to another endpoint, resume elsewhere
-//! from prompt and tokens (which computes them again, less what is cached there), or,
-//! where nothing was produced yet, start again. Each way has a cost in tokens computed
-//! again and in delay; the cheapest that fits into the notice is taken. Moves share
-//! the leaving VM's bandwidth, so streams are planned together.
+//! Decides for each stream whether it finishes there, has its KV cache moved to another
+//! endpoint, or resumes elsewhere from prompt and tokens, which computes them again. Only the
+//! native path moves streams; the gateway relays and resumes (`gateway::request`).
+//!
+//! Inputs: the time until the VM goes, in milliseconds, and for each stream its tokens (exact,
+//! this daemon's own) and the tokens still to come (the client's maximum, an upper bound).
+//! Each way costs tokens computed again and delay; the cheapest that fits into the notice is
+//! taken. Moves share the leaving VM's bandwidth, so streams are planned together.
 
 use crate::ids::RequestName;
 
-/// What the two deployments weigh, and the speeds that decide what fits.
+/// Fraction of the notice kept free, for clocks that differ and streams that are slow.
+/// Basis: chosen, not measured; docs/measurements/reclaim.md has the results with it.
+const NOTICE_MARGIN: f64 = 0.15;
+
+/// Weights of the costs, and the speeds that decide what fits into a notice.
 #[derive(Clone, Copy, Debug)]
 pub struct ReclaimWeights {
     /// Cost of a token computed again.
@@ -49,9 +56,6 @@
     Resume,
 }
 
-/// Part of the notice kept free: for clocks, and for streams slower than expected.
-const NOTICE_MARGIN: f64 = 0.15;
-
 impl LeavingStream {
     fn context(&self) -> usize {
         self.prompt_tokens + self.produced
--- a/src/native/decide/retries.rs
+++ b/src/native/decide/retries.rs
@@ -1,23 +1,39 @@
-//! Retry budget: retries are a bounded share of first attempts, so that a brownout is
-//! never answered with a storm.
+//! Retries on the native path: how many, and after which pause.
 //!
-//! The daemon's own refusals and endpoints' refusals before starting neither draw
-//! from the budget nor fill it.
+//! Decides whether a failed attempt may be followed by another. Retries are a bounded
+//! fraction of first attempts, so that a brownout is not answered with a retry storm. This is
+//! a token bucket without a clock; the gateway's rule, `gateway::policy::retry_budget`, counts
+//! requests and retries in a sliding window, with a reserve that all daemons share. The two
+//! answer differently, so they stay two.
+//!
+//! Inputs: this daemon's own attempts at one service, no older state. Refusals by the daemon
+//! itself, and by endpoints before they started, neither fill the bucket nor draw from it. A
+//! daemon that has just started has the full reserve.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// Share of first attempts that may be spent on retries.
-const RETRY_SHARE: f64 = 0.1;
+/// Fraction of first attempts that may be spent on retries.
+/// Basis: docs/measurements/retries.md: 1.03 attempts a request and none lost in a brownout
+/// of half the endpoints, with the ejection rules of `decide::routing`.
+const RETRY_FRACTION: f64 = 0.1;
 /// Retries that a quiet daemon may spend at once.
+/// Basis: chosen, not measured: without it, a daemon with few requests could not retry.
 const RETRY_RESERVE: f64 = 10.0;
 /// First pause before a retry; each further one is twice as long.
+/// Basis: chosen, not measured: short beside a first token.
 const PAUSE_FIRST: Duration = Duration::from_millis(20);
 /// Longest pause before a retry.
+/// Basis: chosen, not measured.
 const PAUSE_LONGEST: Duration = Duration::from_millis(1_000);
+/// Part of the pause that is drawn at random, so that retries do not come together.
+/// Basis: chosen, not measured: the upper half.
+const JITTER: std::ops::RangeInclusive<f64> = 0.5..=1.0;
+/// Most doublings of the pause; more would overflow long after the longest pause.
+const DOUBLINGS_MAX: u32 = 10;
 
-/// Budget of one service.
+/// Retries that may be spent at one service; a token bucket that first attempts fill.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBucket {
     level: f64,
@@ -30,13 +46,13 @@
 }
 
 impl RetryBucket {
-    /// A first attempt was made.
-    pub fn earn(&mut self) {
-        self.level = (self.level + RETRY_SHARE).min(RETRY_RESERVE);
+    /// Counts a first attempt.
+    pub fn deposit(&mut self) {
+        self.level = (self.level + RETRY_FRACTION).min(RETRY_RESERVE);
     }
 
-    /// Draws one retry, if there is one.
-    pub fn spend(&mut self) -> bool {
+    /// Withdraws one retry; `false` if none is left.
+    pub fn try_withdraw(&mut self) -> bool {
         let allowed = self.level >= 1.0;
         if allowed {
             self.level -= 1.0;
@@ -45,8 +61,8 @@
     }
 }
 
-/// Pause before retry number `retry` (from 0), with full jitter.
+/// Pause before retry number `retry` (from 0).
 pub fn retry_pause(retry: u32, rng: &mut impl Rng) -> Duration {
-    let longest = (PAUSE_FIRST * 2_u32.pow(retry.min(10))).min(PAUSE_LONGEST);
-    longest.mul_f64(rng.random_range(0.5..=1.0))
+    let longest = (PAUSE_FIRST * 2_u32.pow(retry.min(DOUBLINGS_MAX))).min(PAUSE_LONGEST);
+    longest.mul_f64(rng.random_range(JITTER))
 }
--- /dev/null
+++ b/src/native/decide/routing/endpoint_route.rs
@@ -0,0 +1,116 @@
+//! What one daemon knows of one endpoint, and the wait that it expects there.
+
+use super::query::EndpointInfo;
+use crate::{
+    endpoint_health::EndpointHealth,
+    native::decide::prefix::{BLOCK_TOKENS, PrefixCache},
+};
+
+/// Time to compute a prompt token that is not cached, in milliseconds.
+/// Basis: chosen, not measured on real engines: the speed of the stand-in engine
+/// (`standin::engine_model`).
+const PREFILL_MS: f64 = 0.25;
+/// By how much a full batch slows a request down, in milliseconds.
+/// Basis: chosen, not measured: weighs as much as 240 uncached prompt tokens.
+const BATCH_MS: f64 = 60.0;
+/// Wait for each request beyond the endpoint's concurrency, in milliseconds.
+/// Basis: chosen, not measured: a few decoding steps, 12 ms each at the stand-in engine.
+const QUEUE_MS: f64 = 40.0;
+/// Wait assumed for each failure in a row, in milliseconds: an endpoint that has just failed
+/// comes last well before it is ejected.
+/// Basis: commit 5acb13a, bench retries: with it and `PROBE_EVERY`, requests lost in a
+/// brownout fell from 23.9% to none.
+const FAILURE_MS: f64 = 400.0;
+/// Cost of crossing to another availability zone, in milliseconds.
+/// Basis: chosen, not measured: decides only between endpoints that are otherwise equal.
+const ZONE_MS: f64 = 2.0;
+/// Fraction of its own requests in flight that a daemon may keep, from one report to the
+/// next, at an endpoint that reports more than its concurrency.
+/// Basis: chosen, not measured: the allowance as a whole took the first-token p95 of an
+/// account beside a burst from 534 to 516 ms (commit 839e0bd).
+const KEPT_WHEN_OVER: f64 = 0.8;
+/// Cached prompt blocks remembered for each endpoint.
+/// Basis: docs/CAPACITY.md: 64 KB an endpoint, a window of 16 endpoints fits the budget.
+const CACHE_BLOCKS: usize = 4_096;
+
+#[derive(Debug)]
+pub struct EndpointRoute {
+    /// From the VM list.
+    pub info: EndpointInfo,
+    /// Attempts of this daemon in progress there.
+    pub in_flight: u32,
+    /// Running and waiting requests of all daemons, from the last report.
+    reported: u32,
+    /// Starts less ends of this daemon since the report.
+    drift: i64,
+    /// Requests of its own that this daemon may have there though it is full.
+    pub allowance: f64,
+    /// Successes and failures of this daemon's attempts.
+    pub health: EndpointHealth,
+    /// Prompt blocks that it has probably cached.
+    pub cache: PrefixCache,
+    /// Newest cache event applied.
+    pub cache_sequence: u64,
+}
+
+impl EndpointRoute {
+    /// Endpoint of which nothing but its entry in the VM list is known.
+    pub fn new(info: EndpointInfo) -> Self {
+        Self {
+            info,
+            in_flight: 0,
+            reported: 0,
+            drift: 0,
+            allowance: 0.0,
+            health: EndpointHealth::default(),
+            cache: PrefixCache::new(CACHE_BLOCKS),
+            cache_sequence: 0,
+        }
+    }
+
+    /// Applies a load report of running and waiting requests.
+    pub fn report_load(&mut self, load: u32, concurrency: u32) {
+        self.reported = load;
+        self.drift = 0;
+        let kept = if load > concurrency { KEPT_WHEN_OVER } else { 1.0 };
+        self.allowance = f64::from(self.in_flight) * kept;
+    }
+
+    /// Counts an attempt that starts here.
+    pub fn start(&mut self, chain: &[u64]) {
+        self.in_flight += 1;
+        self.drift += 1;
+        self.cache.insert(chain);
+    }
+
+    /// Counts an attempt that has ended here.
+    pub fn end(&mut self, chain: &[u64]) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.drift -= 1;
+        self.cache.insert(chain);
+    }
+
+    /// Estimated load by all daemons: the report, corrected by this daemon's own starts and
+    /// ends since, times the daemons that share the endpoint.
+    pub fn load(&self, sharing: f64) -> f64 {
+        let corrected = f64::from(self.reported) + self.drift as f64 * sharing;
+        corrected.max(f64::from(self.in_flight))
+    }
+
+    /// Spread of the load estimate: what the other daemons may have started unseen.
+    pub fn noise(&self, sharing: f64, concurrency: f64) -> f64 {
+        let unseen = (sharing - 1.0).max(0.0) * (self.drift.unsigned_abs() as f64 + 1.0).sqrt();
+        unseen / concurrency * BATCH_MS
+    }
+
+    /// Expected wait of a request for the blocks of `chain` at this load, in milliseconds.
+    pub fn expected_wait(&self, own_zone: &str, load: f64, concurrency: f64, chain: &[u64]) -> f64 {
+        let missing = chain.len() - self.cache.overlap(chain);
+        let prefill = (missing * BLOCK_TOKENS) as f64 * PREFILL_MS;
+        let batch = load / concurrency * BATCH_MS;
+        let queue = (load + 1.0 - concurrency).max(0.0) * QUEUE_MS;
+        let zone = if &*self.info.zone == own_zone { 0.0 } else { ZONE_MS };
+        let failures = f64::from(self.health.failures()) * FAILURE_MS;
+        prefill + batch + queue + zone + failures
+    }
+}
--- a/src/native/decide/subset.rs
+++ b/src/native/decide/subset.rs
@@ -1,15 +1,18 @@
-//! Which endpoints of a service one daemon uses.
+//! Which endpoints of a service one daemon uses: its endpoint window.
 //!
 //! Endpoints and daemons are both placed on a ring by hash. The daemon at rank `r` of
 //! `n` takes a window of consecutive endpoints that starts at `r / n` of the ring, so
 //! that every endpoint is covered by the same number of daemons (give or take one),
-//! and a daemon that comes or goes moves each window only a little.
+//! and a daemon that comes or goes moves each window only a little. The rank comes from the
+//! member list as this daemon knows it; while two lists differ, windows overlap unevenly.
 
 use crate::ids::{IncarnationId, hash_parts};
 
 /// Fewest endpoints of a service that a daemon uses, if there are so many.
-pub const SUBSET_SIZE: usize = 16;
+/// Basis: docs/CAPACITY.md: 16 polls every 2 s are 4.8 KB/s a daemon at any fleet size.
+pub const WINDOW_MIN: usize = 16;
 /// Fewest daemons that use each endpoint.
+/// Basis: chosen, not measured: two daemons may be lost and each endpoint is still used.
 const COVERAGE: usize = 3;
 
 /// Position of a name on the ring.
@@ -25,7 +28,7 @@
 /// Number of endpoints in each daemon's window.
 pub fn window_size(daemons: usize, endpoints: usize) -> usize {
     let for_coverage = (endpoints * COVERAGE).div_ceil(daemons.max(1));
-    SUBSET_SIZE.max(for_coverage).min(endpoints)
+    WINDOW_MIN.max(for_coverage).min(endpoints)
 }
 
 /// Indexes of the endpoints that the daemon at `rank` of `daemons` uses, out of
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -319,10 +319,10 @@
                 place: FleetPlace { zone: vm.zone, class: vm.class },
             })
             .collect();
-        let need = self.need(row).await.unwrap_or(held.len() as f64);
+        let required = self.required_vms(row).await.unwrap_or(held.len() as f64);
         ServiceFleet {
             service: row.name.clone(),
-            need,
+            required,
             bounds: (row.min_vms as usize, row.max_vms as usize),
             held,
             pending: plan.pending.iter().map(|planned| planned.name.clone()).collect(),
@@ -330,8 +330,8 @@
         }
     }
 
-    /// VMs that the demand over all daemons needs; `None` while it is not known.
-    async fn need(&self, row: &ServiceRow) -> Option<f64> {
+    /// VMs that the load over all daemons requires; `None` while it is not known.
+    async fn required_vms(&self, row: &ServiceRow) -> Option<f64> {
         let averages = self.context.limits.ask(|reply| LimitMessage::Read { reply }).await.ok()?;
         let average = averages.get(&service_demand_name(&row.name))?;
         let daemons = self.context.members().present_count() as f64;
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -180,7 +180,7 @@
         self.context.metrics.count("attempts", 1);
         if self.attempts == 1 {
             self.context.budget(&self.call.service, |budget| {
-                budget.earn();
+                budget.deposit();
                 true
             });
         }
@@ -253,7 +253,8 @@
             }
             AttemptEnd::Failed(error) => {
                 self.note_failure(&slot, &error);
-                let allowed = self.context.budget(&self.call.service, |budget| budget.spend());
+                let allowed =
+                    self.context.budget(&self.call.service, |budget| budget.try_withdraw());
                 let stage = CallStage::Dispatched(call.begin_again());
                 if !allowed || self.attempts >= ATTEMPT_LIMIT {
                     return NextStep::End(self.give_up(
--- a/tests/native/decisions.rs
+++ b/tests/native/decisions.rs
@@ -168,9 +168,9 @@
         let (mut firsts, mut retries) = (0.0, 0.0);
         for is_first in events {
             if is_first {
-                budget.earn();
+                budget.deposit();
                 firsts += 1.0;
-            } else if budget.spend() {
+            } else if budget.try_withdraw() {
                 retries += 1.0;
             }
             prop_assert!(retries <= 10.0 + firsts * 0.1 + 1e-6);
@@ -536,7 +536,7 @@
 fn service_fleet(need: f64, held: Vec<HeldVm>) -> ServiceFleet {
     ServiceFleet {
         service: "model".into(),
-        need,
+        required: need,
         bounds: (0, 100),
         held,
         pending: Vec::new(),
