--- a/src/native/daemon.rs
+++ b/src/native/daemon.rs
@@ -1,18 +1,17 @@
-//! Assembles one daemon: registers its services, starts them, takes it down.
+//! Assembles one daemon of the native path: registers its services, starts them, and runs them
+//! until it stops ([`shutdown`]). The gateway's daemon is `gateway::daemon`; `willowarchd` runs
+//! one or the other.
+
+mod shutdown;
 
 use std::{
     cell::{Cell, RefCell},
     collections::{HashMap, HashSet},
     rc::Rc,
     sync::Arc,
-    time::Duration,
 };
 
-use tokio::{
-    net::TcpListener,
-    sync::watch,
-    time::{Instant, sleep},
-};
+use tokio::{net::TcpListener, sync::watch, time::Instant};
 
 use super::{
     cloud_api::{client::PlatformClient, messages::ReclaimNotice},
@@ -32,7 +31,7 @@
         planning::{planner, platform_watch},
         services::{
             copies,
-            limit_service::{self, LimitViews},
+            limit_service::{self, LimitViews, ServiceLoads},
             router::{self, RouterInputs},
             store_service, ticket_service,
         },
@@ -44,21 +43,15 @@
     errors::StepError,
     http::{client::HttpClient, server},
     ids::{IncarnationId, SharedName},
-    kernel::{KernelExit, KernelHandle, LifePhase, ServiceInbox, ServiceKernel},
+    kernel::{KernelExit, KernelHandle, ServiceInbox, ServiceKernel},
     metrics::MetricsHandle,
 };
 
 /// Bytes of request records and copies that one daemon keeps.
+/// Basis: docs/CAPACITY.md: 79 MB wanted at the target; 64 MB keep responses for 97 s.
 const RECORD_BYTES_LIMIT: usize = 64 * 1024 * 1024;
 /// Name of the peer listener's service.
 const PEER_LISTENER: &str = "peer-listener";
-/// Name of the service that takes the daemon down.
-const LEAVER: &str = "leaver";
-/// Time for the announcement of leaving to reach the peers before the daemon ends.
-const LEAVE_SPREAD_TIME: Duration = Duration::from_millis(500);
-/// Part of a notice kept free for handing off.
-const HANDOFF_MARGIN: Duration = Duration::from_millis(1_000);
-
 /// Listeners of one daemon.
 struct DaemonListeners {
     clients: TcpListener,
@@ -97,7 +90,7 @@
         members: watch::Sender::new(Rc::default()),
         own_notice: watch::Sender::new(None),
     };
-    // NOTE: all names were registered above; finding them cannot fail.
+    // All names were registered above; finding them cannot fail.
     let context = Rc::new(assemble(settings, kernel.handle(), &views).expect("registered"));
     start(&mut kernel, &context, inboxes, listeners, views);
     let detail = format!("zone {}", context.identity.zone);
@@ -172,8 +165,26 @@
     kernel.start(store_service::NAME, store_service::run(inboxes.requests, store));
     kernel.start(ticket_service::NAME, ticket_service::run(inboxes.tickets, own));
     let (load_sender, loads) = watch::channel(Rc::default());
+    start_router(kernel, context, inboxes.router, load_sender);
+    let copier = copies::run(inboxes.copies, context.copies.clone(), Rc::downgrade(context));
+    kernel.start(copies::NAME, copier);
+    start_limits(kernel, context, inboxes.limits, loads);
+    kernel.start(PEER_LISTENER, peer::server::serve(listeners.peers, context.clone()));
+    kernel.start(platform_watch::NAME, platform_watch::run(context.clone()));
+    kernel.start(planner::NAME, planner::run(context.clone()));
+    kernel.start(admin::NAME, admin::run(listeners.admin, context.clone()));
+    kernel.start(client_listener::NAME, client_listener::run(listeners.clients, context.clone()));
+    kernel.start(shutdown::NAME, shutdown::run(context.clone(), own_notice));
+}
+
+fn start_router(
+    kernel: &mut ServiceKernel,
+    context: &Rc<ServeContext>,
+    inbox: ServiceInbox<router::messages::RouterMessage>,
+    loads: watch::Sender<ServiceLoads>,
+) {
     let inputs = RouterInputs {
-        own,
+        own: context.identity.incarnation,
         zone: context.identity.zone.clone(),
         address: context.router.clone(),
         table: context.table.clone(),
@@ -181,27 +192,23 @@
         http: context.http.clone(),
         metrics: context.metrics.clone(),
         timeline: context.timeline.clone(),
-        loads: load_sender,
+        loads,
     };
-    kernel.start(router::NAME, router::run(inboxes.router, inputs));
-    let copier = copies::run(inboxes.copies, context.copies.clone(), Rc::downgrade(context));
-    kernel.start(copies::NAME, copier);
+    kernel.start(router::NAME, router::run(inbox, inputs));
+}
+
+fn start_limits(
+    kernel: &mut ServiceKernel,
+    context: &Rc<ServeContext>,
+    inbox: ServiceInbox<limit_service::LimitMessage>,
+    loads: watch::Receiver<ServiceLoads>,
+) {
+    let own = context.identity.incarnation;
     let views =
         LimitViews { members: context.members.clone(), table: context.table.clone(), loads };
-    let limits = limit_service::run(
-        inboxes.limits,
-        context.limits.clone(),
-        own,
-        views,
-        context.pool.clone(),
-    );
+    let address = context.limits.clone();
+    let limits = limit_service::run(inbox, address, own, views, context.pool.clone());
     kernel.start(limit_service::NAME, limits);
-    kernel.start(PEER_LISTENER, peer::server::serve(listeners.peers, context.clone()));
-    kernel.start(platform_watch::NAME, platform_watch::run(context.clone()));
-    kernel.start(planner::NAME, planner::run(context.clone()));
-    kernel.start(admin::NAME, admin::run(listeners.admin, context.clone()));
-    kernel.start(client_listener::NAME, client_listener::run(listeners.clients, context.clone()));
-    kernel.start(LEAVER, leave_when_told(context.clone(), own_notice));
 }
 
 fn start_cluster(
@@ -233,90 +240,3 @@
     let service = cluster::service::run(inbox, core, identity.address.clone(), outputs);
     kernel.start(cluster::service::NAME, service);
 }
-
-/// Takes the daemon down: after a drain by operators or a signal, as soon as nothing
-/// is in progress; after a notice, before its VM goes.
-async fn leave_when_told(
-    context: Rc<ServeContext>,
-    mut own_notice: watch::Receiver<Option<ReclaimNotice>>,
-) {
-    let mut phase = context.kernel.phase();
-    let deadline = tokio::select! {
-        _ = phase.wait_for(|phase| *phase >= LifePhase::Draining) => {
-            Instant::now() + context.settings.drain
-        }
-        deadline = notice_deadline(&mut own_notice) => deadline,
-        () = terminated() => Instant::now() + context.settings.drain,
-    };
-    context.kernel.enter(LifePhase::Draining);
-    let address = &context.identity.address;
-    context.note_subject(
-        EventKind::Phase,
-        address,
-        format!("draining, {} active", context.active.get()),
-    );
-    let _ = context.cluster.send(ClusterMessage::Event(ClusterEvent::Leave));
-    let deadline = tokio::select! {
-        () = wait_until_idle(&context, deadline) => deadline,
-        // NOTE: a notice may come while a planned stop waits for its requests.
-        earlier = notice_deadline(&mut own_notice) => {
-            let deadline = deadline.min(earlier);
-            wait_until_idle(&context, deadline).await;
-            deadline
-        }
-    };
-    hand_off(&context, deadline).await;
-    sleep(LEAVE_SPREAD_TIME).await;
-    context.note_subject(EventKind::Phase, address, "stopping");
-    context.kernel.enter(LifePhase::Stopping);
-}
-
-async fn terminated() {
-    use tokio::signal::unix::{SignalKind, signal};
-    match signal(SignalKind::terminate()) {
-        Ok(mut signal) => {
-            signal.recv().await;
-        }
-        Err(_) => std::future::pending().await,
-    }
-}
-
-async fn notice_deadline(own_notice: &mut watch::Receiver<Option<ReclaimNotice>>) -> Instant {
-    let found = own_notice.wait_for(Option::is_some).await;
-    let Some(notice) = found.ok().and_then(|notice| notice.clone()) else {
-        return std::future::pending().await;
-    };
-    let left = notice.gone_at_ms.saturating_sub(crate::wall_clock_ms());
-    let left = Duration::from_millis(left).saturating_sub(HANDOFF_MARGIN);
-    Instant::now() + left
-}
-
-async fn wait_until_idle(context: &Rc<ServeContext>, deadline: Instant) {
-    const LOOK_EVERY: Duration = Duration::from_millis(20);
-    let busy = || context.active.get() > 0 || context.clients.get() > 0;
-    while busy() && Instant::now() < deadline {
-        sleep(LOOK_EVERY).await;
-    }
-}
-
-/// Brings the copies of what still runs up to date. Clients whose connections close
-/// then ask any other daemon, which takes over from a copy.
-async fn hand_off(context: &Rc<ServeContext>, deadline: Instant) {
-    let running = context
-        .requests
-        .ask(|reply| store_service::RequestMessage::Running { reply })
-        .await
-        .unwrap_or_default();
-    if running.is_empty() {
-        return;
-    }
-    let count = running.len();
-    context.metrics.count("requests_handed_off", count as u64);
-    let detail = format!("handing off {count} requests");
-    context.note_subject(EventKind::Phase, &context.identity.address, detail);
-    let own = context.identity.incarnation;
-    let partners = context.partner_targets(own, context.settings.copies);
-    let offers = partners.iter().map(|partner| context.pool.append(partner, &running));
-    let limit = deadline.saturating_duration_since(Instant::now()).max(LEAVE_SPREAD_TIME);
-    let _ = tokio::time::timeout(limit, futures::future::join_all(offers)).await;
-}
--- a/src/native/request/outcome.rs
+++ b/src/native/request/outcome.rs
@@ -1,7 +1,7 @@
 //! Final outcomes, and the stages that decide which of them may be said.
 //!
 //! "Not run" can be made only by [`UndispatchedCall::refuse`]. Dispatching consumes
-//! the undispatched call; it comes back only against evidence from the endpoint that
+//! the undispatched call; it is returned only against evidence from the endpoint that
 //! nothing was started, and only if no earlier attempt was begun.
 
 use std::{sync::Arc, time::Duration};
@@ -82,7 +82,7 @@
         self.reason
     }
 
-    /// When the client may come back.
+    /// When the client may retry.
     pub fn retry_after(&self) -> Duration {
         self.retry_after
     }
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -1,4 +1,5 @@
-//! What the tasks of one daemon share: addresses of its services, views they publish.
+//! What the tasks of one daemon share: addresses of its services, and the views that these
+//! publish. The gateway has its own (`gateway::context`); nothing is shared between the two.
 
 use std::{
     cell::{Cell, RefCell},
@@ -36,7 +37,14 @@
     },
 };
 
-/// Everything a request's task needs.
+/// Retry-after when the router does not answer.
+/// Basis: chosen, not measured.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Weight of an account whose row was deleted while its request ran.
+/// Basis: chosen, not measured: the default of the row.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// Everything a request's task needs: handles, no rules.
 pub struct ServeContext {
     /// Kernel, for the life phase and child tasks.
     pub kernel: KernelHandle,
@@ -62,9 +70,9 @@
     pub copies: ServiceAddress<CopyMessage>,
     /// Limiter.
     pub limits: ServiceAddress<LimitMessage>,
-    /// Table in force.
+    /// Current table.
     pub table: watch::Receiver<Arc<TableSnapshot>>,
-    /// Member list in force.
+    /// Current member list.
     pub members: watch::Receiver<Rc<MemberList>>,
     /// Counters and histograms.
     pub metrics: MetricsHandle,
@@ -88,9 +96,9 @@
         self.table.borrow().clone()
     }
 
-    /// Weight of an account; one that was deleted meanwhile has the least usual one.
+    /// Weight of an account; one that was deleted meanwhile has the default.
     pub fn weight_of(&self, account: &str) -> f64 {
-        self.table.borrow().account(account).map_or(1.0, |row| row.weight)
+        self.table.borrow().account(account).map_or(DEFAULT_WEIGHT, |row| row.weight)
     }
 
     /// Members as known now.
@@ -127,8 +135,8 @@
 
     /// Asks the router for an endpoint.
     pub async fn pick(&self, order: PickOrder) -> PickReply {
-        const RETRY_AFTER: Duration = Duration::from_secs(1);
         let reply = self.router.ask(|reply| RouterMessage::Pick(Box::new(order), reply)).await;
+        // An overloaded router counts as full endpoints.
         reply.unwrap_or(PickReply::Busy(RETRY_AFTER))
     }
 
--- a/src/native/serve/listeners.rs
+++ b/src/native/serve/listeners.rs
@@ -5,4 +5,6 @@
 pub mod client_listener;
 pub mod parse;
 pub mod problem;
+pub mod request_headers;
 pub mod response;
+pub mod stream_chunks;
--- a/src/native/serve/listeners/admin.rs
+++ b/src/native/serve/listeners/admin.rs
@@ -35,6 +35,10 @@
 /// Name of the service.
 pub const NAME: &str = "admin";
 
+/// Largest body of a notice, in bytes.
+/// Basis: chosen, not measured: a notice has three short fields.
+const NOTICE_BYTES: usize = 4_096;
+
 /// One member, as operators see it.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberLine {
@@ -67,7 +71,7 @@
     pub records: usize,
     /// Their bytes.
     pub record_bytes: usize,
-    /// Versions of the table's rows in force here.
+    /// Versions of the table's rows that are current here.
     pub rows: Vec<(SharedName, u64)>,
     /// Members known.
     pub members: Vec<MemberLine>,
@@ -77,7 +81,7 @@
 
 /// Serves operators on `listener` until the daemon stops.
 pub async fn run(listener: TcpListener, context: Rc<ServeContext>) {
-    // NOTE: operators are served while the daemon drains; only `Stopping` ends this.
+    // Operators are served while the daemon drains; only `Stopping` ends this.
     let phase = stopping_only(&context);
     server::serve(listener, phase, move |request| {
         let context = context.clone();
@@ -106,7 +110,9 @@
             Response::new(whole_body(context.metrics.render()))
         }
         (&Method::GET, "/timeline") => {
+            // Without a subject all events are shown.
             let query = request.uri().query().unwrap_or_default();
+            // Other parameters mean nothing here.
             let subject = query.strip_prefix("subject=").unwrap_or_default();
             json_response(&context.timeline.read(subject))
         }
@@ -114,19 +120,18 @@
             context.kernel.enter(LifePhase::Draining);
             json_response(&json!({ "draining": true }))
         }
-        (&Method::POST, "/notices") => take_notice(&context, request).await,
+        (&Method::POST, "/notices") => accept_notice(&context, request).await,
         _ => Problem::new(StatusCode::NOT_FOUND, "(path)", "is not served here").into_response(),
     }
 }
 
 /// Takes a notice that reached only this daemon; it spreads from here.
-async fn take_notice(
+async fn accept_notice(
     context: &Rc<ServeContext>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     use http_body_util::{BodyExt, Limited};
-    const LIMIT: usize = 4_096;
-    let body = Limited::new(request.into_body(), LIMIT).collect().await;
+    let body = Limited::new(request.into_body(), NOTICE_BYTES).collect().await;
     let notice =
         body.ok().and_then(|body| serde_json::from_slice::<ReclaimNotice>(&body.to_bytes()).ok());
     let Some(notice) = notice else {
@@ -142,16 +147,15 @@
 }
 
 async fn store_gauge(context: &ServeContext) -> StoreGauge {
+    // An overloaded store shows as empty.
     context.requests.ask(|reply| RequestMessage::Gauge { reply }).await.unwrap_or_default()
 }
 
 async fn status(context: &Rc<ServeContext>) -> DaemonStatus {
     let gauge = store_gauge(context).await;
-    let rows = context
-        .cluster
-        .ask(|reply| ClusterMessage::List { kind: ItemKind::Row, reply })
-        .await
-        .unwrap_or_default();
+    let rows = context.cluster.ask(|reply| ClusterMessage::List { kind: ItemKind::Row, reply });
+    // An overloaded cluster service shows no rows.
+    let rows = rows.await.unwrap_or_default();
     let mut rows: Vec<(SharedName, u64)> =
         rows.into_iter().map(|item| (item.key.name, item.version)).collect();
     rows.sort();
@@ -176,6 +180,7 @@
         record_bytes: gauge.bytes,
         rows,
         members: lines,
+        // An overloaded router shows as empty.
         router: router.unwrap_or_default(),
     }
 }
--- a/src/native/serve/listeners/client_listener.rs
+++ b/src/native/serve/listeners/client_listener.rs
@@ -14,6 +14,7 @@
 use super::{
     parse::{self, CheckedRequest, ResponseForm},
     problem::Problem,
+    request_headers,
     response::{ResponseReader, json_response, plain_response, vanished},
 };
 use crate::{
@@ -38,10 +39,16 @@
 /// Name of the service.
 pub const NAME: &str = "client-listener";
 /// Longest time a client may take to send its body.
+/// Basis: chosen, not measured.
 const BODY_TIME: Duration = Duration::from_secs(30);
 /// Most tickets issued at a time.
+/// Basis: chosen, not measured: bounds what one call takes of the ledger.
 const TICKET_LIMIT: u64 = 100;
 
+/// Longest time that a client is kept waiting for a request that may not be retried.
+/// Basis: chosen, not measured: above the 30 s for which a remote holder is waited for.
+const CLIENT_WAIT: Duration = Duration::from_secs(45);
+
 /// Serves clients on `listener` until the daemon stops.
 pub async fn run(listener: TcpListener, context: Rc<ServeContext>) {
     let phase = context.kernel.phase();
@@ -109,7 +116,7 @@
     request: &Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Problem> {
     let table = context.table();
-    parse::account(request.headers(), &table)?;
+    request_headers::account(request.headers(), &table)?;
     let services = table.services().map(|row| json!({ "id": row.name, "object": "model" }));
     let list: Vec<Value> = services.collect();
     Ok(json_response(&json!({ "object": "list", "data": list })))
@@ -179,11 +186,12 @@
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Problem> {
     let headers = request.headers().clone();
-    let account = parse::account(&headers, &*known_table(context)?)?;
+    let account = request_headers::account(&headers, &*known_table(context)?)?;
     let body = read_body(request).await?;
     let count = if body.is_empty() {
         Some(1)
     } else {
+        // A body that is no JSON has no count and is refused below.
         let value: Value = serde_json::from_slice(&body).unwrap_or_default();
         value
             .get("count")
@@ -217,7 +225,7 @@
     request: &Request<Incoming>,
     key: &str,
 ) -> Result<Response<ResponseBody>, Problem> {
-    let account = parse::account(request.headers(), &context.table())?;
+    let account = request_headers::account(request.headers(), &context.table())?;
     let name = RequestName::new(account.name.clone(), key);
     context.note(EventKind::ClientLeft, &name, "cancelled by its caller");
     context.requests.send(RequestMessage::Remove { name }).map_err(overloaded)?;
@@ -228,7 +236,6 @@
     context: &Rc<ServeContext>,
     checked: CheckedRequest,
 ) -> Result<Response<ResponseBody>, Problem> {
-    const CLIENT_WAIT: Duration = Duration::from_secs(45);
     let call = std::sync::Arc::new(checked.call);
     let key = checked.key.as_deref();
     match once::serve_within(context, key, call, CLIENT_WAIT).await {
@@ -236,7 +243,7 @@
         OnceOutcome::ForeignTicket => Err(Problem::foreign_ticket()),
         OnceOutcome::Final(FinalResponse::Plain(plain)) => Ok(plain_response(&plain)),
         OnceOutcome::Final(response) => {
-            // NOTE: a request that may not be retried is never streamed.
+            // A request that may not be retried is never streamed.
             let problem = Problem::of(&response, false);
             Err(problem.unwrap_or_else(|| Problem::bad_request("(path)", "cannot be streamed")))
         }
--- a/src/native/serve/listeners/parse.rs
+++ b/src/native/serve/listeners/parse.rs
@@ -6,25 +6,30 @@
 use hyper::{HeaderMap, StatusCode};
 use serde_json::{Map, Value};
 
-use super::problem::Problem;
+use super::{
+    problem::Problem,
+    request_headers::{account, have_tokens, header, idempotency_key, traceparent},
+};
 use crate::{
     ids::{RequestName, SharedName, hash_parts},
     native::{
-        headers,
-        options::{
-            check::is_name,
-            rows::{AccountRow, ServiceRow, ServiceType, TableSnapshot},
-        },
+        options::rows::{ServiceRow, ServiceType, TableSnapshot},
         request::call::{CallContent, ClientCall, CompletionCall, PlainCall},
     },
 };
 
 /// Largest request body, in bytes.
+/// Basis: chosen, not measured: a bound on memory.
 pub const BODY_LIMIT: usize = 1024 * 1024;
-/// Most tokens that one answer may have.
+/// Most tokens that one response may have.
+/// Basis: chosen, not measured.
 const MAX_TOKENS: u64 = 8_192;
 /// Tokens of a response whose client does not say.
+/// Basis: chosen, not measured; the mean response at the target has 244 (docs/CAPACITY.md).
 const DEFAULT_TOKENS: u64 = 256;
+/// Bits of a derived seed: JSON numbers pass through other programs as doubles.
+/// Basis: chosen, not measured: the bits of a double's fraction.
+const EXACT_BITS: u32 = 53;
 /// Keys that start so are made by daemons.
 const OWN_KEY_PREFIX: &str = "auto-";
 
@@ -82,63 +87,6 @@
     }
 }
 
-/// Text of a header, if it is there.
-pub fn header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Problem> {
-    match headers.get(name) {
-        None => Ok(None),
-        Some(value) => match value.to_str() {
-            Ok(text) => Ok(Some(text)),
-            Err(_) => Err(Problem::bad_request(name, "must be printable ASCII")),
-        },
-    }
-}
-
-/// Client account that the request's bearer key belongs to.
-pub fn account(headers: &HeaderMap, table: &TableSnapshot) -> Result<Arc<AccountRow>, Problem> {
-    let value = header(headers, "authorization")?;
-    let key = value.and_then(|value| value.strip_prefix("Bearer "));
-    let Some(key) = key else {
-        return Err(Problem::unauthorized("authorization", "must be `Bearer` with a key"));
-    };
-    let row = table.account_by_key(key.trim());
-    row.ok_or_else(|| Problem::unauthorized("authorization", "names no client account"))
-}
-
-fn idempotency_key(headers: &HeaderMap) -> Result<Option<SharedName>, Problem> {
-    let name = headers::IDEMPOTENCY_KEY;
-    let Some(text) = header(headers, name)? else { return Ok(None) };
-    // NOTE: the draft for this header quotes the key as a structured string.
-    let key = text.trim().trim_matches('"');
-    if is_name(key) {
-        Ok(Some(key.into()))
-    } else {
-        Err(Problem::bad_request(name, "must be 1 to 128 printable characters without `/`"))
-    }
-}
-
-fn have_tokens(headers: &HeaderMap) -> Result<usize, Problem> {
-    let name = headers::LAST_EVENT_ID;
-    let Some(text) = header(headers, name)? else { return Ok(0) };
-    let index: usize = text
-        .trim()
-        .parse()
-        .map_err(|_| Problem::bad_request(name, "must be the id of an event"))?;
-    Ok(index.saturating_add(1))
-}
-
-fn traceparent(headers: &HeaderMap) -> Result<Option<SharedName>, Problem> {
-    let name = headers::TRACEPARENT;
-    let Some(text) = header(headers, name)? else { return Ok(None) };
-    let parts: Vec<&str> = text.split('-').collect();
-    let lengths: Vec<usize> = parts.iter().map(|part| part.len()).collect();
-    let hex = parts.iter().all(|part| part.bytes().all(|byte| byte.is_ascii_hexdigit()));
-    if hex && lengths == [2, 32, 16, 2] {
-        Ok(Some(text.into()))
-    } else {
-        Err(Problem::bad_request(name, "must be a W3C trace context"))
-    }
-}
-
 /// Checks a completion request; `chat` tells its form.
 pub fn completion(
     headers: &HeaderMap,
@@ -253,8 +201,6 @@
 
 /// Seed of a request whose client gave none: the same whenever the client asks again.
 fn derived_seed(account: &str, key: Option<&str>) -> u64 {
-    // NOTE: as JSON numbers travel through other programs as doubles, 53 bits.
-    const EXACT_BITS: u32 = 53;
     key.map_or(0, |key| {
         hash_parts(&[b"seed", account.as_bytes(), key.as_bytes()]) >> (u64::BITS - EXACT_BITS)
     })
--- a/src/native/serve/listeners/problem.rs
+++ b/src/native/serve/listeners/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as clients see them: problem documents (RFC 9457), with when to come back.
+//! Errors as clients see them: problem documents (RFC 9457), with a retry-after.
 
 use std::time::Duration;
 
@@ -13,6 +13,10 @@
     },
 };
 
+/// Retry-after of a retryable request of which it is not known whether it ran.
+/// Basis: chosen, not measured.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+
 /// One problem document.
 #[derive(Clone, Debug, Serialize)]
 pub struct Problem {
@@ -30,7 +34,7 @@
     pub field: Option<Box<str>>,
     /// Whether the request ran: `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Seconds after which to come back.
+    /// Seconds after which to retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<f64>,
 }
@@ -92,7 +96,6 @@
 
     /// It cannot be said whether the request ran.
     pub fn unknown(reason: UnknownReason, repeatable: bool) -> Self {
-        const RETRY_AFTER: Duration = Duration::from_secs(1);
         Self {
             kind: "/problems/unknown",
             title: "Unknown",
@@ -115,6 +118,7 @@
 
     /// The problem as an HTTP answer.
     pub fn into_response(self) -> Response<ResponseBody> {
+        // This type always serializes.
         let body = serde_json::to_vec(&self).unwrap_or_default();
         let mut response = Response::new(whole_body(body));
         let status = StatusCode::from_u16(self.status);
@@ -122,7 +126,7 @@
         let kind = HeaderValue::from_static("application/problem+json");
         response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
         if let Some(seconds) = self.retry_after {
-            // NOTE: the header takes whole seconds; the document has the exact time.
+            // The header takes whole seconds; the document has the exact time.
             let value = HeaderValue::from(seconds.ceil() as u64);
             response.headers_mut().insert(headers::RETRY_AFTER, value);
         }
--- a/src/native/serve/listeners/response.rs
+++ b/src/native/serve/listeners/response.rs
@@ -1,4 +1,4 @@
-//! Answers as clients get them: read from the request store as they grow, streamed as
+//! Responses as clients get them: read from the request store as they grow, streamed as
 //! events or given whole.
 
 use std::{rc::Rc, time::Duration};
@@ -9,7 +9,10 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use super::problem::Problem;
+use super::{
+    problem::Problem,
+    stream_chunks::{render_chunk, render_end},
+};
 use crate::{
     counting::CountGuard,
     http::{BodyError, ResponseBody, stream_body, whole_body},
@@ -28,6 +31,7 @@
 };
 
 /// Chunks that wait for a slow client before its stream waits too.
+/// Basis: chosen, not measured: bounds memory a stream.
 const STREAM_CHUNKS: usize = 32;
 
 /// Response with a JSON body.
@@ -40,7 +44,7 @@
     response
 }
 
-/// Answer of a plain endpoint.
+/// Response of a plain endpoint.
 pub fn plain_response(plain: &PlainResponse) -> Response<ResponseBody> {
     let mut response = Response::new(whole_body(plain.body.clone()));
     *response.status_mut() = StatusCode::from_u16(plain.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -71,7 +75,7 @@
         }
         let context = self.context.clone();
         let name = self.name.clone();
-        // NOTE: a client without a key of its own cannot come back.
+        // A client without a key of its own cannot resume.
         let grace = if self.keyed { context.settings.resume_grace } else { Duration::ZERO };
         tokio::task::spawn_local(async move {
             context.note(EventKind::ClientLeft, &name, "its connection broke");
@@ -93,9 +97,10 @@
     }
     let watchers =
         context.requests.ask(|reply| RequestMessage::Watchers { name: name.clone(), reply });
-    // NOTE: one watcher is the request's own driver.
+    // One watcher is the request's own driver.
     if watchers.await.is_ok_and(|watchers| watchers <= 1) {
         context.metrics.count("requests_cancelled", 1);
+        // If the store is overloaded, the request runs to its end for nobody.
         let _ = context.requests.send(RequestMessage::Remove { name });
     }
 }
@@ -111,7 +116,7 @@
 }
 
 impl ResponseReader {
-    /// Reader for a client that has `have_tokens` already; `keyed` if it can come back.
+    /// Reader for a client that has `have_tokens` already; `keyed` if it can resume.
     pub fn new(
         context: &Rc<ServeContext>,
         name: &RequestName,
@@ -223,6 +228,7 @@
             }
             if let Some(response) = &copy.response {
                 let end = render_end(&self.name, response, chat);
+                // The client may be gone by then.
                 let _ = sender.send(Ok(end)).await;
                 return;
             }
@@ -237,7 +243,7 @@
     /// Events of the tokens that have not been sent yet.
     fn render(&mut self, copy: &RequestCopy, chat: bool) -> Bytes {
         let mut text = String::new();
-        // NOTE: after a take-over the store may know fewer tokens than were sent.
+        // After a take-over the store may know fewer tokens than were sent.
         let known = self.sent.saturating_sub(copy.first_token);
         for token in copy.tokens.iter().skip(known) {
             let chunk = render_chunk(&self.name, Some(token), chat, None);
@@ -247,57 +253,3 @@
         Bytes::from(text)
     }
 }
-
-/// Chunk of a stream, in the usual form.
-#[derive(Serialize)]
-struct StreamChunk<'a> {
-    id: &'a str,
-    object: &'static str,
-    choices: [ChunkChoice<'a>; 1],
-}
-
-#[derive(Serialize)]
-struct ChunkChoice<'a> {
-    index: u32,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    text: Option<&'a str>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    delta: Option<ChunkDelta<'a>>,
-    finish_reason: Option<&'static str>,
-}
-
-#[derive(Serialize)]
-struct ChunkDelta<'a> {
-    #[serde(skip_serializing_if = "Option::is_none")]
-    content: Option<&'a str>,
-}
-
-fn render_chunk(
-    name: &RequestName,
-    token: Option<&str>,
-    chat: bool,
-    finish_reason: Option<&'static str>,
-) -> String {
-    let object = if chat { "chat.completion.chunk" } else { "text_completion" };
-    let text = (!chat).then_some(token.unwrap_or(""));
-    let delta = chat.then_some(ChunkDelta { content: token });
-    let choice = ChunkChoice { index: 0, text, delta, finish_reason };
-    let chunk = StreamChunk { id: &name.key, object, choices: [choice] };
-    // NOTE: these types always serialize.
-    serde_json::to_string(&chunk).unwrap_or_default()
-}
-
-/// Last events of a stream. One that failed midway ends with its problem as an error
-/// event and without the usual end, so that no client takes it for whole.
-fn render_end(name: &RequestName, response: &FinalResponse, chat: bool) -> Bytes {
-    match Problem::of(response, true) {
-        None => {
-            let chunk = render_chunk(name, None, chat, Some("stop"));
-            Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n"))
-        }
-        Some(problem) => {
-            let problem = json!({ "error": problem });
-            Bytes::from(format!("event: error\ndata: {problem}\n\n"))
-        }
-    }
-}
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -1,33 +1,37 @@
 //! Service that holds and releases VMs, at one daemon at a time.
 //!
-//! A lease in the object API says which daemon plans. Its expiry is judged by watching
-//! the lease object stay unchanged, on the watcher's own clock, so clocks need not
-//! agree. Two planners at once (a holder paused over its lease) do no harm: the plan is
-//! written conditionally before the cloud is asked, VMs are started under names that
-//! both would choose, and a release follows a notice that anybody can carry out.
+//! A lease in the object API ([`lease`]) says which daemon plans; `decide::fleet` decides which
+//! VMs. Two planners at once (a holder that was paused past its lease) do no harm: the plan is
+//! written conditionally before the cloud is asked, both choose the same names for new VMs and
+//! the cloud starts each name once, and a release follows a notice that any planner carries
+//! out. If the object API cannot be reached, nothing is started or released.
+
+mod lease;
+mod plan;
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
-use serde::{Deserialize, Serialize};
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
+use self::{
+    lease::{LeaseRecord, LeaseVerdict, LeaseView},
+    plan::{FleetPlan, PlannedVm, to_planned, weights_of},
+};
 use crate::{
     errors::{FailureCause, StepError},
     ids::SharedName,
     native::{
         cloud_api::{
             client::WriteCondition,
-            messages::{PriceClass, PriceEntry, ReclaimNotice, StartOrder, VmEntry, VmState},
+            messages::{PriceEntry, ReclaimNotice, StartOrder, VmEntry, VmState},
         },
         cluster::{
             events::ClusterEvent,
             items::{ItemKind, SpreadItem},
             service::ClusterMessage,
         },
-        decide::fleet::{
-            FleetAction, FleetPlace, FleetPlanner, FleetWeights, HeldVm, ServiceFleet,
-        },
+        decide::fleet::{FleetAction, FleetPlace, FleetPlanner, HeldVm, ServiceFleet},
         options::rows::ServiceRow,
         serve::{
             context::ServeContext,
@@ -42,62 +46,19 @@
 const LEASE_KIND: &str = "leases";
 const PLAN_KIND: &str = "plans";
 /// Time between rounds.
+/// Basis: docs/CAPACITY.md: 0.5 writes/s and about 2 reads/s in all.
 const ROUND: Duration = Duration::from_secs(2);
-/// How long a lease is good for after its last renewal.
-const LEASE: Duration = Duration::from_secs(10);
-/// Part of the lease left unused: for the pace of clocks.
-const LEASE_MARGIN: Duration = Duration::from_secs(2);
-/// How long a watcher sees a lease unchanged before it takes it.
-const LEASE_QUIET: Duration = Duration::from_secs(14);
-/// How long a started VM may be missing from the lagging VM list.
-const PENDING_KEEP_MS: u64 = 90_000;
 /// Time between a notice that the planner gives and the release.
+/// Basis: chosen, not measured: longer than a response of the most tokens usually takes.
 const RELEASE_NOTICE_MS: u64 = 60_000;
-/// Share of an endpoint's concurrency that is planned for.
+/// Fraction of an endpoint's concurrency that is planned for.
+/// Basis: chosen, not measured: room for the load that comes while a VM starts.
 const UTILISATION: f64 = 0.7;
-/// Tokens that a stream has computed when it is cut off, on the mean.
-const STREAM_TOKENS: f64 = 300.0;
-/// Recomputed tokens per cost unit, at a weight of one.
-const TOKENS_PER_UNIT: f64 = 50_000.0;
-
-/// Value of the lease object.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct LeaseRecord {
-    holder: String,
-    epoch: u64,
-    renewal: u64,
-}
-
-/// One VM that a plan has asked for.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct PlannedVm {
-    name: SharedName,
-    zone: SharedName,
-    class: PriceClass,
-    asked_at_ms: u64,
-}
-
-/// Value of a service's plan: VMs asked for that the VM list may not show yet.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct FleetPlan {
-    epoch: u64,
-    pending: Vec<PlannedVm>,
-}
-
-/// The lease as this daemon knows it.
-#[derive(Debug, Default)]
-struct LeaseView {
-    version: u64,
-    seen_at: Option<Instant>,
-    epoch: u64,
-    renewal: u64,
-    valid_until: Option<Instant>,
-}
 
 struct Planner {
     context: Rc<ServeContext>,
     lease: LeaseView,
-    memory: FleetPlanner,
+    state: FleetPlanner,
     prices: Vec<PriceEntry>,
 }
 
@@ -106,7 +67,7 @@
     let mut planner = Planner {
         context,
         lease: LeaseView::default(),
-        memory: FleetPlanner::default(),
+        state: FleetPlanner::default(),
         prices: Vec::new(),
     };
     loop {
@@ -140,58 +101,47 @@
         Ok(())
     }
 
-    /// Whether the lease is good right now; checked again before every call to the cloud.
-    fn holds(&self) -> bool {
-        self.lease.valid_until.is_some_and(|until| Instant::now() + LEASE_MARGIN < until)
-    }
-
-    /// Takes or renews the lease; `false` while another daemon has it.
+    /// Acquires or renews the lease; `false` while another daemon has it.
     async fn hold_lease(&mut self) -> Result<bool, StepError> {
         let entry = self.context.platform.read_object(LEASE_KIND, NAME).await?;
-        let record =
-            entry.value.and_then(|value| serde_json::from_value::<LeaseRecord>(value).ok());
+        let record = entry.value.and_then(LeaseRecord::decode);
         let own = self.context.identity.incarnation.to_string();
         let now = Instant::now();
-        if self.lease.seen_at.is_none() || entry.version > self.lease.version {
-            self.lease.version = entry.version;
-            self.lease.seen_at = Some(now);
-        }
-        let mine = record.as_ref().is_some_and(|record| record.holder == own);
-        let quiet = self.lease.seen_at.is_some_and(|seen| now - seen >= LEASE_QUIET);
-        if !mine && record.is_some() && !quiet {
-            self.lease.valid_until = None;
-            return Ok(false);
-        }
-        let before = record.map_or(0, |record| record.epoch);
-        self.lease.epoch = if mine { before } else { before + 1 };
-        self.lease.renewal += 1;
-        let record =
-            LeaseRecord { holder: own, epoch: self.lease.epoch, renewal: self.lease.renewal };
-        let condition = match entry.version {
-            0 => WriteCondition::Absent,
-            version => WriteCondition::Version(version),
+        self.lease.observe(entry.version, now);
+        let verdict = self.lease.decide(record.as_ref(), &own, now);
+        let epoch = match verdict {
+            LeaseVerdict::HeldByOther => {
+                self.lease.lose();
+                return Ok(false);
+            }
+            LeaseVerdict::Renew { epoch } | LeaseVerdict::Acquire { epoch } => epoch,
         };
-        // NOTE: counted from before the write was sent, not from its response.
+        let record = self.lease.next_record(own, epoch);
+        // Counted from before the write was sent, not from its response.
         let asked_at = Instant::now();
+        let condition = condition_of(entry.version);
         let value = json!(record);
         match self.context.platform.write_object(LEASE_KIND, NAME, &value, condition).await {
             Ok(receipt) => {
-                self.lease.version = receipt.version;
-                self.lease.seen_at = Some(asked_at);
-                self.lease.valid_until = Some(asked_at + LEASE);
-                if !mine {
-                    self.note(format!("took the lease, epoch {}", self.lease.epoch));
+                self.lease.hold(receipt.version, asked_at);
+                if matches!(verdict, LeaseVerdict::Acquire { .. }) {
+                    self.note(format!("took the lease, epoch {epoch}"));
                 }
-                Ok(self.holds())
+                Ok(self.lease.is_held(Instant::now()))
             }
             Err(error) if error.cause == FailureCause::Conflict => {
-                self.lease.valid_until = None;
+                self.lease.lose();
                 Ok(false)
             }
             Err(error) => Err(error),
         }
     }
 
+    /// Whether the lease is good right now; checked again before every call to the cloud.
+    fn holds(&self) -> bool {
+        self.lease.is_held(Instant::now())
+    }
+
     fn note(&self, detail: String) {
         let subject = self.context.identity.address.clone();
         self.context.note_subject(EventKind::Planned, &subject, detail);
@@ -199,7 +149,10 @@
 
     async fn items(&self, kind: ItemKind) -> Vec<SpreadItem> {
         let items = self.context.cluster.ask(|reply| ClusterMessage::List { kind, reply }).await;
-        items.unwrap_or_default()
+        items.unwrap_or_else(|error| {
+            spdlog::warn!("items not read: {}", error, kv: { service = NAME });
+            Vec::new()
+        })
     }
 
     async fn notices(&self) -> HashMap<SharedName, u64> {
@@ -230,21 +183,17 @@
 
     async fn plan_service(&mut self, row: &ServiceRow) -> Result<(), StepError> {
         let entry = self.context.platform.read_object(PLAN_KIND, &row.name).await?;
-        let plan = entry.value.and_then(|value| serde_json::from_value::<FleetPlan>(value).ok());
-        let mut plan = plan.unwrap_or_default();
-        if plan.epoch > self.lease.epoch {
+        let mut plan = entry.value.map_or_else(FleetPlan::default, FleetPlan::decode);
+        if plan.epoch > self.lease.epoch() {
             return Ok(());
         }
         let fleet = self.view(row, &mut plan).await;
-        let actions = self.memory.decide(&fleet, &self.prices, Instant::now());
+        let actions = self.state.decide(&fleet, &self.prices, Instant::now());
         let starts: Vec<PlannedVm> = actions.iter().filter_map(to_planned).collect();
         if !starts.is_empty() {
-            plan.epoch = self.lease.epoch;
+            plan.epoch = self.lease.epoch();
             plan.pending.extend(starts.iter().cloned());
-            let condition = match entry.version {
-                0 => WriteCondition::Absent,
-                version => WriteCondition::Version(version),
-            };
+            let condition = condition_of(entry.version);
             // Written down before the cloud is asked.
             let value = json!(plan);
             self.context.platform.write_object(PLAN_KIND, &row.name, &value, condition).await?;
@@ -264,7 +213,7 @@
         if !self.holds() {
             return;
         }
-        let place = FleetPlace { zone: vm.zone.clone(), class: vm.class };
+        let place = vm.place();
         let order = StartOrder {
             name: vm.name.clone(),
             zone: vm.zone,
@@ -273,12 +222,12 @@
         };
         match self.context.platform.start_vm(&order).await {
             Ok(_) => {
-                self.memory.started(&place);
+                self.state.started(&place);
                 self.context.metrics.count("vms_started", 1);
                 self.note(format!("started {}", vm.name));
             }
             Err(error) => {
-                self.memory.refused(&place, Instant::now());
+                self.state.refused(&place, Instant::now());
                 self.context.metrics.count("vm_starts_refused", 1);
                 self.note(format!("start of {} refused: {error}", vm.name));
             }
@@ -306,9 +255,8 @@
         let now_ms = crate::wall_clock_ms();
         plan.pending.retain(|planned| {
             let listed = vms.iter().any(|vm| vm.name == planned.name);
-            let place = FleetPlace { zone: planned.zone.clone(), class: planned.class };
-            let expected = now_ms < planned.asked_at_ms + PENDING_KEEP_MS;
-            !listed && expected && !self.memory.is_refused(&place, Instant::now())
+            let refused = self.state.is_refused(&planned.place(), Instant::now());
+            !listed && planned.is_expected(now_ms) && !refused
         });
         let held: Vec<HeldVm> = vms
             .into_iter()
@@ -339,25 +287,9 @@
     }
 }
 
-fn to_planned(action: &FleetAction) -> Option<PlannedVm> {
-    match action {
-        FleetAction::Release { .. } => None,
-        FleetAction::Start { name, place } => Some(PlannedVm {
-            name: name.clone(),
-            zone: place.zone.clone(),
-            class: place.class,
-            asked_at_ms: crate::wall_clock_ms(),
-        }),
-    }
-}
-
-/// Weights of a service, from its row.
-pub fn weights_of(row: &ServiceRow) -> FleetWeights {
-    let lost_tokens = f64::from(row.concurrency) * UTILISATION * STREAM_TOKENS;
-    FleetWeights {
-        shortage: row.shortage_cost,
-        zone_loss: row.zone_loss_per_hour,
-        replace_hours: row.replace_minutes / 60.0,
-        reclaim: row.recompute_weight * lost_tokens / TOKENS_PER_UNIT,
+fn condition_of(version: u64) -> WriteCondition {
+    match version {
+        0 => WriteCondition::Absent,
+        version => WriteCondition::Version(version),
     }
 }
--- a/src/native/serve/planning/platform_watch.rs
+++ b/src/native/serve/planning/platform_watch.rs
@@ -27,17 +27,28 @@
 /// Kind of the objects that hold the table's rows.
 pub const ROW_KIND: &str = "rows";
 /// Daemons of each availability zone that ask the platform.
+/// Basis: docs/CAPACITY.md: 16 watchers in eight zones at 2,100 daemons; one may be lost.
 const WATCHERS: usize = 2;
-/// Time between looks at who asks.
+/// Time between checks whether this daemon asks.
+/// Basis: chosen, not measured.
 const ROLE_EVERY: Duration = Duration::from_millis(500);
 /// Time between reads of the VM list.
+/// Basis: docs/CAPACITY.md: 0.7 calls/s at each watcher, rows and notices included.
 const VMS_EVERY: Duration = Duration::from_secs(2);
-/// Time a daemon that has just started waits for its peers to tell it the table.
+/// Time for which a daemon that has just started waits for the table from its peers.
+/// Basis: chosen, not measured: a round of greetings and an exchange of summaries.
 const PEERS_FIRST: Duration = Duration::from_millis(1_500);
 /// Pause after a failed call; each further failure doubles it.
+/// Basis: chosen, not measured.
 const PAUSE_FIRST: Duration = Duration::from_millis(200);
+/// Longest pause after failed calls.
+/// Basis: chosen, not measured: how late the end of an outage is noticed.
 const PAUSE_LONGEST: Duration = Duration::from_secs(5);
 
+/// Time between checks while a daemon that has just started waits for its peers.
+/// Basis: chosen, not measured: a fifth of that wait.
+const START_CHECK_EVERY: Duration = Duration::from_millis(300);
+
 /// Runs the service.
 pub async fn run(context: Rc<ServeContext>) {
     let rows = watch_rows(context.clone());
@@ -90,7 +101,7 @@
         let new = started_at.elapsed() < PEERS_FIRST && !context.settings.seeds.is_empty();
         if !has_role(&context, b"rows") || (alone && new) {
             revision = None;
-            sleep(ROLE_EVERY.min(PEERS_FIRST / 5)).await;
+            sleep(ROLE_EVERY.min(START_CHECK_EVERY)).await;
             continue;
         }
         let read = match revision {
@@ -100,8 +111,8 @@
         match read {
             Ok(next) => {
                 pause.reset();
-                // NOTE: a store that goes back shows less than is known; list it anew,
-                // newer versions stay in force meanwhile.
+                // A store that went back shows less than is known: list it anew. Newer versions
+                // stay current meanwhile.
                 revision =
                     if revision.is_some_and(|before| next < before) { None } else { Some(next) };
             }
@@ -122,6 +133,7 @@
 
 async fn known_versions(context: &ServeContext, kind: ItemKind) -> HashMap<SharedName, SpreadItem> {
     let items = context.cluster.ask(|reply| ClusterMessage::List { kind, reply }).await;
+    // If the cluster service is overloaded, all that is listed is spread again.
     let items = items.unwrap_or_default();
     items.into_iter().map(|item| (item.key.name.clone(), item)).collect()
 }
@@ -163,7 +175,7 @@
                 pause.reset();
                 if list.revision >= newest {
                     newest = list.revision;
-                    take_vms(&context, list).await;
+                    apply_vms(&context, list).await;
                 }
                 sleep(VMS_EVERY).await;
             }
@@ -173,12 +185,13 @@
 }
 
 /// Spreads the entries that differ from what is known, whoever read them first.
-async fn take_vms(context: &ServeContext, list: VmList) {
+async fn apply_vms(context: &ServeContext, list: VmList) {
     let mut known = known_versions(context, ItemKind::Vm).await;
     let mut items = Vec::new();
     for vm in list.vms {
         if &*vm.service == ENTRY_SERVICE {
             let seed = ClusterEvent::Seed(vm.address.clone());
+            // Lost if the cluster service is overloaded; the next list has it again.
             let _ = context.cluster.send(ClusterMessage::Event(seed));
         }
         let before = known.remove(&vm.id);
--- a/src/native/serve/run/admission.rs
+++ b/src/native/serve/run/admission.rs
@@ -18,7 +18,8 @@
     },
 };
 
-/// Retry-after of a daemon that is leaving: another daemon can take the request at once.
+/// Retry-after of a daemon that is leaving.
+/// Basis: chosen, not measured: another daemon can take the request at once.
 const RETRY_ELSEWHERE: Duration = Duration::ZERO;
 /// Retry-after of a daemon that is overloaded or has no table.
 /// Basis: chosen, not measured: a request ends or a table arrives in about that time.
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -1,5 +1,8 @@
-//! One attempt at an endpoint: sends the call, takes tokens or the response, and leaves
+//! One attempt at an endpoint on the native path: sends the call, takes tokens or the response, and leaves
 //! when a notice says so.
+//!
+//! It reports how the attempt ended and decides nothing; `run::driver` and `run::once` do. The
+//! gateway's attempts (`gateway::request::attempt`) speak the platform's protocol instead.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -77,6 +80,7 @@
             priority: self.priority.number(),
             resume_tokens: tokens.iter().map(ToString::to_string).collect(),
         };
+        // This type always serializes.
         let body = serde_json::to_vec(&order).unwrap_or_default();
         let call = self.outgoing("stream completion", "/v1/completions", "application/json", body);
         let end = match self.open(&call).await {
@@ -157,6 +161,7 @@
                 let cause = FailureCause::Broken(error.to_string());
                 return AttemptEnd::Failed(self.error(step, cause));
             }
+            // The wait has no other error than its end.
             Err(_) => {
                 let cause = FailureCause::TimedOut(limit.as_millis() as u64);
                 return AttemptEnd::Failed(self.error(step, cause));
@@ -223,9 +228,11 @@
     ) -> Result<Bytes, StepError> {
         let step = "read stream";
         match frame {
+            // The wait has no other error than its end.
             Err(_) => Err(self.error(step, FailureCause::TimedOut(limit.as_millis() as u64))),
             Ok(None) => Err(self.error(step, FailureCause::Broken("stream ended early".into()))),
             Ok(Some(Err(error))) => Err(self.error(step, FailureCause::Broken(error.to_string()))),
+            // A frame without data carries trailers, which mean nothing here.
             Ok(Some(Ok(frame))) => Ok(frame.into_data().unwrap_or_default()),
         }
     }
@@ -251,6 +258,7 @@
             RequestMessage::Append { name: self.name.clone(), term: self.term, token: text };
         match self.context.requests.deliver(append).await {
             Ok(()) => None,
+            // The store has ended, and the daemon with it.
             Err(_) => Some(AttemptEnd::Superseded),
         }
     }
@@ -262,6 +270,7 @@
         |way: &Option<ReclaimWay>| matches!(way, Some(ReclaimWay::Move | ReclaimWay::Resume));
     match way.wait_for(leaves).await {
         Ok(found) => found.unwrap_or(ReclaimWay::Resume),
+        // The router is gone: no order can come any more.
         Err(_) => std::future::pending().await,
     }
 }
@@ -270,7 +279,7 @@
     match end {
         AttemptEnd::Answered(_) => AttemptResult::Succeeded,
         AttemptEnd::Failed(_) => AttemptResult::Failed,
-        // NOTE: a refused connection counts: nothing listens there.
+        // A refused connection counts: nothing listens there.
         AttemptEnd::NotStarted(_, error) if matches!(error.cause, FailureCause::Unreachable(_)) => {
             AttemptResult::Failed
         }
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -1,23 +1,21 @@
 //! Runs a request that may be retried: attempts, retries, moves, until it has ended.
 
+mod leaving;
+
 use std::{rc::Rc, sync::Arc, time::Duration};
 
-use hyper::Method;
 use tokio::time::{Instant, sleep};
 
 use super::attempt::{AttemptEnd, AttemptTask, as_completion};
 use crate::{
-    http::client::OutgoingCall,
     ids::{RequestName, SharedName},
     native::{
         decide::{
             fair_queue::QueueTurn,
             limits::RequestPriority,
             prefix::{count_tokens, prefix_chain},
-            reclaim::ReclaimWay,
             retries::retry_pause,
         },
-        endpoint::ImportOrder,
         request::{
             call::{CallContent, ClientCall},
             copy::ResponseToken,
@@ -35,12 +33,13 @@
 };
 
 /// Most attempts at one request, moves apart.
+/// Basis: chosen, not measured: the retry budget is the tighter bound in a brownout.
 const ATTEMPT_LIMIT: u32 = 6;
 /// Longest wait in the queue for an endpoint.
+/// Basis: chosen, not measured.
 const QUEUE_WAIT: Duration = Duration::from_secs(20);
-/// Longest wait for the move of a KV cache.
-const MOVE_LIMIT: Duration = Duration::from_secs(20);
-/// When a client may come back after attempts have failed.
+/// Retry-after when attempts have failed.
+/// Basis: chosen, not measured.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request to run under one term.
@@ -76,7 +75,7 @@
         tokens: Vec<ResponseToken>,
     ) -> Self {
         Self {
-            // NOTE: one that was taken over has waited already.
+            // One that was taken over has waited already.
             priority: RequestPriority::Normal,
             weight: context.weight_of(&call.account),
             context,
@@ -93,7 +92,7 @@
 
     /// Runs the request to its end, unless it is cancelled or superseded.
     ///
-    /// Gives back what is needed to look at the request once more.
+    /// Returns what is needed to read the request's state once more.
     pub async fn run(mut self, stage: CallStage) -> (Rc<ServeContext>, RequestName) {
         let view = self
             .context
@@ -101,7 +100,7 @@
             .ask(|reply| RequestMessage::View { name: self.name.clone(), reply });
         let Ok(Some(mut view)) = view.await else { return (self.context, self.name) };
         let term = self.term;
-        // NOTE: the wait also ends when the record is removed: cancelled.
+        // The wait also ends when the record is removed: cancelled.
         let cancelled = async move {
             view.wait_for(|progress| progress.ended || progress.term > term).await;
         };
@@ -147,7 +146,7 @@
                     return Some(self.give_up(stage, NotRunReason::NoEndpoint, RETRY_AFTER));
                 }
                 PickReply::Nowhere => {
-                    // NOTE: every endpoint was tried; those tried first may work by now.
+                    // Every endpoint was tried; those tried first may work by now.
                     self.exclude.clear();
                     if self.attempts >= ATTEMPT_LIMIT {
                         return Some(self.give_up(
@@ -160,7 +159,7 @@
                     continue;
                 }
             };
-            self.earn();
+            self.count_attempt();
             let dispatched = stage.begin();
             let end = self.attempt(&slot).await;
             match self.judge(end, dispatched, slot).await {
@@ -175,7 +174,7 @@
         stage.give_up(reason, wait, UnknownReason::AttemptsFailed)
     }
 
-    fn earn(&mut self) {
+    fn count_attempt(&mut self) {
         self.attempts += 1;
         self.context.metrics.count("attempts", 1);
         if self.attempts == 1 {
@@ -197,6 +196,7 @@
                 priority: self.priority,
                 tokens: self.call.expected_tokens(),
             },
+            // A plain call has no prompt.
             chain: text.map(|text| prefix_chain(&text)).unwrap_or_default().into(),
             exclude: self.exclude.clone(),
             deadline: Instant::now() + QUEUE_WAIT,
@@ -275,27 +275,4 @@
         self.context.metrics.count("attempts_failed", 1);
         self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
     }
-
-    /// Leaves an endpoint that is being reclaimed. For a move, the old endpoint's cache
-    /// is imported where the stream will probably go on.
-    async fn leave(&mut self, way: ReclaimWay, slot: EndpointSlot) {
-        self.moves += 1;
-        self.attempts -= 1;
-        let from = slot.pick.address.clone();
-        drop(slot);
-        if way != ReclaimWay::Move {
-            return;
-        }
-        let PickReply::Slot(next) = self.pick().await else { return };
-        let Some(completion) = as_completion(&self.call) else { return };
-        let text = format!("{} {}", completion.prompt, self.tokens.concat());
-        let order = ImportOrder { from: from.to_string(), text };
-        let body = serde_json::to_vec(&order).unwrap_or_default();
-        let call = OutgoingCall::get("move KV cache", &next.pick.address, "/kv/import")
-            .with_json(Method::POST, body);
-        let moved = self.context.http.fetch(&call, MOVE_LIMIT).await;
-        let moved = moved.is_ok_and(|response| response.status.is_success());
-        let outcome = if moved { "moved" } else { "failed" };
-        self.context.metrics.count_labelled("cache_moves", "outcome", outcome);
-    }
 }
--- a/src/native/serve/run/once.rs
+++ b/src/native/serve/run/once.rs
@@ -5,17 +5,19 @@
 //! own key instead costs a conditional create in the object API, which binds the key
 //! to a ticket; one without a key gets a ticket that nobody else knows of.
 
+mod claims;
 mod run;
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
-use serde::{Deserialize, Serialize};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::once::run::OnceRun;
+use self::{
+    claims::{abandon, claim, claim_name},
+    run::OnceRun,
+};
 use crate::{
-    errors::FailureCause,
-    ids::{RequestName, SharedName, hash_parts},
+    ids::RequestName,
     native::{
         cloud_api::client::WriteCondition,
         request::{
@@ -29,16 +31,16 @@
     },
 };
 
-/// Kind of the objects that bind a client's key to a ticket.
-const CLAIM_KIND: &str = "claims";
 /// Longest time that a holder is waited for.
+/// Basis: chosen, not measured: within the 45 s for which a client is kept waiting.
 const HOLDER_LIMIT: Duration = Duration::from_secs(30);
 /// Time between tries to reach a holder that may have dispatched.
+/// Basis: chosen, not measured.
 const HOLDER_RETRY: Duration = Duration::from_millis(200);
-/// Tries to settle a claim whose write's response was lost.
-const CLAIM_TRIES: u32 = 4;
-/// When a client may come back.
+/// Retry-after when a request was not run.
+/// Basis: chosen, not measured.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
+
 /// What a request that may not be retried came to.
 #[derive(Debug)]
 pub enum OnceOutcome {
@@ -50,12 +52,6 @@
     ForeignTicket,
 }
 
-/// Value of a claim.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-struct ClaimRecord {
-    ticket: String,
-}
-
 /// Issues a ticket to `account`.
 pub async fn issue(context: &Rc<ServeContext>, account: &str) -> Option<TicketId> {
     let witness = context.choose_witness();
@@ -74,6 +70,7 @@
     let ticket = match key.map(str::parse::<TicketId>) {
         Some(Ok(ticket)) if ticket.scope != scope => return OnceOutcome::ForeignTicket,
         Some(Ok(ticket)) => ticket,
+        // A key that is no ticket is the client's own.
         Some(Err(_)) => return serve_claimed(context, key.unwrap_or_default(), call).await,
         None => match issue(context, &call.account).await {
             Some(ticket) => ticket,
@@ -100,8 +97,8 @@
     let (bound, version) = match claim(context, &object, own, WriteCondition::Absent).await {
         Ok(found) => found,
         Err(()) => {
-            // NOTE: the write may still take effect; the ticket is spent so that whoever
-            // finds the claim later is told the truth.
+            // The write may still take effect. The ticket is spent, so that whoever finds the
+            // claim later gets the right outcome.
             abandon(context, own, &call).await;
             return refuse(call, NotRunReason::ClaimFailed);
         }
@@ -120,51 +117,6 @@
     }
 }
 
-/// Name of the claim on a key; keys may hold characters that object names may not.
-fn claim_name(account: &SharedName, key: &str) -> String {
-    let hash = |salt: &[u8]| hash_parts(&[salt, account.as_bytes(), key.as_bytes()]);
-    format!("{:016x}{:016x}", hash(b"claim-high"), hash(b"claim-low"))
-}
-
-/// Binds a claim to `own`, or finds what it is bound to, with its version. A write
-/// whose answer was lost is settled by reading back.
-async fn claim(
-    context: &Rc<ServeContext>,
-    object: &str,
-    own: TicketId,
-    condition: WriteCondition,
-) -> Result<(TicketId, u64), ()> {
-    let record = ClaimRecord { ticket: own.to_string() };
-    let value = serde_json::to_value(&record).unwrap_or_default();
-    context.metrics.count("claims", 1);
-    match context.platform.write_object(CLAIM_KIND, object, &value, condition).await {
-        Ok(receipt) => return Ok((own, receipt.version)),
-        // NOTE: what was refused by the platform's rate limit or outage did not take
-        // effect, but a proxy on the way may say so too; only reading back can tell.
-        Err(error) if matches!(error.cause, FailureCause::Unreachable(_)) => return Err(()),
-        Err(_) => {}
-    }
-    for retry in 0..CLAIM_TRIES {
-        sleep(HOLDER_RETRY * retry / 4).await;
-        let Ok(entry) = context.platform.read_object(CLAIM_KIND, object).await else { continue };
-        let Some(value) = entry.value else { return Err(()) };
-        let Ok(found) = serde_json::from_value::<ClaimRecord>(value) else { return Err(()) };
-        return found.ticket.parse().map(|ticket| (ticket, entry.version)).map_err(|_| ());
-    }
-    Err(())
-}
-
-/// Spends a ticket that was not used.
-async fn abandon(context: &Rc<ServeContext>, ticket: TicketId, call: &Arc<ClientCall>) {
-    let digest = call.digest();
-    let begin = context.tickets.ask(|reply| TicketMessage::Begin { ticket, digest, reply });
-    if matches!(begin.await, Ok(TicketUse::Granted)) {
-        let undispatched = UndispatchedCall::new(call.clone());
-        let response = undispatched.refuse(NotRunReason::ClaimFailed, RETRY_AFTER);
-        let _ = context.tickets.send(TicketMessage::End { ticket, response });
-    }
-}
-
 /// Has the holder of `ticket` run the call, or finds out what became of it.
 async fn resolve(
     context: &Rc<ServeContext>,
@@ -210,8 +162,8 @@
             }
             Some(SealVerdict::MayHaveRun) | None => {}
         }
-        // NOTE: while the holder is a member it may come back with the response; once it
-        // has been removed, nobody else ever learns it.
+        // While the holder is a member it may still deliver the response; once it has been
+        // removed, nobody else ever learns it.
         if context.target(ticket.holder).is_none() || Instant::now() >= deadline {
             let response = FinalResponse::Unknown(UnknownReason::HolderLost);
             return SettledResponse { digest, response };
@@ -223,6 +175,7 @@
 /// Has the witness seal the ticket; `None` if it cannot be reached.
 async fn seal(context: &Rc<ServeContext>, ticket: TicketId) -> Option<SealVerdict> {
     if ticket.witness == context.identity.incarnation {
+        // An overloaded ledger counts as a witness that cannot be reached.
         return context.tickets.ask(|reply| TicketMessage::Seal { ticket, reply }).await.ok();
     }
     let witness = context.target(ticket.witness)?;
@@ -250,10 +203,12 @@
             return SettledResponse { digest: [0; 32], response };
         }
         Ok(TicketUse::Forgotten) => return unknown(UnknownReason::TicketExpired),
+        // The ledger is overloaded or has ended.
         Err(_) => return unknown(UnknownReason::HolderLost),
     }
     match context.tickets.ask(|reply| TicketMessage::Wait { ticket, reply }).await {
         Ok(response) => SettledResponse { digest, response },
+        // The ledger is overloaded or has ended.
         Err(_) => unknown(UnknownReason::HolderLost),
     }
 }
@@ -272,6 +227,7 @@
         let mut run = OnceRun::new(context.clone(), ticket, call);
         let response = run.run().await;
         run.note_end(&response);
+        // If the ledger is overloaded, those who wait get no response from it; the witness does.
         let _ = context.tickets.send(TicketMessage::End { ticket, response: response.clone() });
         settle(&context, ticket, SettledResponse { digest, response }).await;
     });
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -27,8 +27,10 @@
 };
 
 /// Longest wait in the queue for an endpoint.
+/// Basis: chosen, not measured: leaves most of the client's 45 s for the run itself.
 const QUEUE_WAIT: Duration = Duration::from_secs(10);
 /// Endpoints that may refuse before starting, for one request.
+/// Basis: chosen, not measured.
 const REFUSAL_LIMIT: usize = 4;
 
 /// One run of a ticket at its holder.
@@ -135,7 +137,7 @@
                 self.context.note(EventKind::TicketSealed, &self.name, "the witness refused");
                 Err(NotRunReason::HolderGone)
             }
-            // NOTE: the witness may have written its consent down; that does no harm,
+            // The witness may have written its consent down; that does no harm,
             // since this holder ends the ticket without dispatching.
             Err(_) => Err(NotRunReason::NoWitness),
         }
--- a/src/native/serve/run/resume/mirror.rs
+++ b/src/native/serve/run/resume/mirror.rs
@@ -57,7 +57,7 @@
     Box::pin(async move {
         let Some(copy) = read_state(&context, &name).await else { return };
         if copy.response.is_none() && copy.holder != context.holder() {
-            // Fails only while the daemon stops.
+            // A failure leaves the request as it is: the next client that asks follows again.
             let _ = follow(&context, copy).await;
         }
     })
@@ -97,6 +97,7 @@
 /// Applies a peer's update; one that is not newer changes nothing.
 pub async fn apply_update(context: &Rc<ServeContext>, update: RequestCopy) {
     let offer = context.requests.ask(|reply| RequestMessage::Offer { copy: update, reply });
-    // An update that is not newer changes nothing; a send fails only while the daemon stops.
+    // The verdict does not matter here, and an update that an overloaded store does not take is
+    // asked for again by the next read.
     let _ = offer.await;
 }
--- a/src/native/serve/services/copies.rs
+++ b/src/native/serve/services/copies.rs
@@ -32,9 +32,17 @@
 
 /// Name of the service.
 pub const NAME: &str = "copies";
-/// Time between messages to one peer.
+/// Time between messages to one partner.
+/// Basis: commit 3307a63: 33.0 KB/s a daemon at 40 requests/s, 62.3 with whole copies.
 const FLUSH_EVERY: Duration = Duration::from_millis(100);
 
+/// Bytes of an update beside its name and tokens.
+/// Basis: chosen, not measured: an estimate for the metrics.
+const FIELD_BYTES: usize = 64;
+/// The directory is told again after this part of the time for which it keeps an entry.
+/// Basis: docs/design/copies.md: a third, so that one lost message does no harm.
+const RENEWAL_PART: u32 = 3;
+
 #[derive(Debug)]
 struct TrackedCopy {
     view: ResponseView,
@@ -88,7 +96,7 @@
                 }
             }
             CopyMessage::Failed(target) => {
-                // NOTE: it is sent everything again, if it is still a partner by then.
+                // It is sent everything again, if it is still a partner by then.
                 for copy in self.tracked.values_mut() {
                     copy.sent.remove(&target);
                     copy.progress = None;
@@ -127,7 +135,7 @@
                 *sent = update.first_token + update.tokens.len();
                 by_target.entry(partner.clone()).or_default().push(update);
             }
-            if copy.told_at.elapsed() > context.settings.answer_keep / 3 {
+            if copy.told_at.elapsed() > context.settings.answer_keep / RENEWAL_PART {
                 copy.told_at = Instant::now();
                 let entry = copy.view.copy_from(usize::MAX);
                 tokio::task::spawn_local(tell_directory(context.clone(), name.clone(), entry));
@@ -145,9 +153,8 @@
 }
 
 fn update_bytes(copy: &RequestCopy) -> usize {
-    const FIELDS: usize = 64;
     let tokens: usize = copy.tokens.iter().map(|token| token.len() + size_of::<u64>()).sum();
-    FIELDS + copy.name.key.len() + copy.name.account.len() + tokens
+    FIELD_BYTES + copy.name.key.len() + copy.name.account.len() + tokens
 }
 
 async fn send_updates(
@@ -159,9 +166,11 @@
     let message = match context.pool.append(&target, &copies).await {
         Ok(refused) if refused.is_empty() => return,
         Ok(refused) => CopyMessage::Refused(target, refused),
+        // Whatever the error: the partner is sent everything again.
         Err(_) => CopyMessage::Failed(target),
     };
-    // NOTE: the service ends only with the daemon.
+    // Fails if the copier is overloaded or has ended. The partner refuses the next update, and
+    // is then sent the whole copy.
     let _ = address.send(message);
 }
 
@@ -182,7 +191,7 @@
     }
 }
 
-/// Takes over what a peer knows, if that goes before what is known here.
+/// Applies what a peer knows, if it has precedence over what is known here.
 pub async fn supersede(context: &Rc<ServeContext>, known: RequestCopy) {
     let name = known.name.clone();
     let offer = context.requests.ask(|reply| RequestMessage::Offer { copy: known, reply });
--- a/src/native/serve/services/limit_service.rs
+++ b/src/native/serve/services/limit_service.rs
@@ -27,6 +27,11 @@
 /// Name of the service.
 pub const NAME: &str = "limits";
 
+/// Members among whom each exchange's partner is drawn.
+/// Basis: chosen, not measured: few enough to keep connections open, and an expanding graph.
+/// The errors of the averages with it are in docs/CAPACITY.md.
+const PARTNERS: u64 = 6;
+
 /// What the service is asked.
 #[derive(Debug)]
 pub enum LimitMessage {
@@ -57,7 +62,7 @@
         /// Its values.
         theirs: Vec<f32>,
     },
-    /// Averages in force, for operators.
+    /// Current averages, for operators.
     Read {
         /// Averages.
         reply: oneshot::Sender<HashMap<SharedName, f64>>,
@@ -88,9 +93,9 @@
 
 /// What the service watches.
 pub struct LimitViews {
-    /// Members in force.
+    /// Current members.
     pub members: watch::Receiver<Rc<MemberList>>,
-    /// Table in force.
+    /// Current table.
     pub table: watch::Receiver<Arc<TableSnapshot>>,
     /// This daemon's load, by service.
     pub loads: watch::Receiver<ServiceLoads>,
@@ -151,6 +156,7 @@
 
     fn enter_epoch(&mut self) {
         let now = Instant::now();
+        // A sender that is gone changes nothing any more: the daemon stops.
         if self.table.has_changed().unwrap_or(false) {
             let table = self.table.borrow_and_update();
             let accounts = table.accounts().map(|row| row.name.clone());
@@ -178,8 +184,9 @@
         let Some(target) = self.random_member() else { return };
         let (pool, address) = (self.pool.clone(), self.address.clone());
         tokio::task::spawn_local(async move {
-            // NOTE: a lost exchange is forgotten with its epoch.
+            // A lost exchange is forgotten with its epoch.
             if let Ok(Some(theirs)) = pool.average(&target, &sent).await {
+                // Lost if the limiter is overloaded, as above.
                 let _ = address.send(LimitMessage::Answered { sent, theirs });
             }
         });
@@ -188,7 +195,6 @@
     /// Partners are drawn from a few that stay the same, so that connections can too:
     /// the ring successors of fixed points make an expanding graph.
     fn random_member(&mut self) -> Option<PeerTarget> {
-        const PARTNERS: u64 = 6;
         let index = self.rng.random_range(0..PARTNERS);
         let point =
             crate::ids::hash_parts(&[b"partner", &self.own.0.to_le_bytes(), &index.to_le_bytes()]);
--- a/src/native/serve/services/router/messages.rs
+++ b/src/native/serve/services/router/messages.rs
@@ -79,7 +79,7 @@
 
 impl Drop for EndpointSlot {
     fn drop(&mut self) {
-        // Fails only when the router is gone, and the daemon with it.
+        // Fails when the router's inbox is full, or when the router has ended with the daemon.
         let _ = self.router.send(RouterMessage::Ended {
             service: self.service.clone(),
             id: self.pick.id.clone(),
--- a/src/native/serve/services/router/poll.rs
+++ b/src/native/serve/services/router/poll.rs
@@ -34,7 +34,7 @@
     let Ok(report) = report else { return };
     let load = report.running + report.waiting;
     let message = RouterMessage::Load { service: service.clone(), id: info.id.clone(), load };
-    // Fails only while the daemon stops.
+    // Lost if the router is overloaded; the next poll reports again.
     let _ = router.send(message);
     let Some(after) = after else { return };
     let call = OutgoingCall::get(
@@ -48,7 +48,7 @@
     };
     let changes: Vec<CacheChange> = events.into_iter().map(CacheEvent::into_change).collect();
     if !changes.is_empty() {
-        // Fails only while the daemon stops.
+        // Lost if the router is overloaded; the next poll asks for the same events.
         let _ = router.send(RouterMessage::Cache { service, id: info.id, changes });
     }
 }
--- a/src/native/serve/services/store_service.rs
+++ b/src/native/serve/services/store_service.rs
@@ -22,6 +22,8 @@
 
 /// Name of the service.
 pub const NAME: &str = "requests";
+/// Time between searches for records that have expired.
+/// Basis: chosen, not measured: short beside the time for which records are kept.
 const EXPIRE_EVERY: Duration = Duration::from_millis(500);
 
 /// Size of the store.
@@ -141,7 +143,7 @@
             send_reply(reply, store.take_over(&name, now));
         }
         RequestMessage::Append { name, term, token } => {
-            // NOTE: under a term that is over, the token is dropped; its driver is told
+            // Under a term that is over, the token is dropped; its driver is told
             // by the progress.
             store.append(&name, term, token);
         }
--- a/src/native/serve/services/ticket_service.rs
+++ b/src/native/serve/services/ticket_service.rs
@@ -111,7 +111,7 @@
                 send_reply(reply, self.held.begin(ticket, digest));
             }
             TicketMessage::End { ticket, response } => {
-                for waiting in self.waiting.remove(&ticket).unwrap_or_default() {
+                for waiting in self.waiting.remove(&ticket).into_iter().flatten() {
                     send_reply(waiting, response.clone());
                 }
                 self.held.end(ticket, response);
--- a/src/native/serve/timeline.rs
+++ b/src/native/serve/timeline.rs
@@ -7,8 +7,10 @@
 use crate::ids::SharedName;
 
 /// Events kept; older ones are dropped.
+/// Basis: docs/CAPACITY.md: 4 MB, 0.2 us an event.
 const EVENT_LIMIT: usize = 20_000;
 /// Longest detail kept, in bytes.
+/// Basis: chosen, not measured: bounds the memory of the ring.
 const DETAIL_LIMIT: usize = 256;
 
 /// What happened.
@@ -32,7 +34,7 @@
     ClientLeft,
     /// A ticket was refused consent, or sealed.
     TicketSealed,
-    /// A table row has come into force here.
+    /// A table row has become current here.
     RowInForce,
     /// A VM has a notice.
     Notice,
