--- a/tests/native/main.rs
+++ b/tests/native/main.rs
@@ -4,12 +4,16 @@
 mod cluster_model;
 mod harness;
 
-mod daemon_parts;
+mod at_most_once;
+mod bad_input;
 mod decisions;
-mod edges;
+mod decoders;
 mod fleet_planning;
+mod kernel_lifecycle;
+mod peer_admission;
 mod promises;
-mod request_model;
+mod request_store;
+mod settings_checks;
 mod whole_path;
 
 /// Names each case of a test that is run over a table of them.
--- a/tests/native/daemon_parts.rs
+++ b/tests/native/settings_checks.rs
@@ -1,13 +1,10 @@
-//! The micro-kernel, settings, shipped samples, the tool's exit codes.
+//! Settings and table rows: what is wrong is named, what is shipped is allowed.
 
-use std::{fs, path::Path, time::Duration};
+use std::{fs, path::Path};
 
 use googletest::prelude::*;
 use serde_json::{Value, json};
-use tokio::task::LocalSet;
 use willowarch::{
-    clock::wait_at_most,
-    kernel::{KernelExit, LifePhase, SendError, ServiceKernel},
     native::{
         cloud_api::messages::VmEntry,
         options::{rows::parse_table, settings::DaemonSettings},
@@ -17,93 +14,6 @@
 
 use crate::cases;
 
-/// Runs a task on the paused clock.
-fn paused<T>(task: impl Future<Output = T>) -> T {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), task)
-}
-
-#[googletest::test]
-fn services_find_each_other_by_name_and_type() {
-    paused(async {
-        let mut kernel = ServiceKernel::new();
-        let mut inbox = kernel.register::<u32>("numbers");
-        let handle = kernel.handle();
-        let address = handle.find::<u32>("numbers").expect("registered");
-        expect_that!(address.send(7), ok(anything()));
-        expect_that!(inbox.recv().await, some(eq(7)));
-        expect_that!(handle.find::<u32>("texts").err(), some(eq(&SendError::Missing("texts"))));
-        expect_that!(handle.find::<String>("numbers").err(), some(anything()));
-        drop(inbox);
-        expect_that!(address.send(8), err(eq(&SendError::Ended("numbers"))));
-    });
-}
-
-#[googletest::test]
-fn panicking_service_ends_the_kernel() {
-    let exit = paused(async {
-        let mut kernel = ServiceKernel::new();
-        kernel.start("quiet", std::future::pending());
-        kernel.start("loud", async { panic!("on purpose") });
-        kernel.run().await
-    });
-    expect_that!(exit, eq(&KernelExit::Panicked("loud".into())));
-}
-
-#[googletest::test]
-fn panicking_child_task_ends_the_kernel() {
-    let exit = paused(async {
-        let mut kernel = ServiceKernel::new();
-        kernel.start("quiet", std::future::pending());
-        kernel.handle().spawn("quiet", async { panic!("on purpose") });
-        kernel.run().await
-    });
-    expect_that!(exit, pat!(KernelExit::Panicked(starts_with("quiet"))));
-}
-
-#[googletest::test]
-fn service_that_returns_early_ends_the_kernel_unless_draining() {
-    let early = paused(async {
-        let mut kernel = ServiceKernel::new();
-        kernel.start("quiet", std::future::pending());
-        kernel.start("short", async {});
-        kernel.run().await
-    });
-    expect_that!(early, eq(&KernelExit::EndedEarly("short")));
-    let draining = paused(async {
-        let mut kernel = ServiceKernel::new();
-        let handle = kernel.handle();
-        handle.enter(LifePhase::Draining);
-        kernel.start("short", async {});
-        kernel.run().await
-    });
-    expect_that!(draining, eq(&KernelExit::Stopped));
-}
-
-#[googletest::test]
-fn phases_only_go_forward() {
-    paused(async {
-        let kernel = ServiceKernel::new();
-        let handle = kernel.handle();
-        handle.enter(LifePhase::Stopping);
-        handle.enter(LifePhase::Running);
-        expect_that!(*handle.phase().borrow(), eq(LifePhase::Stopping));
-    });
-}
-
-#[googletest::test]
-fn wait_ends_at_its_limit_on_the_paused_clock() {
-    paused(async {
-        let limit = Duration::from_secs(5);
-        let from = tokio::time::Instant::now();
-        let waited = wait_at_most(limit, std::future::pending::<()>()).await;
-        expect_that!(waited, err(anything()));
-        expect_that!(from.elapsed(), all!(ge(limit), lt(limit * 2)));
-        expect_that!(wait_at_most(limit, async { 3 }).await, ok(eq(3)));
-    });
-}
-
 fn settings(change: impl FnOnce(&mut Value)) -> std::result::Result<DaemonSettings, Vec<String>> {
     let mut value = json!({
         "deployment": "d", "zone": "z", "caller_address": "127.0.0.1:1",
