--- a/src/native/peer/codec.rs
+++ b/src/native/peer/codec.rs
@@ -159,7 +159,7 @@
     let holder_address = copy.get_holder_address()?.to_str().map_err(|_| failed("address"))?;
     Ok(RequestCopy {
         name: read_request_name(copy.get_name()?)?,
-        term: copy.get_term(),
+        takeovers: copy.get_term(),
         holder: RequestHolder {
             incarnation: IncarnationId(copy.get_holder()),
             address: holder_address.into(),
@@ -175,7 +175,7 @@
 /// Writes a request copy.
 pub fn write_copy(mut builder: peer_capnp::request_copy::Builder<'_>, copy: &RequestCopy) {
     write_request_name(builder.reborrow().init_name(), &copy.name);
-    builder.set_term(copy.term);
+    builder.set_term(copy.takeovers);
     builder.set_holder(copy.holder.incarnation.0);
     builder.set_first_token(copy.first_token as u32);
     // NOTE: news go to a peer that knows the request; it needs neither again.
--- a/src/native/request/copy.rs
+++ b/src/native/request/copy.rs
@@ -23,7 +23,7 @@
     /// Its name.
     pub name: RequestName,
     /// Number of take-overs.
-    pub term: u32,
+    pub takeovers: u32,
     /// Who runs it.
     pub holder: RequestHolder,
     /// Digest of the call; updates have none.
--- a/src/native/request/response_log.rs
+++ b/src/native/request/response_log.rs
@@ -18,7 +18,7 @@
     /// Whether it has ended.
     pub ended: bool,
     /// Number of take-overs.
-    pub term: u32,
+    pub takeovers: u32,
 }
 
 /// Tokens of a response, in one text: a shared string for each took five times the memory.
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub(super) struct ResponseLog {
     pub(super) digest: [u8; 32],
-    pub(super) term: u32,
+    pub(super) takeovers: u32,
     pub(super) holder: RequestHolder,
     pub(super) tokens: TokenText,
     pub(super) response: Option<Arc<FinalResponse>>,
@@ -76,7 +76,7 @@
         let first_token = first_token.min(self.tokens.len());
         RequestCopy {
             name: name.clone(),
-            term: self.term,
+            takeovers: self.takeovers,
             holder: self.holder.clone(),
             digest: Some(self.digest),
             call: None,
@@ -88,7 +88,7 @@
 
     pub(super) fn progress(&self) -> RequestProgress {
         let ended = self.response.is_some();
-        RequestProgress { tokens: self.tokens.len(), ended, term: self.term }
+        RequestProgress { tokens: self.tokens.len(), ended, takeovers: self.takeovers }
     }
 }
 
--- a/src/native/request/store.rs
+++ b/src/native/request/store.rs
@@ -1,6 +1,7 @@
 //! All requests that this daemon holds or keeps a copy of, until they expire.
 //!
-//! A record's `term` counts take-overs. Updates of a lower term are dropped. A holder that was
+//! A record's `takeovers` counts how often the request was taken over (`term` in the peer
+//! schema). Updates with a lower count are dropped. A holder that was
 //! paused while another daemon took its place therefore learns that it is superseded, and
 //! nothing that it sends changes what clients are given.
 
@@ -86,12 +87,12 @@
         ClaimVerdict::New
     }
 
-    /// Makes this daemon the holder, one term later; returns the state it goes on from.
+    /// Makes this daemon the holder, one take-over later; returns the state it goes on from.
     pub fn take_over(&mut self, name: &RequestName, now: Instant) -> Option<RequestCopy> {
         let own = self.own.clone();
         let record = self.records.get_mut(name)?;
         record.change(|log| {
-            log.term += 1;
+            log.takeovers += 1;
             log.holder = own;
             log.response = None;
         });
@@ -100,11 +101,11 @@
         Some(copy)
     }
 
-    /// Adds a token to a request that this daemon holds under `term`. `false` if it
+    /// Adds a token to a request that this daemon holds after so many take-overs. `false` if it
     /// was superseded meanwhile.
-    pub fn append(&mut self, name: &RequestName, term: u32, token: ResponseToken) -> bool {
+    pub fn append(&mut self, name: &RequestName, takeovers: u32, token: ResponseToken) -> bool {
         let Some(record) = self.records.get_mut(name) else { return false };
-        if !record.is_running_under(&self.own, term) {
+        if !record.is_running_since(&self.own, takeovers) {
             return false;
         }
         let added = token_bytes(&token);
@@ -114,16 +115,16 @@
         true
     }
 
-    /// Ends a request that this daemon holds under `term`. The first end stands.
+    /// Ends a request that this daemon holds after so many take-overs. The first end stands.
     pub fn end(
         &mut self,
         name: &RequestName,
-        term: u32,
+        takeovers: u32,
         response: Arc<FinalResponse>,
         now: Instant,
     ) -> bool {
         let Some(record) = self.records.get_mut(name) else { return false };
-        if !record.is_running_under(&self.own, term) {
+        if !record.is_running_since(&self.own, takeovers) {
             return false;
         }
         record.change(|log| log.response = Some(response));
@@ -132,14 +133,15 @@
     }
 
     /// Applies a peer's copy, whole or an update, unless a known state has precedence: one that
-    /// is answered, one of a later term, or one of the same term with another holder.
+    /// is answered, one of a later take-over, or one of the same take-over with another holder.
     pub fn offer(&mut self, copy: RequestCopy, now: Instant) -> OfferVerdict {
         let name = copy.name.clone();
         let Some(record) = self.records.get(&name) else { return self.offer_unknown(copy, now) };
         let has_precedence = {
             let log = record.log.borrow();
             let same_holder = log.holder.incarnation == copy.holder.incarnation;
-            let newer = copy.term > log.term || (copy.term == log.term && same_holder);
+            let newer =
+                copy.takeovers > log.takeovers || (copy.takeovers == log.takeovers && same_holder);
             newer && copy.first_token <= log.tokens.len()
         };
         let same_call = copy.digest.is_none_or(|digest| digest == record.digest());
@@ -157,7 +159,7 @@
             // nothing to keep. The sender offers it whole again.
             return OfferVerdict::Known(RequestCopy { tokens: Vec::new(), ..copy });
         };
-        self.insert(&copy.name, None, digest, copy.term, copy.holder.clone(), now);
+        self.insert(&copy.name, None, digest, copy.takeovers, copy.holder.clone(), now);
         self.merge(copy, now);
         OfferVerdict::Stored
     }
@@ -166,12 +168,12 @@
         let Some(record) = self.records.get_mut(&copy.name) else { return };
         let mut added = 0;
         record.change(|log| {
-            if copy.term > log.term {
+            if copy.takeovers > log.takeovers {
                 // A new holder may know fewer tokens; what it produces is the response from here.
                 log.tokens.truncate(copy.first_token);
                 log.response = None;
             }
-            log.term = copy.term;
+            log.takeovers = copy.takeovers;
             if log.holder.incarnation != copy.holder.incarnation {
                 log.holder = copy.holder;
             }
@@ -254,13 +256,13 @@
         name: &RequestName,
         call: Option<Arc<ClientCall>>,
         digest: [u8; 32],
-        term: u32,
+        takeovers: u32,
         holder: RequestHolder,
         now: Instant,
     ) {
         let expires_at = now + self.keep;
         let log =
-            ResponseLog { digest, term, holder, tokens: TokenText::default(), response: None };
+            ResponseLog { digest, takeovers, holder, tokens: TokenText::default(), response: None };
         let record = StoredRequest::new(call, log, expires_at);
         self.bytes += record.bytes;
         self.expiry.insert((expires_at, name.clone()));
--- a/src/native/request/store/stored_request.rs
+++ b/src/native/request/store/stored_request.rs
@@ -66,9 +66,9 @@
         log.response.is_none() && log.holder == *holder
     }
 
-    /// Whether `holder` runs it under `term`.
-    pub fn is_running_under(&self, holder: &RequestHolder, term: u32) -> bool {
-        self.is_running_at(holder) && self.log.borrow().term == term
+    /// Whether `holder` runs it after so many take-overs.
+    pub fn is_running_since(&self, holder: &RequestHolder, takeovers: u32) -> bool {
+        self.is_running_at(holder) && self.log.borrow().takeovers == takeovers
     }
 
     /// State from a token on.
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -54,8 +54,8 @@
     pub context: &'a Rc<ServeContext>,
     /// Request.
     pub name: &'a RequestName,
-    /// Term under which it runs here.
-    pub term: u32,
+    /// Take-overs before it came here.
+    pub takeovers: u32,
     /// Call.
     pub call: &'a Arc<ClientCall>,
     /// Order in which engines take it.
@@ -254,8 +254,11 @@
         let text: ResponseToken = token.text.into();
         tokens.push(text.clone());
         self.slot.produced.set(tokens.len());
-        let append =
-            RequestMessage::Append { name: self.name.clone(), term: self.term, token: text };
+        let append = RequestMessage::Append {
+            name: self.name.clone(),
+            takeovers: self.takeovers,
+            token: text,
+        };
         match self.context.requests.deliver(append).await {
             Ok(()) => None,
             // The store has ended, and the daemon with it.
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -42,13 +42,13 @@
 /// Basis: chosen, not measured.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request to run under one term.
+/// A request that this daemon runs, until it ends or is taken over.
 pub struct RequestDriver {
     /// Order in which engines take it.
     pub priority: RequestPriority,
     context: Rc<ServeContext>,
     name: RequestName,
-    term: u32,
+    takeovers: u32,
     call: Arc<ClientCall>,
     tokens: Vec<ResponseToken>,
     weight: f64,
@@ -70,7 +70,7 @@
     pub fn new(
         context: Rc<ServeContext>,
         name: RequestName,
-        term: u32,
+        takeovers: u32,
         call: Arc<ClientCall>,
         tokens: Vec<ResponseToken>,
     ) -> Self {
@@ -80,7 +80,7 @@
             weight: context.weight_of(&call.account),
             context,
             name,
-            term,
+            takeovers,
             call,
             tokens,
             exclude: Vec::new(),
@@ -99,10 +99,10 @@
             .requests
             .ask(|reply| RequestMessage::View { name: self.name.clone(), reply });
         let Ok(Some(mut view)) = view.await else { return (self.context, self.name) };
-        let term = self.term;
+        let takeovers = self.takeovers;
         // The wait also ends when the record is removed: cancelled.
         let cancelled = async move {
-            view.wait_for(|progress| progress.ended || progress.term > term).await;
+            view.wait_for(|progress| progress.ended || progress.takeovers > takeovers).await;
         };
         let response = tokio::select! {
             response = self.run_attempts(stage) => response,
@@ -127,7 +127,7 @@
         self.context.note(EventKind::Ended, &self.name, detail);
         let message = RequestMessage::End {
             name: self.name.clone(),
-            term: self.term,
+            takeovers: self.takeovers,
             response: Arc::new(response),
         };
         if let Err(error) = self.context.requests.send(message) {
@@ -217,7 +217,7 @@
         let task = AttemptTask {
             context: &self.context,
             name: &self.name,
-            term: self.term,
+            takeovers: self.takeovers,
             call: &call,
             priority: self.priority,
             attempt: slot.attempt(),
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -155,7 +155,7 @@
         let task = AttemptTask {
             context: &self.context,
             name: &self.name,
-            term: 0,
+            takeovers: 0,
             call: &call,
             priority: self.priority,
             attempt: slot.attempt(),
--- a/src/native/serve/run/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -76,7 +76,7 @@
 fn first_copy(context: &ServeContext, name: &RequestName, call: &Arc<ClientCall>) -> RequestCopy {
     RequestCopy {
         name: name.clone(),
-        term: 0,
+        takeovers: 0,
         holder: context.holder(),
         digest: Some(call.digest()),
         call: Some(call.clone()),
@@ -187,14 +187,15 @@
     context.metrics.count("requests_taken_over", 1);
     let tokens = copy.tokens.len();
     let detail =
-        format!("term {}, {tokens} tokens, {} ms", copy.term, begun_at.elapsed().as_millis());
+        format!("term {}, {tokens} tokens, {} ms", copy.takeovers, begun_at.elapsed().as_millis());
     context.note(EventKind::TakenOver, name, detail);
     if targets.is_empty() {
         context.metrics.count("accepted_without_copy", 1);
     }
     context.copies.send(CopyMessage::Track(name.clone()))?;
     let stage = CallStage::Dispatched(DispatchedCall::taken_over(call.clone()));
-    let driver = RequestDriver::new(context.clone(), name.clone(), copy.term, call, copy.tokens);
+    let driver =
+        RequestDriver::new(context.clone(), name.clone(), copy.takeovers, call, copy.tokens);
     spawn_driver(context, driver, stage);
     Ok(ObtainedRequest::Ready)
 }
--- a/src/native/serve/run/resume/directory.rs
+++ b/src/native/serve/run/resume/directory.rs
@@ -54,10 +54,10 @@
     (taken, known)
 }
 
-/// Which of several known states goes first: a response, then the later term.
+/// Precedence among known states: a complete response first, then the later take-over.
 pub fn rank(copy: &RequestCopy) -> (bool, u32) {
     let answered = copy.response.as_ref().is_some_and(|response| response.is_answered());
-    (answered, copy.term)
+    (answered, copy.takeovers)
 }
 
 /// Gets what the partners of a lost holder know, before this daemon takes its place.
--- a/src/native/serve/run/resume/mirror.rs
+++ b/src/native/serve/run/resume/mirror.rs
@@ -82,7 +82,7 @@
             supersede(context, update).await;
             return true;
         }
-        if update.term < own.term {
+        if update.takeovers < own.takeovers {
             // It does not know that it was superseded; nothing more comes from it.
             return false;
         }
--- a/src/native/serve/services/copies.rs
+++ b/src/native/serve/services/copies.rs
@@ -174,7 +174,7 @@
     let _ = address.send(message);
 }
 
-/// A partner refused an update: if it knows a later term, this daemon is superseded.
+/// A partner refused an update: if it knows a later take-over, this daemon is superseded.
 async fn check_superseded(context: Rc<ServeContext>, target: PeerTarget, name: RequestName) {
     if let Ok(Some(known)) = context.pool.attach(&target, &name, 0, Duration::ZERO).await {
         supersede(&context, known).await;
--- a/src/native/serve/services/store_service.rs
+++ b/src/native/serve/services/store_service.rs
@@ -58,8 +58,8 @@
     Append {
         /// Name.
         name: RequestName,
-        /// Term under which it was produced.
-        term: u32,
+        /// Take-overs before it was produced.
+        takeovers: u32,
         /// Token.
         token: ResponseToken,
     },
@@ -67,8 +67,8 @@
     End {
         /// Name.
         name: RequestName,
-        /// Term under which it ran.
-        term: u32,
+        /// Take-overs before it ran.
+        takeovers: u32,
         /// Outcome.
         response: Arc<FinalResponse>,
     },
@@ -142,13 +142,13 @@
         RequestMessage::TakeOver { name, reply } => {
             send_reply(reply, store.take_over(&name, now));
         }
-        RequestMessage::Append { name, term, token } => {
-            // Under a term that is over, the token is dropped; its driver is told
-            // by the progress.
-            store.append(&name, term, token);
+        RequestMessage::Append { name, takeovers, token } => {
+            // After a later take-over the token is dropped; its driver learns of it from the
+            // progress.
+            store.append(&name, takeovers, token);
         }
-        RequestMessage::End { name, term, response } => {
-            store.end(&name, term, response, now);
+        RequestMessage::End { name, takeovers, response } => {
+            store.end(&name, takeovers, response, now);
         }
         RequestMessage::Offer { copy, reply } => {
             send_reply(reply, store.offer(copy, now));
--- a/tests/native/request_store.rs
+++ b/tests/native/request_store.rs
@@ -39,7 +39,7 @@
 fn news(term: u32, from: u64, first_token: usize, tokens: &[&str]) -> RequestCopy {
     RequestCopy {
         name: name(),
-        term,
+        takeovers: term,
         holder: holder(from),
         digest: Some(call("p").digest()),
         call: None,
@@ -65,7 +65,7 @@
     expect_that!(store.offer(news(1, 3, 0, &["a", "b", "c"]), now), pat!(OfferVerdict::Stored));
     // The first holder thaws and sends what it has: it is told who goes before it.
     let late = store.offer(news(0, 2, 2, &["x", "y"]), now);
-    expect_that!(late, pat!(OfferVerdict::Known(pat!(RequestCopy { term: eq(&1), .. }))));
+    expect_that!(late, pat!(OfferVerdict::Known(pat!(RequestCopy { takeovers: eq(&1), .. }))));
     expect_that!(text(&store), eq("abc"));
 }
 
@@ -90,7 +90,7 @@
     expect_true!(store.end(&name(), 0, Arc::new(lost), now));
     expect_that!(store.claim(&name(), &call("p"), now), pat!(ClaimVerdict::Copied(anything())));
     let taken = store.take_over(&name(), now).expect("a record");
-    expect_that!(taken.term, eq(1));
+    expect_that!(taken.takeovers, eq(1));
     expect_that!(taken.response, none());
 }
 
