--- a/src/native/decide/fleet.rs
+++ b/src/native/decide/fleet.rs
@@ -42,7 +42,7 @@
 /// Basis: chosen, not measured: a few planner rounds.
 const REFUSED_FIRST: Duration = Duration::from_secs(10);
 /// Longest pause before a place that refused a start is tried again.
-/// Basis: chosen, not measured: as long as a wave is taken to last (`WAVE_HOLD`).
+/// Basis: chosen, not measured: as long as releases are held back (`WAVE_HOLD`).
 const REFUSED_LONGEST: Duration = Duration::from_secs(600);
 /// Most VMs started in one round.
 /// Basis: chosen, not measured: bounds what a wrong figure can cost before the next round.
--- a/src/native/decide/reclaim.rs
+++ b/src/native/decide/reclaim.rs
@@ -41,7 +41,7 @@
     pub produced: usize,
     /// Tokens still to come.
     pub remaining: usize,
-    /// Tokens of prompt and answer cached at the endpoint it would go to.
+    /// Tokens of prompt and response cached at the endpoint it would go to.
     pub cached_elsewhere: usize,
 }
 
--- a/src/native/decide/retries.rs
+++ b/src/native/decide/retries.rs
@@ -7,8 +7,8 @@
 //! answer differently, so they stay two.
 //!
 //! Inputs: this daemon's own attempts at one service, no older state. Refusals by the daemon
-//! itself, and by endpoints before they started, neither fill the bucket nor draw from it. A
-//! daemon that has just started has the full reserve.
+//! itself neither fill the bucket nor draw from it; refusals by endpoints before they started do
+//! not draw from it. A daemon that has just started has the full reserve.
 
 use std::time::Duration;
 
--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Newest cache event taken from an endpoint.
+    /// Newest cache event applied of an endpoint.
     pub fn cache_sequence(&self, service: &str, id: &str) -> u64 {
         let route = self.services.get(service).and_then(|routes| routes.endpoints.get(id));
         route.map_or(0, |route| route.cache_sequence)
--- a/src/native/decide/routing/query.rs
+++ b/src/native/decide/routing/query.rs
@@ -1,4 +1,4 @@
-//! What the choice of an endpoint is asked, what it is told, and what it answers.
+//! Inputs and results of the choice of an endpoint.
 
 use std::sync::Arc;
 
@@ -45,7 +45,7 @@
 /// What a request asks of its route.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// Service that is to answer.
+    /// Service that is called.
     pub service: &'a str,
     /// Block hashes of the prompt.
     pub chain: &'a [u64],
--- a/src/native/request/call.rs
+++ b/src/native/request/call.rs
@@ -24,7 +24,7 @@
     pub prompt: Arc<str>,
     /// Tokens of the response.
     pub max_tokens: u32,
-    /// Seed of the sampling: a resumed answer goes on alike.
+    /// Seed of the sampling: a resumed response goes on alike.
     pub seed: u64,
     /// Whether the client spoke the chat form.
     pub chat: bool,
@@ -46,7 +46,7 @@
 pub struct ClientCall {
     /// Client account.
     pub account: SharedName,
-    /// Service that is to answer.
+    /// Service that is called.
     pub service: SharedName,
     /// Whether the call may be retried.
     pub repeatable: bool,
@@ -60,7 +60,7 @@
     /// SHA-256 over everything that makes two calls the same.
     pub fn digest(&self) -> [u8; 32] {
         let same = (&self.account, &self.service, &self.content);
-        // NOTE: these types always serialize; an empty text would only merge digests.
+        // These types always serialize; an empty text would only merge digests.
         let text = serde_json::to_vec(&same).unwrap_or_default();
         Sha256::digest(&text).into()
     }
--- a/src/native/request/outcome.rs
+++ b/src/native/request/outcome.rs
@@ -64,7 +64,7 @@
     /// All attempts failed after they were begun.
     #[display("all attempts failed")]
     AttemptsFailed,
-    /// The caller cancelled while it ran.
+    /// The client cancelled while it ran.
     #[display("cancelled while running")]
     Cancelled,
 }
--- a/src/native/request/store.rs
+++ b/src/native/request/store.rs
@@ -207,7 +207,7 @@
         self.records.get(name).map_or(0, |record| record.watchers())
     }
 
-    /// Drops a request that nobody was promised an answer to.
+    /// Drops a request that nobody waits for.
     pub fn remove(&mut self, name: &RequestName) {
         if let Some(record) = self.records.remove(name) {
             self.expiry.remove(&(record.expires_at, name.clone()));
--- a/src/native/serve/listeners/parse.rs
+++ b/src/native/serve/listeners/parse.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Checks a completion request; `chat` tells its form.
+/// Checks a completion request; `chat` says which form it has.
 pub fn completion(
     headers: &HeaderMap,
     body: &[u8],
--- a/src/native/serve/listeners/problem.rs
+++ b/src/native/serve/listeners/problem.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The problem as an HTTP answer.
+    /// The problem as an HTTP response.
     pub fn into_response(self) -> Response<ResponseBody> {
         // This type always serializes.
         let body = serde_json::to_vec(&self).unwrap_or_default();
--- a/src/native/serve/listeners/response.rs
+++ b/src/native/serve/listeners/response.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Reads a request's answer from the store as it grows.
+/// Reads a request's response from the store as it grows.
 pub struct ResponseReader {
     context: Rc<ServeContext>,
     name: RequestName,
--- a/src/native/serve/planning.rs
+++ b/src/native/serve/planning.rs
@@ -1,4 +1,4 @@
-//! What the platform tells the daemons, and the VMs that they ask it for.
+//! What daemons read from the platform, and the VMs that they hold and release there.
 
 pub mod planner;
 pub mod platform_watch;
--- a/src/native/serve/run/once/claims.rs
+++ b/src/native/serve/run/once/claims.rs
@@ -45,7 +45,7 @@
 }
 
 /// Binds a claim to `own`, or finds what it is bound to, with its version. A write
-/// whose answer was lost is settled by reading back.
+/// whose response was lost is settled by reading back.
 pub async fn claim(
     context: &Rc<ServeContext>,
     object: &str,
--- a/src/native/serve/run/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -1,9 +1,9 @@
 //! Finds or starts the request that a client names, wherever it runs.
 //!
-//! The daemon that accepts a request tells a few directory peers, which anyone can work out
-//! from the request's name; its tokens go to its partners, which anyone can work out from the
+//! The daemon that accepts a request reports it to a few directory peers, which anyone can work
+//! out from the request's name; its tokens go to its partners, which anyone can work out from the
 //! daemon. A client whose connection broke asks any daemon. That one offers itself to the same
-//! directory peers, is told who runs the request, and follows that holder; if the holder cannot
+//! directory peers, learns who runs the request, and follows that holder; if the holder cannot
 //! be reached, it gets the tokens from the holder's partners and takes the request over.
 
 mod directory;
--- a/src/native/serve/services/copies.rs
+++ b/src/native/serve/services/copies.rs
@@ -39,7 +39,7 @@
 /// Bytes of an update beside its name and tokens.
 /// Basis: chosen, not measured: an estimate for the metrics.
 const FIELD_BYTES: usize = 64;
-/// The directory is told again after this part of the time for which it keeps an entry.
+/// Directory entries are renewed after the time for which they are kept, divided by this.
 /// Basis: docs/design/copies.md: a third, so that one lost message does no harm.
 const RENEWAL_PART: u32 = 3;
 
@@ -50,8 +50,8 @@
     sent: HashMap<PeerTarget, usize>,
     /// Progress when the partners were last sent an update.
     progress: Option<RequestProgress>,
-    /// When the directory was last told.
-    told_at: Instant,
+    /// When the directory's entry was last renewed.
+    renewed_at: Instant,
 }
 
 struct CopyService {
@@ -109,8 +109,8 @@
         let Some(context) = self.context.upgrade() else { return };
         let view = context.requests.ask(|reply| RequestMessage::View { name: name.clone(), reply });
         let Ok(Some(view)) = view.await else { return };
-        let told_at = Instant::now();
-        let copy = TrackedCopy { view, sent: HashMap::new(), progress: None, told_at };
+        let renewed_at = Instant::now();
+        let copy = TrackedCopy { view, sent: HashMap::new(), progress: None, renewed_at };
         self.tracked.insert(name, copy);
     }
 
@@ -135,10 +135,10 @@
                 *sent = update.first_token + update.tokens.len();
                 by_target.entry(partner.clone()).or_default().push(update);
             }
-            if copy.told_at.elapsed() > context.settings.answer_keep / RENEWAL_PART {
-                copy.told_at = Instant::now();
+            if copy.renewed_at.elapsed() > context.settings.answer_keep / RENEWAL_PART {
+                copy.renewed_at = Instant::now();
                 let entry = copy.view.copy_from(usize::MAX);
-                tokio::task::spawn_local(tell_directory(context.clone(), name.clone(), entry));
+                tokio::task::spawn_local(renew_directory(context.clone(), name.clone(), entry));
             }
         }
         self.tracked.retain(|_, copy| !copy.progress.is_some_and(|progress| progress.ended));
@@ -181,8 +181,8 @@
     }
 }
 
-/// Tells the directory again, so that its entry of a long request does not expire.
-async fn tell_directory(context: Rc<ServeContext>, name: RequestName, entry: RequestCopy) {
+/// Renews the directory's entry of a long request, so that it does not expire.
+async fn renew_directory(context: Rc<ServeContext>, name: RequestName, entry: RequestCopy) {
     let entry = RequestCopy { first_token: 0, tokens: Vec::new(), ..entry };
     for target in context.directory_targets(&name) {
         if let Ok(Some(known)) = context.pool.offer(&target, &entry).await {
--- a/src/native/serve/services/router/picks.rs
+++ b/src/native/serve/services/router/picks.rs
@@ -33,10 +33,10 @@
 /// Weight of a new attempt in the mean time of attempts.
 /// Basis: chosen, not measured: the mean follows the last twenty or so.
 const SMOOTHING: f64 = 0.05;
-/// Shortest retry-after that is told when endpoints are full, in seconds.
-/// Basis: chosen, not measured: the same as `decide::limits` tells.
+/// Shortest retry-after when endpoints are full, in seconds.
+/// Basis: chosen, not measured: the same as in `decide::limits`.
 const RETRY_AFTER_MIN_S: f64 = 0.1;
-/// Longest retry-after that is told when endpoints are full, in seconds.
+/// Longest retry-after when endpoints are full, in seconds.
 /// Basis: chosen, not measured: by then the fleet may have grown.
 const RETRY_AFTER_MAX_S: f64 = 60.0;
 
