--- a/src/native/cluster/core/dissemination.rs
+++ b/src/native/cluster/core/dissemination.rs
@@ -35,6 +35,7 @@
 const PUSH_LIMIT: usize = 256;
 
 impl ClusterCore {
+    /// Stores the items that are sound and newer, and marks them to be sent on.
     pub(super) fn receive(
         &mut self,
         from: Option<IncarnationId>,
@@ -66,12 +67,7 @@
         }
     }
 
-    pub(super) fn apply_member(
-        &mut self,
-        item: &SpreadItem,
-        now: Instant,
-        actions: &mut Vec<ClusterAction>,
-    ) {
+    fn apply_member(&mut self, item: &SpreadItem, now: Instant, actions: &mut Vec<ClusterAction>) {
         let Some(incarnation) = parse_incarnation(&item.key.name) else { return };
         let Some(record) = item.decode::<MemberRecord>() else { return };
         let (refutation, status) = split_version(item.version);
@@ -97,7 +93,7 @@
     }
 
     /// Marks an item to be sent on all links but the one it came from.
-    pub(super) fn enqueue(&mut self, key: &ItemKey, from: Option<IncarnationId>) {
+    fn enqueue(&mut self, key: &ItemKey, from: Option<IncarnationId>) {
         for link in &self.links {
             if Some(*link) != from {
                 self.outboxes.entry(*link).or_default().insert(key.clone());
@@ -105,7 +101,8 @@
         }
     }
 
-    pub(super) fn relink(&mut self) {
+    /// Works out the links again after a change of members.
+    fn relink(&mut self) {
         let position = daemon_position(self.own).wrapping_add(1);
         let mut links = self.members.successors(position, SUCCESSORS, self.own);
         for index in 0..FAR_LINKS as u64 {
@@ -119,6 +116,7 @@
         self.links = links;
     }
 
+    /// Sends what is marked, one message to each link.
     pub(super) fn flush(&mut self, actions: &mut Vec<ClusterAction>) {
         for link in self.links.clone() {
             let Some(outbox) = self.outboxes.get_mut(&link) else { continue };
@@ -134,6 +132,7 @@
         }
     }
 
+    /// Forgets what ended long ago.
     pub(super) fn forget(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
         let mut gone = Vec::new();
         self.items.forget(|item, since| {
--- a/src/native/cluster/core/failure_detector.rs
+++ b/src/native/cluster/core/failure_detector.rs
@@ -78,7 +78,7 @@
     }
 
     /// Members that this daemon probes: its ring successors, which come first in the links.
-    pub(super) fn neighbours(&self) -> Vec<IncarnationId> {
+    fn neighbours(&self) -> Vec<IncarnationId> {
         self.links.iter().take(SUCCESSORS).copied().collect()
     }
 
--- a/src/native/cluster/service/tasks.rs
+++ b/src/native/cluster/service/tasks.rs
@@ -17,9 +17,9 @@
     },
 };
 
-// While the daemon stops, the service may be gone before its tasks.
 fn report(address: &ServiceAddress<ClusterMessage>, event: ClusterEvent) {
-    // Nobody wants the event then.
+    // If the service is overloaded, the next probe or exchange reports again; if it has ended,
+    // the daemon stops.
     let _ = address.send(ClusterMessage::Event(event));
 }
 
--- a/src/native/daemon/shutdown.rs
+++ b/src/native/daemon/shutdown.rs
@@ -32,7 +32,7 @@
 /// Basis: chosen, not measured: twice the time for the announcement.
 const HANDOFF_MARGIN: Duration = Duration::from_millis(1_000);
 /// Time between checks whether anything is in progress.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: short beside the drain time.
 const IDLE_CHECK_EVERY: Duration = Duration::from_millis(20);
 
 /// Takes the daemon down: after a drain by operators or a signal, as soon as nothing
--- a/src/native/decide/fleet/problem.rs
+++ b/src/native/decide/fleet/problem.rs
@@ -14,7 +14,7 @@
 const HELD_DISCOUNT: f64 = 0.15;
 
 /// Least gain that counts, in cost units: above rounding errors, so that the search ends.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: far below any price.
 const GAIN_MIN: f64 = 1e-9;
 /// The VMs required, divided by this, make the first chunk; the next are halves of it.
 /// Basis: chosen, not measured: chunk moves are within 2% of the best on small cases
--- a/src/native/decide/retries.rs
+++ b/src/native/decide/retries.rs
@@ -25,7 +25,7 @@
 /// Basis: chosen, not measured: short beside a first token.
 const PAUSE_FIRST: Duration = Duration::from_millis(20);
 /// Longest pause before a retry.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: bounds the delay that retries add.
 const PAUSE_LONGEST: Duration = Duration::from_millis(1_000);
 /// Part of the pause that is drawn at random, so that retries do not come together.
 /// Basis: chosen, not measured: the upper half.
--- a/src/native/serve.rs
+++ b/src/native/serve.rs
@@ -8,3 +8,9 @@
 pub mod run;
 pub mod services;
 pub mod timeline;
+
+use std::time::Duration;
+
+/// Retry-after of refusals that know no better time: overload, no endpoint, no table.
+/// Basis: chosen, not measured: long enough that refused clients add little load.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -6,12 +6,12 @@
     collections::{HashMap, HashSet},
     rc::Rc,
     sync::Arc,
-    time::Duration,
 };
 
 use tokio::sync::watch;
 
 use super::{
+    RETRY_AFTER,
     services::{
         copies::messages::CopyMessage,
         limit_service::LimitMessage,
@@ -37,9 +37,6 @@
     },
 };
 
-/// Retry-after when the router does not answer.
-/// Basis: chosen, not measured.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Weight of an account whose row was deleted while its request ran.
 /// Basis: chosen, not measured: the default of the row.
 const DEFAULT_WEIGHT: f64 = 1.0;
--- a/src/native/serve/listeners/client_listener.rs
+++ b/src/native/serve/listeners/client_listener.rs
@@ -39,7 +39,7 @@
 /// Name of the service.
 pub const NAME: &str = "client-listener";
 /// Longest time a client may take to send its body.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: bounds how long an idle client holds a connection.
 const BODY_TIME: Duration = Duration::from_secs(30);
 /// Most tickets issued at a time.
 /// Basis: chosen, not measured: bounds what one call takes of the ledger.
--- a/src/native/serve/listeners/parse.rs
+++ b/src/native/serve/listeners/parse.rs
@@ -22,7 +22,7 @@
 /// Basis: chosen, not measured: a bound on memory.
 pub const BODY_LIMIT: usize = 1024 * 1024;
 /// Most tokens that one response may have.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: bounds how long one response holds an endpoint.
 const MAX_TOKENS: u64 = 8_192;
 /// Tokens of a response whose client does not say.
 /// Basis: chosen, not measured; the mean response at the target has 244 (docs/CAPACITY.md).
--- a/src/native/serve/listeners/problem.rs
+++ b/src/native/serve/listeners/problem.rs
@@ -1,7 +1,5 @@
 //! Errors as clients see them: problem documents (RFC 9457), with a retry-after.
 
-use std::time::Duration;
-
 use hyper::{Response, StatusCode, header::HeaderValue};
 use serde::Serialize;
 
@@ -10,13 +8,10 @@
     native::{
         headers,
         request::outcome::{FinalResponse, NotRunProof, UnknownReason},
+        serve::RETRY_AFTER,
     },
 };
 
-/// Retry-after of a retryable request of which it is not known whether it ran.
-/// Basis: chosen, not measured.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-
 /// One problem document.
 #[derive(Clone, Debug, Serialize)]
 pub struct Problem {
--- a/src/native/serve/planning/platform_watch.rs
+++ b/src/native/serve/planning/platform_watch.rs
@@ -30,7 +30,7 @@
 /// Basis: docs/CAPACITY.md: 16 watchers in eight zones at 2,100 daemons; one may be lost.
 const WATCHERS: usize = 2;
 /// Time between checks whether this daemon asks.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: short beside the removal of a lost watcher (5 s).
 const ROLE_EVERY: Duration = Duration::from_millis(500);
 /// Time between reads of the VM list.
 /// Basis: docs/CAPACITY.md: 0.7 calls/s at each watcher, rows and notices included.
@@ -39,7 +39,7 @@
 /// Basis: chosen, not measured: a round of greetings and an exchange of summaries.
 const PEERS_FIRST: Duration = Duration::from_millis(1_500);
 /// Pause after a failed call; each further failure doubles it.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: a single failed call delays little.
 const PAUSE_FIRST: Duration = Duration::from_millis(200);
 /// Longest pause after failed calls.
 /// Basis: chosen, not measured: how late the end of an outage is noticed.
--- a/src/native/serve/run/admission.rs
+++ b/src/native/serve/run/admission.rs
@@ -14,16 +14,13 @@
     native::{
         decide::limits::{LimitVerdict, RequestPriority},
         request::{call::ClientCall, outcome::NotRunReason},
-        serve::{context::ServeContext, services::limit_service::LimitMessage},
+        serve::{RETRY_AFTER, context::ServeContext, services::limit_service::LimitMessage},
     },
 };
 
 /// Retry-after of a daemon that is leaving.
 /// Basis: chosen, not measured: another daemon can take the request at once.
 const RETRY_ELSEWHERE: Duration = Duration::ZERO;
-/// Retry-after of a daemon that is overloaded or has no table.
-/// Basis: chosen, not measured: a request ends or a table arrives in about that time.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Whether a request may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -22,6 +22,7 @@
             outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UnknownReason},
         },
         serve::{
+            RETRY_AFTER,
             context::ServeContext,
             services::{
                 router::messages::{EndpointSlot, PickOrder, PickReply, StreamShape},
@@ -36,11 +37,8 @@
 /// Basis: chosen, not measured: the retry budget is the tighter bound in a brownout.
 const ATTEMPT_LIMIT: u32 = 6;
 /// Longest wait in the queue for an endpoint.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: bounds the wait; the fleet's answer to overload takes longer.
 const QUEUE_WAIT: Duration = Duration::from_secs(20);
-/// Retry-after when attempts have failed.
-/// Basis: chosen, not measured.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request that this daemon runs, until it ends or is taken over.
 pub struct RequestDriver {
--- a/src/native/serve/run/once.rs
+++ b/src/native/serve/run/once.rs
@@ -26,7 +26,8 @@
             tickets::{SealVerdict, SettledResponse, TicketId, TicketUse},
         },
         serve::{
-            context::ServeContext, services::ticket_service::TicketMessage, timeline::EventKind,
+            RETRY_AFTER, context::ServeContext, services::ticket_service::TicketMessage,
+            timeline::EventKind,
         },
     },
 };
@@ -35,11 +36,8 @@
 /// Basis: chosen, not measured: within the 45 s for which a client is kept waiting.
 const HOLDER_LIMIT: Duration = Duration::from_secs(30);
 /// Time between tries to reach a holder that may have dispatched.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: few calls in the time for which a holder is waited for.
 const HOLDER_RETRY: Duration = Duration::from_millis(200);
-/// Retry-after when a request was not run.
-/// Basis: chosen, not measured.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What a request that may not be retried came to.
 #[derive(Debug)]
--- a/src/native/serve/run/once/claims.rs
+++ b/src/native/serve/run/once/claims.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::{HOLDER_RETRY, RETRY_AFTER};
+use super::HOLDER_RETRY;
 use crate::{
     errors::FailureCause,
     ids::{SharedName, hash_parts},
@@ -19,14 +19,14 @@
             outcome::{NotRunReason, UndispatchedCall},
             tickets::{TicketId, TicketUse},
         },
-        serve::{context::ServeContext, services::ticket_service::TicketMessage},
+        serve::{RETRY_AFTER, context::ServeContext, services::ticket_service::TicketMessage},
     },
 };
 
 /// Kind of the objects that bind a client's key to a ticket.
 const CLAIM_KIND: &str = "claims";
 /// Tries to settle a claim whose write's response was lost.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: bounds what one client waits in an outage.
 const CLAIM_TRIES: u32 = 4;
 /// The n-th read after a lost write comes n times `HOLDER_RETRY`, divided by this, later.
 /// Basis: chosen, not measured: 0, 50, 100 and 150 ms.
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -4,7 +4,6 @@
 
 use tokio::time::Instant;
 
-use super::RETRY_AFTER;
 use crate::{
     ids::{RequestName, SharedName},
     native::{
@@ -15,6 +14,7 @@
             tickets::{ConsentVerdict, TicketId},
         },
         serve::{
+            RETRY_AFTER,
             context::ServeContext,
             run::{
                 admission::{AdmissionVerdict, admit},
@@ -30,7 +30,7 @@
 /// Basis: chosen, not measured: leaves most of the client's 45 s for the run itself.
 const QUEUE_WAIT: Duration = Duration::from_secs(10);
 /// Endpoints that may refuse before starting, for one request.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: a few endpoints, then the client decides.
 const REFUSAL_LIMIT: usize = 4;
 
 /// One run of a ticket at its holder.
--- a/src/native/serve/services/router/picks.rs
+++ b/src/native/serve/services/router/picks.rs
@@ -28,7 +28,7 @@
 /// Basis: chosen, not measured: bounds memory; the wait is bounded by each pick's deadline.
 const QUEUE_LIMIT: usize = 2_000;
 /// Time of an attempt before the first has ended, in seconds.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: used only until the first attempt has ended.
 const ATTEMPT_S: f64 = 1.0;
 /// Weight of a new attempt in the mean time of attempts.
 /// Basis: chosen, not measured: the mean follows the last twenty or so.
@@ -49,6 +49,7 @@
 }
 
 impl RouterService {
+    /// Serves a pick, or queues it.
     pub(super) fn pick(&mut self, order: Box<PickOrder>, reply: oneshot::Sender<PickReply>) {
         let service = order.service.clone();
         if self.dirty {
@@ -64,7 +65,7 @@
     }
 
     /// Serves a pick, or returns it if endpoints are full.
-    pub(super) fn try_pick(&mut self, pending: PendingPick) -> Option<PendingPick> {
+    fn try_pick(&mut self, pending: PendingPick) -> Option<PendingPick> {
         let order = &pending.order;
         let query = RouteQuery {
             service: &order.service,
@@ -85,7 +86,7 @@
         }
     }
 
-    pub(super) fn assign(&mut self, pending: PendingPick, pick: EndpointPick) {
+    fn assign(&mut self, pending: PendingPick, pick: EndpointPick) {
         let PendingPick { order, reply } = pending;
         self.routes.started(&order.service, &pick.id, &order.chain, Instant::now());
         let (way_sender, way) = watch::channel(None);
@@ -115,7 +116,7 @@
         send_reply(reply, PickReply::Slot(slot));
     }
 
-    pub(super) fn enqueue(&mut self, pending: PendingPick) {
+    fn enqueue(&mut self, pending: PendingPick) {
         let wait = self.expected_wait(&pending.order.service);
         let order = &pending.order;
         let turn = order.turn.clone();
@@ -128,6 +129,7 @@
         }
     }
 
+    /// Serves waiting picks until endpoints are full again.
     pub(super) fn serve_queue(&mut self, service: &SharedName) {
         loop {
             let Some(pending) = self.queues.get_mut(service).and_then(FairQueue::pop) else {
@@ -144,7 +146,7 @@
         }
     }
 
-    pub(super) fn requeue(&mut self, pending: PendingPick) {
+    fn requeue(&mut self, pending: PendingPick) {
         let order = &pending.order;
         let deadline = order.deadline;
         if let Some(queue) = self.queues.get_mut(&order.service) {
@@ -166,6 +168,7 @@
         Duration::from_secs_f64(wait.clamp(RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S))
     }
 
+    /// Takes the time of an attempt that has ended into the mean.
     pub(super) fn learn_duration(&mut self, service: &SharedName, took: Duration) {
         let took = took.as_secs_f64();
         let mean = self.attempt_s.entry(service.clone()).or_insert(took);
--- a/src/native/serve/services/router/reclaims.rs
+++ b/src/native/serve/services/router/reclaims.rs
@@ -25,7 +25,7 @@
 /// (docs/measurements/reclaim.md).
 const MOVE_MS: f64 = 0.125;
 /// Cost of a millisecond of delay to one stream; the unit of `recompute_weight`.
-/// Basis: chosen, not measured.
+/// Basis: chosen, not measured: only its ratio to `recompute_weight` counts.
 const DELAY_WEIGHT: f64 = 1.0;
 
 /// A stream in progress at an endpoint.
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn reclaim_weights(&self, service: &SharedName) -> ReclaimWeights {
+    fn reclaim_weights(&self, service: &SharedName) -> ReclaimWeights {
         let row = self.table.borrow().service(service);
         // A row that was deleted meanwhile counts with the default weight.
         let recompute = row.map_or(1.0, |row| row.recompute_weight);
