--- a/tests/native/harness.rs
+++ b/tests/native/harness.rs
@@ -1,89 +1,34 @@
-//! Starts stand-ins and daemons as processes of their own, on addresses of their own.
+//! Deployments of stand-ins and daemons as processes, each on addresses of its own.
 
+#[path = "harness/http_client.rs"]
+mod http_client;
 #[path = "process_usage.rs"]
 pub mod process_usage;
+#[path = "harness/test_process.rs"]
+mod test_process;
 
 use std::{
     fs,
-    io::{BufRead, BufReader},
     net::{Ipv4Addr, SocketAddr, SocketAddrV4},
     path::PathBuf,
-    process::{Child, Command, Stdio},
+    process::Command,
     sync::atomic::{AtomicU8, Ordering},
-    time::{Duration, Instant},
 };
 
 use serde_json::{Value, json};
 use willowarch::standin::endpoint::WorkCounts;
 
+pub use self::{
+    http_client::{
+        Answer, Stream, completion, expected, get_text, post, stream, try_get, try_post,
+    },
+    test_process::{PATIENCE, TestProcess, eventually},
+};
+
 static NEXT_BLOCK: AtomicU8 = AtomicU8::new(1);
 
 /// Zones of the test deployments.
 pub const ZONES: [&str; 4] = ["zone-a", "zone-b", "zone-c", "zone-d"];
-/// Longest wait for something that takes a moment.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-
-/// One process, killed when dropped.
-pub struct TestProcess {
-    child: Child,
-}
-
-impl TestProcess {
-    fn start(program: &str, arguments: &[String]) -> Self {
-        let child = Command::new(program)
-            .args(arguments)
-            .stdin(Stdio::null())
-            .stderr(Stdio::null())
-            .spawn()
-            .expect("the program starts");
-        Self { child }
-    }
-
-    /// Kills it at once.
-    pub fn kill(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-
-    /// CPU seconds so far and resident kilobytes.
-    #[allow(dead_code, reason = "the benches use it")]
-    pub fn cpu_and_rss(&self) -> (f64, f64) {
-        process_usage::cpu_and_rss(&self.child.id().to_string())
-    }
-
-    /// Sends it a signal by name.
-    pub fn signal(&self, name: &str) {
-        let status =
-            Command::new("kill").args([format!("-{name}"), self.child.id().to_string()]).status();
-        assert!(status.is_ok_and(|status| status.success()), "kill -{name}");
-    }
-
-    /// Waits for it to end by itself; its exit code.
-    pub fn wait(&mut self) -> Option<i32> {
-        let found = eventually("the process ends", || self.child.try_wait().ok().flatten());
-        found.code()
-    }
-}
-
-impl Drop for TestProcess {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-/// Waits until `look` finds something.
-pub fn eventually<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let started_at = Instant::now();
-    loop {
-        if let Some(found) = look() {
-            return found;
-        }
-        assert!(started_at.elapsed() < PATIENCE, "not in time: {what}");
-        std::thread::sleep(Duration::from_millis(20));
-    }
-}
-
 /// How a test deployment is laid out.
 #[derive(Clone)]
 pub struct Layout {
@@ -323,107 +268,3 @@
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
-
-fn agent() -> ureq::Agent {
-    let config = ureq::Agent::config_builder()
-        .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE * 3))
-        .build();
-    config.into()
-}
-
-pub fn get_text(address: SocketAddr, path: &str) -> Option<String> {
-    let mut answer = agent().get(format!("http://{address}{path}")).call().ok()?;
-    answer.body_mut().read_to_string().ok()
-}
-
-pub fn try_get(address: SocketAddr, path: &str) -> Option<Value> {
-    serde_json::from_str(&get_text(address, path)?).ok()
-}
-
-/// An answer as a stock client sees it.
-#[derive(Debug)]
-pub struct Answer {
-    pub status: u16,
-    pub retry_after: Option<String>,
-    pub body: Value,
-    pub text: String,
-}
-
-/// Posts with headers; `None` if no answer came.
-pub fn try_post(
-    address: SocketAddr,
-    path: &str,
-    headers: &[(&str, &str)],
-    body: &str,
-) -> Option<Answer> {
-    let mut request = agent().post(format!("http://{address}{path}"));
-    for (name, value) in headers {
-        request = request.header(*name, *value);
-    }
-    let mut answer = request.send(body).ok()?;
-    let retry_after = answer.headers().get("retry-after");
-    let retry_after = retry_after.and_then(|value| value.to_str().ok()).map(String::from);
-    let text = answer.body_mut().read_to_string().ok()?;
-    let body = serde_json::from_str(&text).unwrap_or_default();
-    Some(Answer { status: answer.status().as_u16(), retry_after, body, text })
-}
-
-pub fn post(address: SocketAddr, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
-    try_post(address, path, headers, body).expect("an answer")
-}
-
-/// A stream as a caller takes it: what has arrived so far, and whether it is whole.
-#[derive(Debug, Default)]
-pub struct Stream {
-    pub tokens: Vec<String>,
-    pub whole: bool,
-    pub status: u16,
-}
-
-/// Opens a stream and hands each token to `on_token` until the end or a break.
-pub fn stream(
-    address: SocketAddr,
-    key: &str,
-    body: &Value,
-    have: usize,
-    mut on_token: impl FnMut(usize),
-) -> Stream {
-    let mut request = agent()
-        .post(format!("http://{address}/v1/completions"))
-        .header("authorization", "Bearer key-reader")
-        .header("content-type", "application/json")
-        .header("idempotency-key", key);
-    if have > 0 {
-        request = request.header("last-event-id", (have - 1).to_string());
-    }
-    let mut stream = Stream::default();
-    let Ok(mut answer) = request.send(body.to_string()) else { return stream };
-    stream.status = answer.status().as_u16();
-    let reader = BufReader::new(answer.body_mut().as_reader());
-    for line in reader.lines() {
-        let Ok(line) = line else { return stream };
-        let Some(data) = line.strip_prefix("data: ") else { continue };
-        if data == "[DONE]" {
-            stream.whole = true;
-            return stream;
-        }
-        let value: Value = serde_json::from_str(data).unwrap_or_default();
-        let choice = &value["choices"][0];
-        if choice["finish_reason"].is_null() && choice["text"].is_string() {
-            stream.tokens.push(choice["text"].as_str().unwrap_or_default().to_owned());
-            on_token(have + stream.tokens.len());
-        }
-    }
-    stream
-}
-
-/// Body of a streamed completion.
-pub fn completion(prompt: &str, tokens: usize) -> Value {
-    json!({ "model": "model", "prompt": prompt, "max_tokens": tokens, "seed": 7, "stream": true })
-}
-
-/// The answer that `completion` must get, byte for byte.
-pub fn expected(prompt: &str, tokens: usize) -> String {
-    willowarch::standin::engine_model::whole_answer(prompt, 7, tokens)
-}
