--- a/tests/native/harness.rs
+++ b/tests/native/harness.rs
@@ -29,6 +29,7 @@
 
 /// Zones of the test deployments.
 pub const ZONES: [&str; 4] = ["zone-a", "zone-b", "zone-c", "zone-d"];
+
 /// How a test deployment is laid out.
 #[derive(Clone)]
 pub struct Layout {
