--- a/src/native/decide/retries.rs
+++ b/src/native/decide/retries.rs
@@ -1,6 +1,14 @@
 //! Retries on the native path: how many, and after which pause.
 //!
-//! Decides whether a failed attempt may be followed by another. Retries are a bounded
+//! Decides what follows an attempt that brought no response:
+//!
+//! | the attempt | next |
+//! |---|---|
+//! | was refused before it started | another endpoint at once |
+//! | failed and may have run | another endpoint after a pause, if the bucket allows |
+//! | found every endpoint tried | all endpoints again, after a pause |
+//!
+//! After [`ATTEMPT_LIMIT`] attempts each of them ends the request. Retries are a bounded
 //! fraction of first attempts, so that a brownout is not answered with a retry storm. This is
 //! a token bucket without a clock; the gateway's rule, `gateway::policy::retry_budget`, counts
 //! requests and retries in a sliding window, with a reserve that all daemons share. The two
@@ -14,6 +22,9 @@
 
 use rand::{Rng, RngExt};
 
+/// Most attempts at one request, moves apart.
+/// Basis: chosen, not measured: the bucket is the tighter bound in a brownout.
+pub const ATTEMPT_LIMIT: u32 = 6;
 /// Fraction of first attempts that may be spent on retries.
 /// Basis: docs/measurements/retries.md: 1.03 attempts a request and none lost in a brownout
 /// of half the endpoints, with the ejection rules of `decide::routing`.
@@ -62,6 +73,40 @@
     }
 }
 
+/// What follows an attempt without a response.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum RetryVerdict {
+    /// The next attempt, at once.
+    Now,
+    /// The next attempt, after a pause.
+    After(Duration),
+    /// The request ends: its attempts or the service's retries are used up.
+    GiveUp,
+}
+
+/// Decides after attempt number `attempts` (from 1) was refused before it started.
+pub fn after_not_started(attempts: u32) -> RetryVerdict {
+    if attempts >= ATTEMPT_LIMIT { RetryVerdict::GiveUp } else { RetryVerdict::Now }
+}
+
+/// Decides after attempt number `attempts` (from 1) failed and may have run. It draws from the
+/// bucket also where the attempts are used up.
+pub fn after_failure(attempts: u32, bucket: &mut RetryBucket, rng: &mut impl Rng) -> RetryVerdict {
+    let allowed = bucket.try_withdraw();
+    if !allowed || attempts >= ATTEMPT_LIMIT {
+        return RetryVerdict::GiveUp;
+    }
+    RetryVerdict::After(retry_pause(attempts - 1, rng))
+}
+
+/// Decides after `attempts` attempts, when every endpoint has been tried.
+pub fn after_all_tried(attempts: u32, rng: &mut impl Rng) -> RetryVerdict {
+    if attempts >= ATTEMPT_LIMIT {
+        return RetryVerdict::GiveUp;
+    }
+    RetryVerdict::After(retry_pause(attempts, rng))
+}
+
 /// Pause before retry number `retry` (from 0).
 pub fn retry_pause(retry: u32, rng: &mut impl Rng) -> Duration {
     let longest = (PAUSE_FIRST * 2_u32.pow(retry.min(DOUBLINGS_MAX))).min(PAUSE_LONGEST);
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -119,7 +119,7 @@
     }
 
     /// Uses the retry budget of a service.
-    pub fn budget(&self, service: &SharedName, act: impl FnOnce(&mut RetryBucket) -> bool) -> bool {
+    pub fn budget<T>(&self, service: &SharedName, act: impl FnOnce(&mut RetryBucket) -> T) -> T {
         act(self.budgets.borrow_mut().entry(service.clone()).or_default())
     }
 
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -14,7 +14,7 @@
             fair_queue::QueueTurn,
             limits::RequestPriority,
             prefix::{count_tokens, prefix_chain},
-            retries::retry_pause,
+            retries::{RetryVerdict, after_all_tried, after_failure, after_not_started},
         },
         request::{
             call::{CallContent, ClientCall},
@@ -33,9 +33,6 @@
     },
 };
 
-/// Most attempts at one request, moves apart.
-/// Basis: chosen, not measured: the retry budget is the tighter bound in a brownout.
-const ATTEMPT_LIMIT: u32 = 6;
 /// Longest wait in the queue for an endpoint.
 /// Basis: chosen, not measured: bounds the wait; the fleet's answer to overload takes longer.
 const QUEUE_WAIT: Duration = Duration::from_secs(20);
@@ -146,14 +143,11 @@
                 PickReply::Nowhere => {
                     // Every endpoint was tried; those tried first may work by now.
                     self.exclude.clear();
-                    if self.attempts >= ATTEMPT_LIMIT {
-                        return Some(self.give_up(
-                            stage,
-                            NotRunReason::EndpointRefused,
-                            RETRY_AFTER,
-                        ));
+                    let verdict = after_all_tried(self.attempts, &mut rand::rng());
+                    if !may_go_on(verdict).await {
+                        let reason = NotRunReason::EndpointRefused;
+                        return Some(self.give_up(stage, reason, RETRY_AFTER));
                     }
-                    sleep(retry_pause(self.attempts, &mut rand::rng())).await;
                     continue;
                 }
             };
@@ -176,10 +170,7 @@
         self.attempts += 1;
         self.context.metrics.count("attempts", 1);
         if self.attempts == 1 {
-            self.context.budget(&self.call.service, |budget| {
-                budget.deposit();
-                true
-            });
+            self.context.budget(&self.call.service, |bucket| bucket.deposit());
         }
     }
 
@@ -243,7 +234,7 @@
             AttemptEnd::NotStarted(evidence, error) => {
                 self.note_failure(&slot, &error);
                 let stage = call.not_started(evidence);
-                if self.attempts >= ATTEMPT_LIMIT {
+                if !may_go_on(after_not_started(self.attempts)).await {
                     let reason = NotRunReason::EndpointRefused;
                     return NextStep::End(self.give_up(stage, reason, RETRY_AFTER));
                 }
@@ -251,18 +242,16 @@
             }
             AttemptEnd::Failed(error) => {
                 self.note_failure(&slot, &error);
-                let allowed =
-                    self.context.budget(&self.call.service, |budget| budget.try_withdraw());
                 let stage = CallStage::Dispatched(call.begin_again());
-                if !allowed || self.attempts >= ATTEMPT_LIMIT {
-                    return NextStep::End(self.give_up(
-                        stage,
-                        NotRunReason::NoEndpoint,
-                        RETRY_AFTER,
-                    ));
+                let verdict = self.context.budget(&self.call.service, |bucket| {
+                    after_failure(self.attempts, bucket, &mut rand::rng())
+                });
+                if verdict == RetryVerdict::GiveUp {
+                    let reason = NotRunReason::NoEndpoint;
+                    return NextStep::End(self.give_up(stage, reason, RETRY_AFTER));
                 }
                 self.context.metrics.count("retries", 1);
-                sleep(retry_pause(self.attempts - 1, &mut rand::rng())).await;
+                may_go_on(verdict).await;
                 NextStep::Again(stage)
             }
         }
@@ -274,3 +263,15 @@
         self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
     }
 }
+
+/// Waits for the pause of a retry; `false` if the request ends instead.
+async fn may_go_on(verdict: RetryVerdict) -> bool {
+    match verdict {
+        RetryVerdict::Now => true,
+        RetryVerdict::After(pause) => {
+            sleep(pause).await;
+            true
+        }
+        RetryVerdict::GiveUp => false,
+    }
+}
