--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -308,13 +308,13 @@
     for number in 0..count {
         let copy = |first_token: usize, tokens: usize| RequestCopy {
             name: RequestName::new("reader", format!("request-number-{number}")),
-            term: 0,
+            takeovers: 0,
             holder: holder(2),
             digest: Some([1; 32]),
             call: None,
             first_token,
             tokens: (0..tokens).map(|token| Arc::from(format!("w{token:x} "))).collect(),
-            answer: None,
+            response: None,
         };
         for first_token in (0..TOKENS).step_by(4) {
             store.offer(copy(first_token, 4), now);
--- a/src/native/cluster/service/tasks.rs
+++ b/src/native/cluster/service/tasks.rs
@@ -11,7 +11,7 @@
     native::{
         cluster::{
             events::{ClusterEvent, PeerTarget},
-            items::{ItemKey, SpreadItem},
+            items::ItemKey,
         },
         peer::client::PeerPool,
     },
--- a/tests/native/harness.rs
+++ b/tests/native/harness.rs
@@ -18,6 +18,7 @@
 use serde_json::{Value, json};
 use willowarch::standin::endpoint::WorkCounts;
 
+#[allow(unused_imports, reason = "a bench uses some of them")]
 pub use self::{
     http_client::{
         Answer, Stream, completion, expected, get_text, post, stream, try_get, try_post,
