--- a/src/native/peer/codec.rs
+++ b/src/native/peer/codec.rs
@@ -15,7 +15,7 @@
         },
         options::check::is_name,
         request::{
-            store::{RequestCopy, RequestHolder},
+            copy::{RequestCopy, RequestHolder},
             tickets::ConsentVerdict,
         },
     },
@@ -163,7 +163,7 @@
     let holder_address = copy.get_holder_address()?.to_str().map_err(|_| failed("address"))?;
     Ok(RequestCopy {
         name: read_request_name(copy.get_name()?)?,
-        term: copy.get_term(),
+        takeovers: copy.get_term(),
         holder: RequestHolder {
             incarnation: IncarnationId(copy.get_holder()),
             address: holder_address.into(),
@@ -172,14 +172,14 @@
         call: None,
         first_token: copy.get_first_token() as usize,
         tokens: tokens.iter().map(read_token).collect::<Result<_, _>>()?,
-        answer: read_json(copy.get_final()?, "final answer")?,
+        response: read_json(copy.get_final()?, "final answer")?,
     })
 }
 
 /// Writes a request copy.
 pub fn write_copy(mut builder: peer_capnp::request_copy::Builder<'_>, copy: &RequestCopy) {
     write_request_name(builder.reborrow().init_name(), &copy.name);
-    builder.set_term(copy.term);
+    builder.set_term(copy.takeovers);
     builder.set_holder(copy.holder.incarnation.0);
     builder.set_first_token(copy.first_token as u32);
     // Appended tokens go to a peer that knows the request; it needs neither again.
@@ -189,8 +189,8 @@
             builder.set_digest(digest);
         }
     }
-    if let Some(answer) = &copy.answer {
-        builder.set_final(&to_json(answer));
+    if let Some(response) = &copy.response {
+        builder.set_final(&to_json(response));
     }
     let mut tokens = builder.init_tokens(copy.tokens.len() as u32);
     for (index, token) in copy.tokens.iter().enumerate() {
--- a/src/native/peer/served_calls.rs
+++ b/src/native/peer/served_calls.rs
@@ -17,13 +17,17 @@
             service::ClusterMessage,
         },
         request::{
-            call::CallerCall,
+            call::ClientCall,
             store::OfferVerdict,
             tickets::{SealVerdict, TicketId},
         },
         serve::{
-            context::ServeContext, limit_service::LimitMessage, once,
-            store_service::RequestMessage, ticket_service::TicketMessage,
+            context::ServeContext,
+            run::once,
+            services::{
+                limit_service::LimitMessage, store_service::RequestMessage,
+                ticket_service::TicketMessage,
+            },
         },
     },
     peer_capnp::peer,
@@ -182,7 +186,7 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let ticket = read_ticket(params.get_ticket()?)?;
-        let call: Option<CallerCall> = codec::read_json(params.get_call()?, "call")?;
+        let call: Option<ClientCall> = codec::read_json(params.get_call()?, "call")?;
         let call = call.ok_or_else(|| Error::failed("no call".into()))?;
         let settled = once::run_as_holder(&self.context, ticket, Arc::new(call)).await;
         results.get().set_settled(&codec::to_json(&settled));
--- a/src/native/request.rs
+++ b/src/native/request.rs
@@ -1,7 +1,8 @@
 //! A request's life: received, accepted, dispatched, and exactly one final outcome.
 
-pub mod answer_log;
 pub mod call;
+pub mod copy;
 pub mod outcome;
+pub mod response_log;
 pub mod store;
 pub mod tickets;
--- a/src/native/request/outcome.rs
+++ b/src/native/request/outcome.rs
@@ -1,7 +1,7 @@
 //! Final outcomes, and the stages that decide which of them may be said.
 //!
 //! "Not run" can be made only by [`UndispatchedCall::refuse`]. Dispatching consumes
-//! the undispatched call; it comes back only against evidence from the endpoint that
+//! the undispatched call; it is returned only against evidence from the endpoint that
 //! nothing was started, and only if no earlier attempt was begun.
 
 use std::{sync::Arc, time::Duration};
@@ -9,7 +9,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::call::CallerCall;
+use super::call::ClientCall;
 use crate::{
     errors::{FailureCause, StepError},
     native::headers,
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnknownReason {
-    /// The endpoint's answer did not arrive.
+    /// The endpoint's response did not arrive.
     #[display("the endpoint's answer did not arrive")]
     AnswerLost,
     /// The daemon that dispatched it is gone.
@@ -64,7 +64,7 @@
     /// All attempts failed after they were begun.
     #[display("all attempts failed")]
     AttemptsFailed,
-    /// The caller cancelled while it ran.
+    /// The client cancelled while it ran.
     #[display("cancelled while running")]
     Cancelled,
 }
@@ -82,15 +82,15 @@
         self.reason
     }
 
-    /// When the caller may come back.
+    /// When the client may retry.
     pub fn retry_after(&self) -> Duration {
         self.retry_after
     }
 }
 
-/// A plain endpoint's answer.
+/// A plain endpoint's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -102,19 +102,19 @@
 /// The one final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FinalAnswer {
-    /// All tokens of the answer have been produced.
+pub enum FinalResponse {
+    /// All tokens of the response have been produced.
     Streamed,
     /// A plain endpoint answered.
-    Plain(PlainAnswer),
+    Plain(PlainResponse),
     /// It did not run.
     NotRun(NotRunProof),
     /// It may have run.
     Unknown(UnknownReason),
 }
 
-impl FinalAnswer {
-    /// Whether the endpoint's own answer is there.
+impl FinalResponse {
+    /// Whether the endpoint's own response is there.
     pub fn is_answered(&self) -> bool {
         matches!(self, Self::Streamed | Self::Plain(_))
     }
@@ -139,9 +139,9 @@
         matches!(error.cause, FailureCause::Unreachable(_)).then_some(Self(()))
     }
 
-    /// Evidence in an answer: the endpoint says that it refused before starting.
-    pub fn from_headers(answer: &hyper::HeaderMap) -> Option<Self> {
-        let marked = answer.get(headers::NOT_STARTED).is_some_and(|value| value == "true");
+    /// Evidence in a response: the endpoint says that it refused before starting.
+    pub fn from_headers(response: &hyper::HeaderMap) -> Option<Self> {
+        let marked = response.get(headers::NOT_STARTED).is_some_and(|value| value == "true");
         marked.then_some(Self(()))
     }
 }
@@ -149,24 +149,19 @@
 /// A call for which no dispatch has begun. Not `Clone`: the right is unique.
 #[derive(Debug)]
 pub struct UndispatchedCall {
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
 }
 
 impl UndispatchedCall {
     /// A call that was just accepted, or one that this process took over together
     /// with the knowledge that nothing was dispatched.
-    pub fn new(call: Arc<CallerCall>) -> Self {
+    pub fn new(call: Arc<ClientCall>) -> Self {
         Self { call }
     }
 
-    /// The call.
-    pub fn call(&self) -> &Arc<CallerCall> {
-        &self.call
-    }
-
     /// Ends it as "not run".
-    pub fn refuse(self, reason: NotRunReason, retry_after: Duration) -> FinalAnswer {
-        FinalAnswer::NotRun(NotRunProof { reason, retry_after })
+    pub fn refuse(self, reason: NotRunReason, retry_after: Duration) -> FinalResponse {
+        FinalResponse::NotRun(NotRunProof { reason, retry_after })
     }
 
     /// Begins the first attempt; from here on "not run" needs evidence.
@@ -178,7 +173,7 @@
 /// A call with an attempt under way.
 #[derive(Debug)]
 pub struct DispatchedCall {
-    call: Arc<CallerCall>,
+    call: Arc<ClientCall>,
     begun_before: bool,
 }
 
@@ -193,15 +188,10 @@
 
 impl DispatchedCall {
     /// A call that another process may have dispatched already.
-    pub fn taken_over(call: Arc<CallerCall>) -> Self {
+    pub fn taken_over(call: Arc<ClientCall>) -> Self {
         Self { call, begun_before: true }
     }
 
-    /// The call.
-    pub fn call(&self) -> &Arc<CallerCall> {
-        &self.call
-    }
-
     /// The attempt under way was not started, as the evidence shows.
     pub fn not_started(self, _evidence: NotStartedEvidence) -> CallStage {
         if self.begun_before {
@@ -217,20 +207,12 @@
     }
 
     /// Ends it as "unknown".
-    pub fn give_up(self, reason: UnknownReason) -> FinalAnswer {
-        FinalAnswer::Unknown(reason)
+    pub fn give_up(self, reason: UnknownReason) -> FinalResponse {
+        FinalResponse::Unknown(reason)
     }
 }
 
 impl CallStage {
-    /// The call.
-    pub fn call(&self) -> &Arc<CallerCall> {
-        match self {
-            Self::Undispatched(call) => call.call(),
-            Self::Dispatched(call) => call.call(),
-        }
-    }
-
     /// Begins the next attempt.
     pub fn begin(self) -> DispatchedCall {
         match self {
@@ -245,7 +227,7 @@
         reason: NotRunReason,
         retry_after: Duration,
         unknown: UnknownReason,
-    ) -> FinalAnswer {
+    ) -> FinalResponse {
         match self {
             Self::Undispatched(call) => call.refuse(reason, retry_after),
             Self::Dispatched(call) => call.give_up(unknown),
--- a/src/native/request/answer_log.rs
+++ b/src/native/request/response_log.rs
@@ -5,8 +5,8 @@
 use tokio::sync::watch;
 
 use super::{
-    outcome::FinalAnswer,
-    store::{AnswerToken, RequestCopy, RequestHolder},
+    copy::{RequestCopy, RequestHolder, ResponseToken},
+    outcome::FinalResponse,
 };
 use crate::ids::RequestName;
 
@@ -18,10 +18,10 @@
     /// Whether it has ended.
     pub ended: bool,
     /// Number of take-overs.
-    pub term: u32,
+    pub takeovers: u32,
 }
 
-/// Tokens of an answer, in one text: a shared string for each took five times the memory.
+/// Tokens of a response, in one text: a shared string for each took five times the memory.
 #[derive(Debug, Default)]
 pub(super) struct TokenText {
     text: String,
@@ -50,12 +50,12 @@
         }
     }
 
-    fn from(&self, first: usize) -> Vec<AnswerToken> {
+    fn from(&self, first: usize) -> Vec<ResponseToken> {
         let mut start = self.start_of(first);
         let tokens = self.ends[first..].iter().map(|end| {
             let token = &self.text[start..*end as usize];
             start = *end as usize;
-            AnswerToken::from(token)
+            ResponseToken::from(token)
         });
         tokens.collect()
     }
@@ -63,45 +63,45 @@
 
 /// What grows while a request runs.
 #[derive(Debug)]
-pub(super) struct AnswerLog {
+pub(super) struct ResponseLog {
     pub(super) digest: [u8; 32],
-    pub(super) term: u32,
+    pub(super) takeovers: u32,
     pub(super) holder: RequestHolder,
     pub(super) tokens: TokenText,
-    pub(super) answer: Option<Arc<FinalAnswer>>,
+    pub(super) response: Option<Arc<FinalResponse>>,
 }
 
-impl AnswerLog {
+impl ResponseLog {
     pub(super) fn copy_from(&self, name: &RequestName, first_token: usize) -> RequestCopy {
         let first_token = first_token.min(self.tokens.len());
         RequestCopy {
             name: name.clone(),
-            term: self.term,
+            takeovers: self.takeovers,
             holder: self.holder.clone(),
             digest: Some(self.digest),
             call: None,
             first_token,
             tokens: self.tokens.from(first_token),
-            answer: self.answer.clone(),
+            response: self.response.clone(),
         }
     }
 
     pub(super) fn progress(&self) -> RequestProgress {
-        let ended = self.answer.is_some();
-        RequestProgress { tokens: self.tokens.len(), ended, term: self.term }
+        let ended = self.response.is_some();
+        RequestProgress { tokens: self.tokens.len(), ended, takeovers: self.takeovers }
     }
 }
 
-/// Reading end of a request's state, for tasks of the same thread: following an answer
+/// Reading end of a request's state, for tasks of the same thread: following a response
 /// token by token through the store's mailbox would cost two task switches a token.
 #[derive(Debug)]
-pub struct AnswerView {
+pub struct ResponseView {
     pub(super) name: RequestName,
-    pub(super) log: Rc<RefCell<AnswerLog>>,
+    pub(super) log: Rc<RefCell<ResponseLog>>,
     pub(super) progress: watch::Receiver<RequestProgress>,
 }
 
-impl AnswerView {
+impl ResponseView {
     /// How far the request has come.
     pub fn progress(&self) -> RequestProgress {
         self.log.borrow().progress()
--- a/src/native/request/store.rs
+++ b/src/native/request/store.rs
@@ -1,73 +1,30 @@
 //! All requests that this daemon holds or keeps a copy of, until they expire.
 //!
-//! A record's `term` counts take-overs. Updates of a lower term are dropped, so a
-//! holder that was paused over its replacement learns that it is superseded, and
-//! nothing that it sends changes what callers are given.
+//! A record's `takeovers` counts how often the request was taken over (`term` in the peer
+//! schema). Updates with a lower count are dropped. A holder that was
+//! paused while another daemon took its place therefore learns that it is superseded, and
+//! nothing that it sends changes what clients are given.
+
+mod stored_request;
 
 use std::{
-    cell::RefCell,
     collections::{BTreeSet, HashMap},
-    rc::Rc,
     sync::Arc,
     time::Duration,
 };
 
-use tokio::{sync::watch, time::Instant};
+use tokio::time::Instant;
 
+use self::stored_request::{StoredRequest, token_bytes};
 use super::{
-    answer_log::{AnswerLog, AnswerView, RequestProgress, TokenText},
-    call::CallerCall,
-    outcome::FinalAnswer,
+    call::ClientCall,
+    copy::{RequestCopy, RequestHolder, ResponseToken},
+    outcome::FinalResponse,
+    response_log::{ResponseLog, ResponseView, TokenText},
 };
-use crate::ids::{IncarnationId, RequestName, SharedName};
-
-/// Token of an answer.
-pub type AnswerToken = Arc<str>;
-
-/// Bookkeeping bytes of a record, beside its texts.
-const RECORD_BYTES: usize = 400;
-
-/// Who runs a request.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RequestHolder {
-    /// Incarnation of the daemon.
-    pub incarnation: IncarnationId,
-    /// Where its peers reach it.
-    pub address: SharedName,
-}
-
-/// State of one request, or the news of it since an earlier state.
-#[derive(Clone, Debug, PartialEq)]
-pub struct RequestCopy {
-    /// Its name.
-    pub name: RequestName,
-    /// Number of take-overs.
-    pub term: u32,
-    /// Who runs it.
-    pub holder: RequestHolder,
-    /// Digest of the call; news have none.
-    pub digest: Option<[u8; 32]>,
-    /// The call, where it is known. Peers are not sent it: whoever takes a request over
-    /// does so for a caller, who brings it.
-    pub call: Option<Arc<CallerCall>>,
-    /// Index in the answer of the first of `tokens`.
-    pub first_token: usize,
-    /// Tokens from `first_token` on.
-    pub tokens: Vec<AnswerToken>,
-    /// Final outcome, if it has ended.
-    pub answer: Option<Arc<FinalAnswer>>,
-}
-
-#[derive(Debug)]
-struct StoredRequest {
-    call: Option<Arc<CallerCall>>,
-    log: Rc<RefCell<AnswerLog>>,
-    progress: watch::Sender<RequestProgress>,
-    expires_at: Instant,
-    bytes: usize,
-}
+use crate::ids::RequestName;
 
-/// What a daemon finds when a caller names a request.
+/// What a daemon finds when a client names a request.
 #[derive(Clone, Debug)]
 pub enum ClaimVerdict {
     /// Unknown so far: it now exists here, held by this daemon.
@@ -85,7 +42,7 @@
 pub enum OfferVerdict {
     /// Stored.
     Stored,
-    /// A state that goes before it is known.
+    /// A known state has precedence.
     Known(RequestCopy),
 }
 
@@ -107,11 +64,11 @@
         Self { own, keep, byte_limit, records: HashMap::new(), expiry: BTreeSet::new(), bytes: 0 }
     }
 
-    /// Claims `name` for a caller that asks for `call`.
+    /// Claims `name` for a client that asks for `call`.
     pub fn claim(
         &mut self,
         name: &RequestName,
-        call: &Arc<CallerCall>,
+        call: &Arc<ClientCall>,
         now: Instant,
     ) -> ClaimVerdict {
         let digest = call.digest();
@@ -130,25 +87,25 @@
         ClaimVerdict::New
     }
 
-    /// Makes this daemon the holder, one term later; returns the state it goes on from.
+    /// Makes this daemon the holder, one take-over later; returns the state it goes on from.
     pub fn take_over(&mut self, name: &RequestName, now: Instant) -> Option<RequestCopy> {
         let own = self.own.clone();
         let record = self.records.get_mut(name)?;
         record.change(|log| {
-            log.term += 1;
+            log.takeovers += 1;
             log.holder = own;
-            log.answer = None;
+            log.response = None;
         });
         let copy = record.copy_from(name, 0);
         self.touch(name, now);
         Some(copy)
     }
 
-    /// Adds a token to a request that this daemon holds under `term`. `false` if it
+    /// Adds a token to a request that this daemon holds after so many take-overs. `false` if it
     /// was superseded meanwhile.
-    pub fn append(&mut self, name: &RequestName, term: u32, token: AnswerToken) -> bool {
+    pub fn append(&mut self, name: &RequestName, takeovers: u32, token: ResponseToken) -> bool {
         let Some(record) = self.records.get_mut(name) else { return false };
-        if !record.is_running_under(&self.own, term) {
+        if !record.is_running_since(&self.own, takeovers) {
             return false;
         }
         let added = token_bytes(&token);
@@ -158,35 +115,37 @@
         true
     }
 
-    /// Ends a request that this daemon holds under `term`. The first end stands.
+    /// Ends a request that this daemon holds after so many take-overs. The first end stands.
     pub fn end(
         &mut self,
         name: &RequestName,
-        term: u32,
-        answer: Arc<FinalAnswer>,
+        takeovers: u32,
+        response: Arc<FinalResponse>,
         now: Instant,
     ) -> bool {
         let Some(record) = self.records.get_mut(name) else { return false };
-        if !record.is_running_under(&self.own, term) {
+        if !record.is_running_since(&self.own, takeovers) {
             return false;
         }
-        record.change(|log| log.answer = Some(answer));
+        record.change(|log| log.response = Some(response));
         self.touch(name, now);
         true
     }
 
-    /// Takes a peer's copy, whole or news, unless a state that goes before is known.
+    /// Applies a peer's copy, whole or an update, unless a known state has precedence: one that
+    /// is answered, one of a later take-over, or one of the same take-over with another holder.
     pub fn offer(&mut self, copy: RequestCopy, now: Instant) -> OfferVerdict {
         let name = copy.name.clone();
         let Some(record) = self.records.get(&name) else { return self.offer_unknown(copy, now) };
-        let goes_before = {
+        let has_precedence = {
             let log = record.log.borrow();
             let same_holder = log.holder.incarnation == copy.holder.incarnation;
-            let newer = copy.term > log.term || (copy.term == log.term && same_holder);
+            let newer =
+                copy.takeovers > log.takeovers || (copy.takeovers == log.takeovers && same_holder);
             newer && copy.first_token <= log.tokens.len()
         };
         let same_call = copy.digest.is_none_or(|digest| digest == record.digest());
-        if record.is_answered() || !goes_before || !same_call {
+        if record.is_answered() || !has_precedence || !same_call {
             let known = record.copy_from(&name, 0);
             return OfferVerdict::Known(known);
         }
@@ -196,11 +155,11 @@
 
     fn offer_unknown(&mut self, copy: RequestCopy, now: Instant) -> OfferVerdict {
         let Some(digest) = copy.digest.filter(|_| copy.first_token == 0) else {
-            // NOTE: news of a request that expired here; without its beginning there is
+            // An update of a request that expired here: without its beginning there is
             // nothing to keep. The sender offers it whole again.
             return OfferVerdict::Known(RequestCopy { tokens: Vec::new(), ..copy });
         };
-        self.insert(&copy.name, None, digest, copy.term, copy.holder.clone(), now);
+        self.insert(&copy.name, None, digest, copy.takeovers, copy.holder.clone(), now);
         self.merge(copy, now);
         OfferVerdict::Stored
     }
@@ -209,12 +168,12 @@
         let Some(record) = self.records.get_mut(&copy.name) else { return };
         let mut added = 0;
         record.change(|log| {
-            if copy.term > log.term {
-                // NOTE: a new holder may know fewer tokens; its own are the answer from here.
+            if copy.takeovers > log.takeovers {
+                // A new holder may know fewer tokens; what it produces is the response from here.
                 log.tokens.truncate(copy.first_token);
-                log.answer = None;
+                log.response = None;
             }
-            log.term = copy.term;
+            log.takeovers = copy.takeovers;
             if log.holder.incarnation != copy.holder.incarnation {
                 log.holder = copy.holder;
             }
@@ -223,8 +182,8 @@
                 added += token_bytes(&token);
                 log.tokens.push(&token);
             }
-            if copy.answer.is_some() {
-                log.answer = copy.answer;
+            if copy.response.is_some() {
+                log.response = copy.response;
             }
         });
         record.bytes += added;
@@ -238,18 +197,17 @@
     }
 
     /// Reading end of a request's state.
-    pub fn view(&self, name: &RequestName) -> Option<AnswerView> {
+    pub fn view(&self, name: &RequestName) -> Option<ResponseView> {
         let record = self.records.get(name)?;
-        let progress = record.progress.subscribe();
-        Some(AnswerView { name: name.clone(), log: record.log.clone(), progress })
+        Some(record.view(name))
     }
 
-    /// Number of callers and peers that wait on a request.
+    /// Number of clients and peers that wait on a request.
     pub fn watchers(&self, name: &RequestName) -> usize {
-        self.records.get(name).map_or(0, |record| record.progress.receiver_count())
+        self.records.get(name).map_or(0, |record| record.watchers())
     }
 
-    /// Drops a request that nobody was promised an answer to.
+    /// Drops a request that nobody waits for.
     pub fn remove(&mut self, name: &RequestName) {
         if let Some(record) = self.records.remove(name) {
             self.expiry.remove(&(record.expires_at, name.clone()));
@@ -284,15 +242,10 @@
     }
 
     /// Number of records.
-    pub fn len(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there are no records.
-    pub fn is_empty(&self) -> bool {
-        self.records.is_empty()
-    }
-
     /// Bytes that the records take, roughly.
     pub fn bytes(&self) -> usize {
         self.bytes
@@ -301,23 +254,17 @@
     fn insert(
         &mut self,
         name: &RequestName,
-        call: Option<Arc<CallerCall>>,
+        call: Option<Arc<ClientCall>>,
         digest: [u8; 32],
-        term: u32,
+        takeovers: u32,
         holder: RequestHolder,
         now: Instant,
     ) {
-        let bytes = RECORD_BYTES + call.as_deref().map_or(0, content_bytes);
         let expires_at = now + self.keep;
-        let log = AnswerLog { digest, term, holder, tokens: TokenText::default(), answer: None };
-        let record = StoredRequest {
-            call,
-            progress: watch::Sender::new(log.progress()),
-            log: Rc::new(RefCell::new(log)),
-            expires_at,
-            bytes,
-        };
-        self.bytes += bytes;
+        let log =
+            ResponseLog { digest, takeovers, holder, tokens: TokenText::default(), response: None };
+        let record = StoredRequest::new(call, log, expires_at);
+        self.bytes += record.bytes;
         self.expiry.insert((expires_at, name.clone()));
         self.records.insert(name.clone(), record);
     }
@@ -329,46 +276,3 @@
         self.expiry.insert((record.expires_at, name.clone()));
     }
 }
-
-impl StoredRequest {
-    /// Whether the endpoint's answer is complete; other ends may be followed by another
-    /// try, since only requests that may be repeated are stored.
-    fn is_answered(&self) -> bool {
-        self.log.borrow().answer.as_ref().is_some_and(|answer| answer.is_answered())
-    }
-
-    fn digest(&self) -> [u8; 32] {
-        self.log.borrow().digest
-    }
-
-    fn is_running_at(&self, holder: &RequestHolder) -> bool {
-        let log = self.log.borrow();
-        log.answer.is_none() && log.holder == *holder
-    }
-
-    fn is_running_under(&self, holder: &RequestHolder, term: u32) -> bool {
-        self.is_running_at(holder) && self.log.borrow().term == term
-    }
-
-    fn copy_from(&self, name: &RequestName, first_token: usize) -> RequestCopy {
-        let copy = self.log.borrow().copy_from(name, first_token);
-        RequestCopy { call: self.call.clone(), ..copy }
-    }
-
-    /// Changes the state and tells those who wait on it.
-    fn change(&self, change: impl FnOnce(&mut AnswerLog)) {
-        change(&mut self.log.borrow_mut());
-        self.progress.send_replace(self.log.borrow().progress());
-    }
-}
-
-fn token_bytes(token: &AnswerToken) -> usize {
-    token.len() + size_of::<u32>()
-}
-
-fn content_bytes(call: &CallerCall) -> usize {
-    match &call.content {
-        super::call::CallContent::Completion(completion) => completion.prompt.len(),
-        super::call::CallContent::Plain(plain) => plain.path.len() + plain.body.len(),
-    }
-}
--- a/src/native/serve.rs
+++ b/src/native/serve.rs
@@ -1,20 +1,16 @@
-//! From a caller's request to its answer.
+//! From a client's request to its response.
+//!
+//! The gateway's path is `crate::gateway::request`; it shares no task or state with this one.
 
-pub mod admin;
-pub mod answer;
-pub mod attempt;
-pub mod caller_edge;
 pub mod context;
-pub mod copies;
-pub mod driver;
-pub mod limit_service;
-pub mod once;
-pub mod parse;
-pub mod planner;
-pub mod platform_watch;
-pub mod problem;
-pub mod resume;
-pub mod router;
-pub mod store_service;
-pub mod ticket_service;
+pub mod listeners;
+pub mod planning;
+pub mod run;
+pub mod services;
 pub mod timeline;
+
+use std::time::Duration;
+
+/// Retry-after of refusals that know no better time: overload, no endpoint, no table.
+/// Basis: chosen, not measured: long enough that refused clients add little load.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -1,21 +1,24 @@
-//! What the tasks of one daemon share: addresses of its services, views they publish.
+//! What the tasks of one daemon share: addresses of its services, and the views that these
+//! publish. The gateway has its own (`gateway::context`); nothing is shared between the two.
 
 use std::{
     cell::{Cell, RefCell},
     collections::{HashMap, HashSet},
     rc::Rc,
     sync::Arc,
-    time::Duration,
 };
 
 use tokio::sync::watch;
 
 use super::{
-    copies::CopyMessage,
-    limit_service::LimitMessage,
-    router::messages::{PickOrder, PickReply, RouterMessage},
-    store_service::RequestMessage,
-    ticket_service::TicketMessage,
+    RETRY_AFTER,
+    services::{
+        copies::messages::CopyMessage,
+        limit_service::LimitMessage,
+        router::messages::{PickOrder, PickReply, RouterMessage},
+        store_service::RequestMessage,
+        ticket_service::TicketMessage,
+    },
     timeline::{EventKind, TimelineHandle},
 };
 use crate::{
@@ -27,14 +30,18 @@
     native::{
         cloud_api::client::PlatformClient,
         cluster::{events::PeerTarget, members::MemberList, service::ClusterMessage},
-        decide::retries::RetryBudget,
+        decide::retries::RetryBucket,
         options::{rows::TableSnapshot, settings::DaemonSettings},
         peer::{LocalIdentity, client::PeerPool},
-        request::store::RequestHolder,
+        request::copy::RequestHolder,
     },
 };
 
-/// Everything a request's task needs.
+/// Weight of an account whose row was deleted while its request ran.
+/// Basis: chosen, not measured: the default of the row.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// Everything a request's task needs: handles, no rules.
 pub struct ServeContext {
     /// Kernel, for the life phase and child tasks.
     pub kernel: KernelHandle,
@@ -60,9 +67,9 @@
     pub copies: ServiceAddress<CopyMessage>,
     /// Limiter.
     pub limits: ServiceAddress<LimitMessage>,
-    /// Table in force.
+    /// Current table.
     pub table: watch::Receiver<Arc<TableSnapshot>>,
-    /// Member list in force.
+    /// Current member list.
     pub members: watch::Receiver<Rc<MemberList>>,
     /// Counters and histograms.
     pub metrics: MetricsHandle,
@@ -70,14 +77,14 @@
     pub timeline: TimelineHandle,
     /// Requests that run here.
     pub active: OpenCount,
-    /// Callers that are being answered, also with what runs elsewhere.
-    pub callers: OpenCount,
+    /// Clients that are being answered, also with what runs elsewhere.
+    pub clients: OpenCount,
     /// Requests whose state is being mirrored from their holder.
     pub mirrors: RefCell<HashSet<RequestName>>,
     /// Attempts begun so far.
     pub attempts: Cell<u64>,
     /// Retry budgets by service.
-    pub budgets: RefCell<HashMap<SharedName, RetryBudget>>,
+    pub budgets: RefCell<HashMap<SharedName, RetryBucket>>,
 }
 
 impl ServeContext {
@@ -86,9 +93,9 @@
         self.table.borrow().clone()
     }
 
-    /// Weight of an account; one that was deleted meanwhile has the least usual one.
+    /// Weight of an account; one that was deleted meanwhile has the default.
     pub fn weight_of(&self, account: &str) -> f64 {
-        self.table.borrow().account(account).map_or(1.0, |row| row.weight)
+        self.table.borrow().account(account).map_or(DEFAULT_WEIGHT, |row| row.weight)
     }
 
     /// Members as known now.
@@ -112,7 +119,7 @@
     }
 
     /// Uses the retry budget of a service.
-    pub fn budget(&self, service: &SharedName, act: impl FnOnce(&mut RetryBudget) -> bool) -> bool {
+    pub fn budget<T>(&self, service: &SharedName, act: impl FnOnce(&mut RetryBucket) -> T) -> T {
         act(self.budgets.borrow_mut().entry(service.clone()).or_default())
     }
 
@@ -125,9 +132,9 @@
 
     /// Asks the router for an endpoint.
     pub async fn pick(&self, order: PickOrder) -> PickReply {
-        const COME_BACK: Duration = Duration::from_secs(1);
         let reply = self.router.ask(|reply| RouterMessage::Pick(Box::new(order), reply)).await;
-        reply.unwrap_or(PickReply::Busy(COME_BACK))
+        // An overloaded router counts as full endpoints.
+        reply.unwrap_or(PickReply::Busy(RETRY_AFTER))
     }
 
     /// Whether this daemon takes no new work.
@@ -145,7 +152,7 @@
     }
 
     /// Daemons that keep the tokens of all requests that `holder` runs. They are the same
-    /// for all its requests, so that news of many go in one message.
+    /// for all its requests, so that one message carries the updates of many.
     pub fn partner_targets(&self, holder: IncarnationId, count: usize) -> Vec<PeerTarget> {
         let key = [b"partners".as_slice(), &holder.0.to_le_bytes()].concat();
         self.placed_targets(&key, holder, count)
@@ -184,10 +191,10 @@
         fallback.unwrap_or(own)
     }
 
-    /// Notes that a peer was refused at the gate.
+    /// Notes that a peer was refused at the peer listener.
     pub fn refused_peer(&self, what: &str) {
         self.metrics.count("peers_refused", 1);
-        spdlog::warn!("peer refused: {}", what, kv: { service = "gate" });
+        spdlog::warn!("peer refused: {}", what, kv: { service = "peer-listener" });
     }
 
     /// Notes an event of a request.
--- a/src/native/serve/admin.rs
+++ b/src/native/serve/listeners/admin.rs
@@ -2,19 +2,12 @@
 
 use std::rc::Rc;
 
-use hyper::{Method, Request, Response, StatusCode, body::Incoming, header::HeaderValue};
+use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use serde::Serialize;
 use serde_json::json;
 use tokio::net::TcpListener;
 
-use super::{
-    context::ServeContext,
-    limit_service::LimitMessage,
-    problem::Problem,
-    router::messages::{RouterMessage, RouterStatus},
-    store_service::{RequestMessage, StoreGauge},
-    ticket_service::TicketMessage,
-};
+use super::{problem::Problem, response::json_response};
 use crate::{
     http::{ResponseBody, server, whole_body},
     ids::{IncarnationId, SharedName},
@@ -27,18 +20,31 @@
             members::MemberStatus,
             service::ClusterMessage,
         },
+        serve::{
+            context::ServeContext,
+            services::{
+                limit_service::LimitMessage,
+                router::messages::{RouterMessage, RouterStatus},
+                store_service::{RequestMessage, StoreGauge},
+                ticket_service::TicketMessage,
+            },
+        },
     },
 };
 
 /// Name of the service.
 pub const NAME: &str = "admin";
 
+/// Largest body of a notice, in bytes.
+/// Basis: chosen, not measured: a notice has three short fields.
+const NOTICE_BYTES: usize = 4_096;
+
 /// One member, as operators see it.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberLine {
     /// Incarnation.
     pub incarnation: IncarnationId,
-    /// Address of its gate.
+    /// Address of its peer listener.
     pub address: SharedName,
     /// Availability zone.
     pub zone: SharedName,
@@ -65,7 +71,7 @@
     pub records: usize,
     /// Their bytes.
     pub record_bytes: usize,
-    /// Versions of the table's rows in force here.
+    /// Versions of the table's rows that are current here.
     pub rows: Vec<(SharedName, u64)>,
     /// Members known.
     pub members: Vec<MemberLine>,
@@ -75,11 +81,11 @@
 
 /// Serves operators on `listener` until the daemon stops.
 pub async fn run(listener: TcpListener, context: Rc<ServeContext>) {
-    // NOTE: operators are served while the daemon drains; only `Stopping` ends this.
+    // Operators are served while the daemon drains; only `Stopping` ends this.
     let phase = stopping_only(&context);
     server::serve(listener, phase, move |request| {
         let context = context.clone();
-        async move { answer(context, request).await }
+        async move { handle(context, request).await }
     })
     .await;
 }
@@ -95,44 +101,37 @@
     receiver
 }
 
-fn json_answer(value: &impl Serialize) -> Response<ResponseBody> {
-    let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(whole_body(body));
-    let kind = HeaderValue::from_static("application/json");
-    response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
-    response
-}
-
-async fn answer(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn handle(context: Rc<ServeContext>, request: Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/status") => json_answer(&status(&context).await),
+        (&Method::GET, "/status") => json_response(&status(&context).await),
         (&Method::GET, "/metrics") => {
             set_gauges(&context).await;
             Response::new(whole_body(context.metrics.render()))
         }
         (&Method::GET, "/timeline") => {
+            // Without a subject all events are shown.
             let query = request.uri().query().unwrap_or_default();
+            // Other parameters mean nothing here.
             let subject = query.strip_prefix("subject=").unwrap_or_default();
-            json_answer(&context.timeline.read(subject))
+            json_response(&context.timeline.read(subject))
         }
         (&Method::POST, "/drain") => {
             context.kernel.enter(LifePhase::Draining);
-            json_answer(&json!({ "draining": true }))
+            json_response(&json!({ "draining": true }))
         }
-        (&Method::POST, "/notices") => take_notice(&context, request).await,
+        (&Method::POST, "/notices") => accept_notice(&context, request).await,
         _ => Problem::new(StatusCode::NOT_FOUND, "(path)", "is not served here").into_response(),
     }
 }
 
 /// Takes a notice that reached only this daemon; it spreads from here.
-async fn take_notice(
+async fn accept_notice(
     context: &Rc<ServeContext>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     use http_body_util::{BodyExt, Limited};
-    const LIMIT: usize = 4_096;
-    let body = Limited::new(request.into_body(), LIMIT).collect().await;
+    let body = Limited::new(request.into_body(), NOTICE_BYTES).collect().await;
     let notice =
         body.ok().and_then(|body| serde_json::from_slice::<ReclaimNotice>(&body.to_bytes()).ok());
     let Some(notice) = notice else {
@@ -141,23 +140,22 @@
     let item = SpreadItem::new(ItemKind::Notice, notice.vm.clone(), 1, &notice);
     let event = ClusterEvent::Items(None, vec![item]);
     match context.cluster.send(ClusterMessage::Event(event)) {
-        Ok(()) => json_answer(&notice),
+        Ok(()) => json_response(&notice),
         Err(error) => Problem::new(StatusCode::SERVICE_UNAVAILABLE, "(daemon)", error.to_string())
             .into_response(),
     }
 }
 
 async fn store_gauge(context: &ServeContext) -> StoreGauge {
+    // An overloaded store shows as empty.
     context.requests.ask(|reply| RequestMessage::Gauge { reply }).await.unwrap_or_default()
 }
 
 async fn status(context: &Rc<ServeContext>) -> DaemonStatus {
     let gauge = store_gauge(context).await;
-    let rows = context
-        .cluster
-        .ask(|reply| ClusterMessage::List { kind: ItemKind::Row, reply })
-        .await
-        .unwrap_or_default();
+    let rows = context.cluster.ask(|reply| ClusterMessage::List { kind: ItemKind::Row, reply });
+    // An overloaded cluster service shows no rows.
+    let rows = rows.await.unwrap_or_default();
     let mut rows: Vec<(SharedName, u64)> =
         rows.into_iter().map(|item| (item.key.name, item.version)).collect();
     rows.sort();
@@ -182,6 +180,7 @@
         record_bytes: gauge.bytes,
         rows,
         members: lines,
+        // An overloaded router shows as empty.
         router: router.unwrap_or_default(),
     }
 }
--- a/src/native/serve/parse.rs
+++ b/src/native/serve/listeners/parse.rs
@@ -1,4 +1,4 @@
-//! Checks a caller's request and turns it into a call. Everything wrong is answered
+//! Checks a client's request and turns it into a call. Everything wrong is answered
 //! with a 4xx that names the field; nothing is guessed.
 
 use std::sync::Arc;
@@ -6,29 +6,34 @@
 use hyper::{HeaderMap, StatusCode};
 use serde_json::{Map, Value};
 
-use super::problem::Problem;
+use super::{
+    problem::Problem,
+    request_headers::{account, have_tokens, header, idempotency_key, traceparent},
+};
 use crate::{
     ids::{RequestName, SharedName, hash_parts},
     native::{
-        headers,
-        options::{
-            check::is_name,
-            rows::{AccountRow, ServiceRow, ServiceType, TableSnapshot},
-        },
-        request::call::{CallContent, CallerCall, CompletionCall, PlainCall},
+        options::rows::{ServiceRow, ServiceType, TableSnapshot},
+        request::call::{CallContent, ClientCall, CompletionCall, PlainCall},
     },
 };
 
 /// Largest request body, in bytes.
+/// Basis: chosen, not measured: a bound on memory.
 pub const BODY_LIMIT: usize = 1024 * 1024;
-/// Most tokens that one answer may have.
+/// Most tokens that one response may have.
+/// Basis: chosen, not measured: bounds how long one response holds an endpoint.
 const MAX_TOKENS: u64 = 8_192;
-/// Tokens of an answer whose caller does not say.
+/// Tokens of a response whose client does not say.
+/// Basis: chosen, not measured; the mean response at the target has 244 (docs/CAPACITY.md).
 const DEFAULT_TOKENS: u64 = 256;
+/// Bits of a derived seed: JSON numbers pass through other programs as doubles.
+/// Basis: chosen, not measured: the bits of a double's fraction.
+const EXACT_BITS: u32 = 53;
 /// Keys that start so are made by daemons.
 const OWN_KEY_PREFIX: &str = "auto-";
 
-/// Fields that callers of model serving send and that change nothing here.
+/// Fields that clients of model serving send and that change nothing here.
 const IGNORED_FIELDS: [&str; 12] = [
     "temperature",
     "top_p",
@@ -44,9 +49,9 @@
     "service_tier",
 ];
 
-/// Which form the answer takes.
+/// Which form the response takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerForm {
+pub enum ResponseForm {
     /// Completion, streamed as server-sent events.
     Events {
         /// Whether in the chat form.
@@ -57,7 +62,7 @@
         /// Whether in the chat form.
         chat: bool,
     },
-    /// The plain endpoint's own answer.
+    /// The plain endpoint's own response.
     Plain,
 }
 
@@ -65,81 +70,24 @@
 #[derive(Clone, Debug)]
 pub struct CheckedRequest {
     /// Call to run.
-    pub call: CallerCall,
-    /// Key that the caller gave.
+    pub call: ClientCall,
+    /// Key that the client gave.
     pub key: Option<SharedName>,
-    /// Form of the answer.
-    pub form: AnswerForm,
-    /// Tokens that a resuming caller has.
+    /// Form of the response.
+    pub form: ResponseForm,
+    /// Tokens that a resuming client has.
     pub have_tokens: usize,
 }
 
 impl CheckedRequest {
-    /// Name of the request: by the caller's key, or by `made` where it gave none.
+    /// Name of the request: by the client's key, or by `made` where it gave none.
     pub fn name(&self, made: &str) -> RequestName {
         let key = self.key.clone().unwrap_or_else(|| format!("{OWN_KEY_PREFIX}{made}").into());
         RequestName::new(self.call.account.clone(), key)
     }
 }
 
-/// Text of a header, if it is there.
-pub fn header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Problem> {
-    match headers.get(name) {
-        None => Ok(None),
-        Some(value) => match value.to_str() {
-            Ok(text) => Ok(Some(text)),
-            Err(_) => Err(Problem::bad_request(name, "must be printable ASCII")),
-        },
-    }
-}
-
-/// Client account that the request's bearer key belongs to.
-pub fn account(headers: &HeaderMap, table: &TableSnapshot) -> Result<Arc<AccountRow>, Problem> {
-    let value = header(headers, "authorization")?;
-    let key = value.and_then(|value| value.strip_prefix("Bearer "));
-    let Some(key) = key else {
-        return Err(Problem::unauthorized("authorization", "must be `Bearer` with a key"));
-    };
-    let row = table.account_by_key(key.trim());
-    row.ok_or_else(|| Problem::unauthorized("authorization", "names no client account"))
-}
-
-fn idempotency_key(headers: &HeaderMap) -> Result<Option<SharedName>, Problem> {
-    let name = headers::IDEMPOTENCY_KEY;
-    let Some(text) = header(headers, name)? else { return Ok(None) };
-    // NOTE: the draft for this header quotes the key as a structured string.
-    let key = text.trim().trim_matches('"');
-    if is_name(key) {
-        Ok(Some(key.into()))
-    } else {
-        Err(Problem::bad_request(name, "must be 1 to 128 printable characters without `/`"))
-    }
-}
-
-fn have_tokens(headers: &HeaderMap) -> Result<usize, Problem> {
-    let name = headers::LAST_EVENT_ID;
-    let Some(text) = header(headers, name)? else { return Ok(0) };
-    let index: usize = text
-        .trim()
-        .parse()
-        .map_err(|_| Problem::bad_request(name, "must be the id of an event"))?;
-    Ok(index.saturating_add(1))
-}
-
-fn traceparent(headers: &HeaderMap) -> Result<Option<SharedName>, Problem> {
-    let name = headers::TRACEPARENT;
-    let Some(text) = header(headers, name)? else { return Ok(None) };
-    let parts: Vec<&str> = text.split('-').collect();
-    let lengths: Vec<usize> = parts.iter().map(|part| part.len()).collect();
-    let hex = parts.iter().all(|part| part.bytes().all(|byte| byte.is_ascii_hexdigit()));
-    if hex && lengths == [2, 32, 16, 2] {
-        Ok(Some(text.into()))
-    } else {
-        Err(Problem::bad_request(name, "must be a W3C trace context"))
-    }
-}
-
-/// Checks a completion request; `chat` tells its form.
+/// Checks a completion request; `chat` says which form it has.
 pub fn completion(
     headers: &HeaderMap,
     body: &[u8],
@@ -165,14 +113,14 @@
     };
     let stream = flag(object, "stream")?;
     let content = CompletionCall { prompt: prompt.into(), max_tokens, seed, chat };
-    let call = CallerCall {
+    let call = ClientCall {
         account: account.name.clone(),
         service: service.name.clone(),
         repeatable: true,
         content: CallContent::Completion(content),
         traceparent: traceparent(headers)?,
     };
-    let form = if stream { AnswerForm::Events { chat } } else { AnswerForm::Document { chat } };
+    let form = if stream { ResponseForm::Events { chat } } else { ResponseForm::Document { chat } };
     let have_tokens = have_tokens(headers)?;
     Ok(CheckedRequest { call, key, form, have_tokens })
 }
@@ -251,10 +199,8 @@
     }
 }
 
-/// Seed of a request whose caller gave none: the same whenever the caller asks again.
+/// Seed of a request whose client gave none: the same whenever the client asks again.
 fn derived_seed(account: &str, key: Option<&str>) -> u64 {
-    // NOTE: as JSON numbers travel through other programs as doubles, 53 bits.
-    const EXACT_BITS: u32 = 53;
     key.map_or(0, |key| {
         hash_parts(&[b"seed", account.as_bytes(), key.as_bytes()]) >> (u64::BITS - EXACT_BITS)
     })
@@ -280,7 +226,7 @@
     if is_json && !body.is_empty() && serde_json::from_str::<Value>(&body).is_err() {
         return Err(Problem::bad_request("(body)", "must be JSON, as its content type says"));
     }
-    let call = CallerCall {
+    let call = ClientCall {
         account: account.name.clone(),
         service: row.name.clone(),
         repeatable: row.repeatable,
@@ -292,5 +238,5 @@
         traceparent: traceparent(headers)?,
     };
     let key = idempotency_key(headers)?;
-    Ok(CheckedRequest { call, key, form: AnswerForm::Plain, have_tokens: 0 })
+    Ok(CheckedRequest { call, key, form: ResponseForm::Plain, have_tokens: 0 })
 }
--- a/src/native/serve/problem.rs
+++ b/src/native/serve/listeners/problem.rs
@@ -1,6 +1,4 @@
-//! Errors as callers see them: problem documents (RFC 9457), with when to come back.
-
-use std::time::Duration;
+//! Errors as clients see them: problem documents (RFC 9457), with a retry-after.
 
 use hyper::{Response, StatusCode, header::HeaderValue};
 use serde::Serialize;
@@ -9,7 +7,8 @@
     http::{ResponseBody, whole_body},
     native::{
         headers,
-        request::outcome::{FinalAnswer, NotRunProof, UnknownReason},
+        request::outcome::{FinalResponse, NotRunProof, UnknownReason},
+        serve::RETRY_AFTER,
     },
 };
 
@@ -30,7 +29,7 @@
     pub field: Option<Box<str>>,
     /// Whether the request ran: `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Seconds after which to come back.
+    /// Seconds after which to retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<f64>,
 }
@@ -92,7 +91,6 @@
 
     /// It cannot be said whether the request ran.
     pub fn unknown(reason: UnknownReason, repeatable: bool) -> Self {
-        const COME_BACK: Duration = Duration::from_secs(1);
         Self {
             kind: "/problems/unknown",
             title: "Unknown",
@@ -100,21 +98,22 @@
             detail: reason.to_string().into(),
             field: None,
             outcome: "unknown",
-            retry_after: repeatable.then_some(COME_BACK.as_secs_f64()),
+            retry_after: repeatable.then_some(RETRY_AFTER.as_secs_f64()),
         }
     }
 
-    /// Problem of a final answer that is none.
-    pub fn of(answer: &FinalAnswer, repeatable: bool) -> Option<Self> {
-        match answer {
-            FinalAnswer::Streamed | FinalAnswer::Plain(_) => None,
-            FinalAnswer::NotRun(proof) => Some(Self::not_run(proof)),
-            FinalAnswer::Unknown(reason) => Some(Self::unknown(*reason, repeatable)),
+    /// Problem of a final response that is none.
+    pub fn of(response: &FinalResponse, repeatable: bool) -> Option<Self> {
+        match response {
+            FinalResponse::Streamed | FinalResponse::Plain(_) => None,
+            FinalResponse::NotRun(proof) => Some(Self::not_run(proof)),
+            FinalResponse::Unknown(reason) => Some(Self::unknown(*reason, repeatable)),
         }
     }
 
-    /// The problem as an HTTP answer.
+    /// The problem as an HTTP response.
     pub fn into_response(self) -> Response<ResponseBody> {
+        // This type always serializes.
         let body = serde_json::to_vec(&self).unwrap_or_default();
         let mut response = Response::new(whole_body(body));
         let status = StatusCode::from_u16(self.status);
@@ -122,7 +121,7 @@
         let kind = HeaderValue::from_static("application/problem+json");
         response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
         if let Some(seconds) = self.retry_after {
-            // NOTE: the header takes whole seconds; the document has the exact time.
+            // The header takes whole seconds; the document has the exact time.
             let value = HeaderValue::from(seconds.ceil() as u64);
             response.headers_mut().insert(headers::RETRY_AFTER, value);
         }
--- a/src/native/serve/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -1,5 +1,8 @@
-//! One attempt at an endpoint: sends the call, takes tokens or the answer, and leaves
+//! One attempt at an endpoint on the native path: sends the call, takes tokens or the response, and leaves
 //! when a notice says so.
+//!
+//! It reports how the attempt ended and decides nothing; `run::driver` and `run::once` do. The
+//! gateway's attempts (`gateway::request::attempt`) speak the platform's protocol instead.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -8,7 +11,6 @@
 use hyper::{HeaderMap, Method, Response, body::Incoming};
 use tokio::time::Duration;
 
-use super::{context::ServeContext, router::messages::EndpointSlot, store_service::RequestMessage};
 use crate::{
     clock::{WaitOver, wait_at_most},
     endpoint_health::AttemptResult,
@@ -20,9 +22,13 @@
         endpoint::{EngineOrder, EngineToken, STREAM_END, sse::EventDecoder},
         headers,
         request::{
-            call::{CallContent, CallerCall, CompletionCall, PlainCall},
-            outcome::{FinalAnswer, NotStartedEvidence, PlainAnswer},
-            store::AnswerToken,
+            call::{CallContent, ClientCall, CompletionCall, PlainCall},
+            copy::ResponseToken,
+            outcome::{FinalResponse, NotStartedEvidence, PlainResponse},
+        },
+        serve::{
+            context::ServeContext,
+            services::{router::messages::EndpointSlot, store_service::RequestMessage},
         },
     },
 };
@@ -30,8 +36,8 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// The endpoint's answer is complete.
-    Answered(FinalAnswer),
+    /// The endpoint's response is complete.
+    Answered(FinalResponse),
     /// The endpoint did not start it.
     NotStarted(NotStartedEvidence, StepError),
     /// It failed and may have run.
@@ -48,10 +54,10 @@
     pub context: &'a Rc<ServeContext>,
     /// Request.
     pub name: &'a RequestName,
-    /// Term under which it runs here.
-    pub term: u32,
+    /// Take-overs before it came here.
+    pub takeovers: u32,
     /// Call.
-    pub call: &'a Arc<CallerCall>,
+    pub call: &'a Arc<ClientCall>,
     /// Order in which engines take it.
     pub priority: RequestPriority,
     /// This attempt.
@@ -65,7 +71,7 @@
     pub async fn stream(
         &self,
         completion: &CompletionCall,
-        tokens: &mut Vec<AnswerToken>,
+        tokens: &mut Vec<ResponseToken>,
     ) -> AttemptEnd {
         let order = EngineOrder {
             prompt: completion.prompt.to_string(),
@@ -74,6 +80,7 @@
             priority: self.priority.number(),
             resume_tokens: tokens.iter().map(ToString::to_string).collect(),
         };
+        // This type always serializes.
         let body = serde_json::to_vec(&order).unwrap_or_default();
         let call = self.outgoing("stream completion", "/v1/completions", "application/json", body);
         let end = match self.open(&call).await {
@@ -135,8 +142,8 @@
         Ok(response)
     }
 
-    fn is_own(&self, answer: &HeaderMap) -> bool {
-        let echoed = answer.get(headers::ATTEMPT_ID).and_then(|value| value.to_str().ok());
+    fn is_own(&self, response: &HeaderMap) -> bool {
+        let echoed = response.get(headers::ATTEMPT_ID).and_then(|value| value.to_str().ok());
         echoed == Some(&self.attempt.to_string())
     }
 
@@ -154,6 +161,7 @@
                 let cause = FailureCause::Broken(error.to_string());
                 return AttemptEnd::Failed(self.error(step, cause));
             }
+            // The wait has no other error than its end.
             Err(_) => {
                 let cause = FailureCause::TimedOut(limit.as_millis() as u64);
                 return AttemptEnd::Failed(self.error(step, cause));
@@ -165,7 +173,7 @@
         }
         let content_type = head.headers.get(hyper::header::CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
-        AttemptEnd::Answered(FinalAnswer::Plain(PlainAnswer {
+        AttemptEnd::Answered(FinalResponse::Plain(PlainResponse {
             status,
             content_type: content_type.unwrap_or("application/octet-stream").into(),
             body: collected.to_bytes().to_vec(),
@@ -175,7 +183,7 @@
     async fn take_tokens(
         &self,
         response: Response<Incoming>,
-        tokens: &mut Vec<AnswerToken>,
+        tokens: &mut Vec<ResponseToken>,
     ) -> AttemptEnd {
         let step = "read stream";
         if !response.status().is_success() {
@@ -220,18 +228,20 @@
     ) -> Result<Bytes, StepError> {
         let step = "read stream";
         match frame {
+            // The wait has no other error than its end.
             Err(_) => Err(self.error(step, FailureCause::TimedOut(limit.as_millis() as u64))),
             Ok(None) => Err(self.error(step, FailureCause::Broken("stream ended early".into()))),
             Ok(Some(Err(error))) => Err(self.error(step, FailureCause::Broken(error.to_string()))),
+            // A frame without data carries trailers, which mean nothing here.
             Ok(Some(Ok(frame))) => Ok(frame.into_data().unwrap_or_default()),
         }
     }
 
     /// Takes one event of the stream; `Some` if the attempt has ended with it.
-    async fn take_event(&self, event: &str, tokens: &mut Vec<AnswerToken>) -> Option<AttemptEnd> {
+    async fn take_event(&self, event: &str, tokens: &mut Vec<ResponseToken>) -> Option<AttemptEnd> {
         let step = "read stream";
         if event == STREAM_END {
-            return Some(AttemptEnd::Answered(FinalAnswer::Streamed));
+            return Some(AttemptEnd::Answered(FinalResponse::Streamed));
         }
         let Ok(token) = serde_json::from_str::<EngineToken>(event) else {
             let cause = FailureCause::Malformed("not a token".into());
@@ -241,13 +251,17 @@
             let cause = FailureCause::Malformed(format!("token {} out of order", token.index));
             return Some(AttemptEnd::Failed(self.error(step, cause)));
         }
-        let text: AnswerToken = token.text.into();
+        let text: ResponseToken = token.text.into();
         tokens.push(text.clone());
         self.slot.produced.set(tokens.len());
-        let append =
-            RequestMessage::Append { name: self.name.clone(), term: self.term, token: text };
+        let append = RequestMessage::Append {
+            name: self.name.clone(),
+            takeovers: self.takeovers,
+            token: text,
+        };
         match self.context.requests.deliver(append).await {
             Ok(()) => None,
+            // The store has ended, and the daemon with it.
             Err(_) => Some(AttemptEnd::Superseded),
         }
     }
@@ -259,6 +273,7 @@
         |way: &Option<ReclaimWay>| matches!(way, Some(ReclaimWay::Move | ReclaimWay::Resume));
     match way.wait_for(leaves).await {
         Ok(found) => found.unwrap_or(ReclaimWay::Resume),
+        // The router is gone: no order can come any more.
         Err(_) => std::future::pending().await,
     }
 }
@@ -267,7 +282,7 @@
     match end {
         AttemptEnd::Answered(_) => AttemptResult::Succeeded,
         AttemptEnd::Failed(_) => AttemptResult::Failed,
-        // NOTE: a refused connection counts: nothing listens there.
+        // A refused connection counts: nothing listens there.
         AttemptEnd::NotStarted(_, error) if matches!(error.cause, FailureCause::Unreachable(_)) => {
             AttemptResult::Failed
         }
@@ -278,7 +293,7 @@
 }
 
 /// Content of a call as a completion, if it is one.
-pub fn as_completion(call: &CallerCall) -> Option<&CompletionCall> {
+pub fn as_completion(call: &ClientCall) -> Option<&CompletionCall> {
     match &call.content {
         CallContent::Completion(completion) => Some(completion),
         CallContent::Plain(_) => None,
--- a/src/native/serve/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -1,55 +1,51 @@
-//! Runs a request that may be repeated: attempts, retries, moves, until it has ended.
+//! Runs a request that may be retried: attempts, retries, moves, until it has ended.
+
+mod leaving;
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
-use hyper::Method;
 use tokio::time::{Instant, sleep};
 
-use super::{
-    attempt::{AttemptEnd, AttemptTask, as_completion},
-    context::ServeContext,
-    router::messages::{EndpointSlot, PickOrder, PickReply, StreamShape},
-    store_service::RequestMessage,
-    timeline::EventKind,
-};
+use super::attempt::{AttemptEnd, AttemptTask, as_completion};
 use crate::{
-    http::client::OutgoingCall,
     ids::{RequestName, SharedName},
     native::{
         decide::{
             fair_queue::QueueTurn,
             limits::RequestPriority,
             prefix::{count_tokens, prefix_chain},
-            reclaim::ReclaimWay,
-            retries::retry_pause,
+            retries::{RetryVerdict, after_all_tried, after_failure, after_not_started},
         },
-        endpoint::ImportOrder,
         request::{
-            call::{CallContent, CallerCall},
-            outcome::{CallStage, DispatchedCall, FinalAnswer, NotRunReason, UnknownReason},
-            store::AnswerToken,
+            call::{CallContent, ClientCall},
+            copy::ResponseToken,
+            outcome::{CallStage, DispatchedCall, FinalResponse, NotRunReason, UnknownReason},
+        },
+        serve::{
+            RETRY_AFTER,
+            context::ServeContext,
+            services::{
+                router::messages::{EndpointSlot, PickOrder, PickReply, StreamShape},
+                store_service::RequestMessage,
+            },
+            timeline::EventKind,
         },
     },
 };
 
-/// Most attempts at one request, moves apart.
-const ATTEMPT_LIMIT: u32 = 6;
 /// Longest wait in the queue for an endpoint.
+/// Basis: chosen, not measured: bounds the wait; the fleet's answer to overload takes longer.
 const QUEUE_WAIT: Duration = Duration::from_secs(20);
-/// Longest wait for the move of a KV cache.
-const MOVE_LIMIT: Duration = Duration::from_secs(20);
-/// When a caller may come back after attempts have failed.
-const COME_BACK: Duration = Duration::from_secs(1);
 
-/// A request to run under one term.
+/// A request that this daemon runs, until it ends or is taken over.
 pub struct RequestDriver {
     /// Order in which engines take it.
     pub priority: RequestPriority,
     context: Rc<ServeContext>,
     name: RequestName,
-    term: u32,
-    call: Arc<CallerCall>,
-    tokens: Vec<AnswerToken>,
+    takeovers: u32,
+    call: Arc<ClientCall>,
+    tokens: Vec<ResponseToken>,
     weight: f64,
     exclude: Vec<SharedName>,
     attempts: u32,
@@ -59,7 +55,7 @@
 
 /// What to do after an attempt.
 enum NextStep {
-    End(FinalAnswer),
+    End(FinalResponse),
     Again(CallStage),
     Stop,
 }
@@ -69,17 +65,17 @@
     pub fn new(
         context: Rc<ServeContext>,
         name: RequestName,
-        term: u32,
-        call: Arc<CallerCall>,
-        tokens: Vec<AnswerToken>,
+        takeovers: u32,
+        call: Arc<ClientCall>,
+        tokens: Vec<ResponseToken>,
     ) -> Self {
         Self {
-            // NOTE: one that was taken over has waited already.
+            // One that was taken over has waited already.
             priority: RequestPriority::Normal,
             weight: context.weight_of(&call.account),
             context,
             name,
-            term,
+            takeovers,
             call,
             tokens,
             exclude: Vec::new(),
@@ -91,30 +87,30 @@
 
     /// Runs the request to its end, unless it is cancelled or superseded.
     ///
-    /// Gives back what is needed to look at the request once more.
+    /// Returns what is needed to read the request's state once more.
     pub async fn run(mut self, stage: CallStage) -> (Rc<ServeContext>, RequestName) {
         let view = self
             .context
             .requests
             .ask(|reply| RequestMessage::View { name: self.name.clone(), reply });
         let Ok(Some(mut view)) = view.await else { return (self.context, self.name) };
-        let term = self.term;
-        // NOTE: the wait also ends when the record is removed: cancelled.
+        let takeovers = self.takeovers;
+        // The wait also ends when the record is removed: cancelled.
         let cancelled = async move {
-            view.wait_for(|progress| progress.ended || progress.term > term).await;
+            view.wait_for(|progress| progress.ended || progress.takeovers > takeovers).await;
         };
-        let answer = tokio::select! {
-            answer = self.run_attempts(stage) => answer,
+        let response = tokio::select! {
+            response = self.run_attempts(stage) => response,
             () = cancelled => None,
         };
-        if let Some(answer) = answer {
-            self.end(answer);
+        if let Some(response) = response {
+            self.end(response);
         }
         (self.context, self.name)
     }
 
-    fn end(&self, answer: FinalAnswer) {
-        let label = answer.label();
+    fn end(&self, response: FinalResponse) {
+        let label = response.label();
         self.context.metrics.count_labelled("requests_ended", "outcome", label);
         let took = self.started_at.elapsed().as_millis();
         let detail = format!(
@@ -126,15 +122,15 @@
         self.context.note(EventKind::Ended, &self.name, detail);
         let message = RequestMessage::End {
             name: self.name.clone(),
-            term: self.term,
-            answer: Arc::new(answer),
+            takeovers: self.takeovers,
+            response: Arc::new(response),
         };
         if let Err(error) = self.context.requests.send(message) {
             spdlog::error!("end lost: {}", error, kv: { service = "driver" });
         }
     }
 
-    async fn run_attempts(&mut self, mut stage: CallStage) -> Option<FinalAnswer> {
+    async fn run_attempts(&mut self, mut stage: CallStage) -> Option<FinalResponse> {
         loop {
             let slot = match self.pick().await {
                 PickReply::Slot(slot) => slot,
@@ -142,41 +138,39 @@
                     return Some(self.give_up(stage, NotRunReason::Overloaded, wait));
                 }
                 PickReply::Nowhere if self.exclude.is_empty() => {
-                    return Some(self.give_up(stage, NotRunReason::NoEndpoint, COME_BACK));
+                    return Some(self.give_up(stage, NotRunReason::NoEndpoint, RETRY_AFTER));
                 }
                 PickReply::Nowhere => {
-                    // NOTE: every endpoint was tried; those tried first may work by now.
+                    // Every endpoint was tried; those tried first may work by now.
                     self.exclude.clear();
-                    if self.attempts >= ATTEMPT_LIMIT {
-                        return Some(self.give_up(stage, NotRunReason::EndpointRefused, COME_BACK));
+                    let verdict = after_all_tried(self.attempts, &mut rand::rng());
+                    if !may_go_on(verdict).await {
+                        let reason = NotRunReason::EndpointRefused;
+                        return Some(self.give_up(stage, reason, RETRY_AFTER));
                     }
-                    sleep(retry_pause(self.attempts, &mut rand::rng())).await;
                     continue;
                 }
             };
-            self.earn();
+            self.count_attempt();
             let dispatched = stage.begin();
             let end = self.attempt(&slot).await;
             match self.judge(end, dispatched, slot).await {
-                NextStep::End(answer) => return Some(answer),
+                NextStep::End(response) => return Some(response),
                 NextStep::Again(next) => stage = next,
                 NextStep::Stop => return None,
             }
         }
     }
 
-    fn give_up(&self, stage: CallStage, reason: NotRunReason, wait: Duration) -> FinalAnswer {
+    fn give_up(&self, stage: CallStage, reason: NotRunReason, wait: Duration) -> FinalResponse {
         stage.give_up(reason, wait, UnknownReason::AttemptsFailed)
     }
 
-    fn earn(&mut self) {
+    fn count_attempt(&mut self) {
         self.attempts += 1;
         self.context.metrics.count("attempts", 1);
         if self.attempts == 1 {
-            self.context.budget(&self.call.service, |budget| {
-                budget.earn();
-                true
-            });
+            self.context.budget(&self.call.service, |bucket| bucket.deposit());
         }
     }
 
@@ -191,6 +185,7 @@
                 priority: self.priority,
                 tokens: self.call.expected_tokens(),
             },
+            // A plain call has no prompt.
             chain: text.map(|text| prefix_chain(&text)).unwrap_or_default().into(),
             exclude: self.exclude.clone(),
             deadline: Instant::now() + QUEUE_WAIT,
@@ -211,7 +206,7 @@
         let task = AttemptTask {
             context: &self.context,
             name: &self.name,
-            term: self.term,
+            takeovers: self.takeovers,
             call: &call,
             priority: self.priority,
             attempt: slot.attempt(),
@@ -230,7 +225,7 @@
         slot: EndpointSlot,
     ) -> NextStep {
         match end {
-            AttemptEnd::Answered(answer) => NextStep::End(answer),
+            AttemptEnd::Answered(response) => NextStep::End(response),
             AttemptEnd::Superseded => NextStep::Stop,
             AttemptEnd::Leaving(way) => {
                 self.leave(way, slot).await;
@@ -239,21 +234,24 @@
             AttemptEnd::NotStarted(evidence, error) => {
                 self.note_failure(&slot, &error);
                 let stage = call.not_started(evidence);
-                if self.attempts >= ATTEMPT_LIMIT {
+                if !may_go_on(after_not_started(self.attempts)).await {
                     let reason = NotRunReason::EndpointRefused;
-                    return NextStep::End(self.give_up(stage, reason, COME_BACK));
+                    return NextStep::End(self.give_up(stage, reason, RETRY_AFTER));
                 }
                 NextStep::Again(stage)
             }
             AttemptEnd::Failed(error) => {
                 self.note_failure(&slot, &error);
-                let allowed = self.context.budget(&self.call.service, |budget| budget.spend());
                 let stage = CallStage::Dispatched(call.begin_again());
-                if !allowed || self.attempts >= ATTEMPT_LIMIT {
-                    return NextStep::End(self.give_up(stage, NotRunReason::NoEndpoint, COME_BACK));
+                let verdict = self.context.budget(&self.call.service, |bucket| {
+                    after_failure(self.attempts, bucket, &mut rand::rng())
+                });
+                if verdict == RetryVerdict::GiveUp {
+                    let reason = NotRunReason::NoEndpoint;
+                    return NextStep::End(self.give_up(stage, reason, RETRY_AFTER));
                 }
                 self.context.metrics.count("retries", 1);
-                sleep(retry_pause(self.attempts - 1, &mut rand::rng())).await;
+                may_go_on(verdict).await;
                 NextStep::Again(stage)
             }
         }
@@ -264,27 +262,16 @@
         self.context.metrics.count("attempts_failed", 1);
         self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
     }
+}
 
-    /// Leaves an endpoint that is being reclaimed. For a move, the old endpoint's cache
-    /// is imported where the stream will probably go on.
-    async fn leave(&mut self, way: ReclaimWay, slot: EndpointSlot) {
-        self.moves += 1;
-        self.attempts -= 1;
-        let from = slot.pick.address.clone();
-        drop(slot);
-        if way != ReclaimWay::Move {
-            return;
+/// Waits for the pause of a retry; `false` if the request ends instead.
+async fn may_go_on(verdict: RetryVerdict) -> bool {
+    match verdict {
+        RetryVerdict::Now => true,
+        RetryVerdict::After(pause) => {
+            sleep(pause).await;
+            true
         }
-        let PickReply::Slot(next) = self.pick().await else { return };
-        let Some(completion) = as_completion(&self.call) else { return };
-        let text = format!("{} {}", completion.prompt, self.tokens.concat());
-        let order = ImportOrder { from: from.to_string(), text };
-        let body = serde_json::to_vec(&order).unwrap_or_default();
-        let call = OutgoingCall::get("move KV cache", &next.pick.address, "/kv/import")
-            .with_json(Method::POST, body);
-        let moved = self.context.http.fetch(&call, MOVE_LIMIT).await;
-        let moved = moved.is_ok_and(|answer| answer.status.is_success());
-        let outcome = if moved { "moved" } else { "failed" };
-        self.context.metrics.count_labelled("cache_moves", "outcome", outcome);
+        RetryVerdict::GiveUp => false,
     }
 }
--- a/src/native/serve/copies.rs
+++ b/src/native/serve/services/copies.rs
@@ -1,10 +1,12 @@
 //! Service that keeps the tokens of running requests at this daemon's partners.
 //!
-//! News of all requests go in one message to each partner ten times a second, so
+//! The updates of all requests go in one message to each partner ten times a second, so
 //! copying costs the tokens' bytes and a constant number of messages a second, however
 //! many requests run and however many daemons there are. docs/design/copies.md weighs
 //! the ways.
 
+pub mod messages;
+
 use std::{
     collections::HashMap,
     rc::{Rc, Weak},
@@ -13,44 +15,43 @@
 
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use super::{context::ServeContext, store_service::RequestMessage};
+use super::{copies::messages::CopyMessage, store_service::RequestMessage};
 use crate::{
     ids::RequestName,
     kernel::{ServiceAddress, ServiceInbox},
     native::{
         cluster::events::PeerTarget,
         request::{
-            answer_log::{AnswerView, RequestProgress},
-            store::{OfferVerdict, RequestCopy},
+            copy::RequestCopy,
+            response_log::{RequestProgress, ResponseView},
+            store::OfferVerdict,
         },
+        serve::context::ServeContext,
     },
 };
 
 /// Name of the service.
 pub const NAME: &str = "copies";
-/// Time between messages to one peer.
+/// Time between messages to one partner.
+/// Basis: commit 3307a63: 33.0 KB/s a daemon at 40 requests/s, 62.3 with whole copies.
 const FLUSH_EVERY: Duration = Duration::from_millis(100);
 
-/// What the service is told.
-#[derive(Debug)]
-pub enum CopyMessage {
-    /// A request runs here from now on.
-    Track(RequestName),
-    /// A peer could not take news of these requests: it needs them whole, or knows better.
-    Refused(PeerTarget, Vec<RequestName>),
-    /// A peer did not answer.
-    Failed(PeerTarget),
-}
+/// Bytes of an update beside its name and tokens.
+/// Basis: chosen, not measured: an estimate for the metrics.
+const FIELD_BYTES: usize = 64;
+/// Directory entries are renewed after the time for which they are kept, divided by this.
+/// Basis: docs/design/copies.md: a third, so that one lost message does no harm.
+const RENEWAL_PART: u32 = 3;
 
 #[derive(Debug)]
 struct TrackedCopy {
-    view: AnswerView,
+    view: ResponseView,
     /// Tokens that each partner has been sent; a partner that is not here has nothing.
     sent: HashMap<PeerTarget, usize>,
-    /// Progress when the partners were last sent news.
+    /// Progress when the partners were last sent an update.
     progress: Option<RequestProgress>,
-    /// When the directory was last told.
-    told_at: Instant,
+    /// When the directory's entry was last renewed.
+    renewed_at: Instant,
 }
 
 struct CopyService {
@@ -95,7 +96,7 @@
                 }
             }
             CopyMessage::Failed(target) => {
-                // NOTE: it is sent everything again, if it is still a partner by then.
+                // It is sent everything again, if it is still a partner by then.
                 for copy in self.tracked.values_mut() {
                     copy.sent.remove(&target);
                     copy.progress = None;
@@ -108,8 +109,8 @@
         let Some(context) = self.context.upgrade() else { return };
         let view = context.requests.ask(|reply| RequestMessage::View { name: name.clone(), reply });
         let Ok(Some(view)) = view.await else { return };
-        let told_at = Instant::now();
-        let copy = TrackedCopy { view, sent: HashMap::new(), progress: None, told_at };
+        let renewed_at = Instant::now();
+        let copy = TrackedCopy { view, sent: HashMap::new(), progress: None, renewed_at };
         self.tracked.insert(name, copy);
     }
 
@@ -130,34 +131,33 @@
             copy.progress = Some(progress);
             for partner in &partners {
                 let sent = copy.sent.entry(partner.clone()).or_default();
-                let news = copy.view.copy_from(*sent);
-                *sent = news.first_token + news.tokens.len();
-                by_target.entry(partner.clone()).or_default().push(news);
+                let update = copy.view.copy_from(*sent);
+                *sent = update.first_token + update.tokens.len();
+                by_target.entry(partner.clone()).or_default().push(update);
             }
-            if copy.told_at.elapsed() > context.settings.answer_keep / 3 {
-                copy.told_at = Instant::now();
+            if copy.renewed_at.elapsed() > context.settings.answer_keep / RENEWAL_PART {
+                copy.renewed_at = Instant::now();
                 let entry = copy.view.copy_from(usize::MAX);
-                tokio::task::spawn_local(tell_directory(context.clone(), name.clone(), entry));
+                tokio::task::spawn_local(renew_directory(context.clone(), name.clone(), entry));
             }
         }
         self.tracked.retain(|_, copy| !copy.progress.is_some_and(|progress| progress.ended));
         for (target, copies) in by_target {
-            let bytes: usize = copies.iter().map(news_bytes).sum();
+            let bytes: usize = copies.iter().map(update_bytes).sum();
             context.metrics.count("copy_bytes", bytes as u64);
             context.metrics.count("copy_messages", 1);
-            let send = send_news(context.clone(), self.address.clone(), target, copies);
+            let send = send_updates(context.clone(), self.address.clone(), target, copies);
             tokio::task::spawn_local(send);
         }
     }
 }
 
-fn news_bytes(copy: &RequestCopy) -> usize {
-    const FIELDS: usize = 64;
+fn update_bytes(copy: &RequestCopy) -> usize {
     let tokens: usize = copy.tokens.iter().map(|token| token.len() + size_of::<u64>()).sum();
-    FIELDS + copy.name.key.len() + copy.name.account.len() + tokens
+    FIELD_BYTES + copy.name.key.len() + copy.name.account.len() + tokens
 }
 
-async fn send_news(
+async fn send_updates(
     context: Rc<ServeContext>,
     address: ServiceAddress<CopyMessage>,
     target: PeerTarget,
@@ -166,21 +166,23 @@
     let message = match context.pool.append(&target, &copies).await {
         Ok(refused) if refused.is_empty() => return,
         Ok(refused) => CopyMessage::Refused(target, refused),
+        // Whatever the error: the partner is sent everything again.
         Err(_) => CopyMessage::Failed(target),
     };
-    // NOTE: the service ends only with the daemon.
+    // Fails if the copier is overloaded or has ended. The partner refuses the next update, and
+    // is then sent the whole copy.
     let _ = address.send(message);
 }
 
-/// A partner refused news: if it knows a later term, this daemon is superseded.
+/// A partner refused an update: if it knows a later take-over, this daemon is superseded.
 async fn check_superseded(context: Rc<ServeContext>, target: PeerTarget, name: RequestName) {
     if let Ok(Some(known)) = context.pool.attach(&target, &name, 0, Duration::ZERO).await {
         supersede(&context, known).await;
     }
 }
 
-/// Tells the directory again, so that its entry of a long request does not expire.
-async fn tell_directory(context: Rc<ServeContext>, name: RequestName, entry: RequestCopy) {
+/// Renews the directory's entry of a long request, so that it does not expire.
+async fn renew_directory(context: Rc<ServeContext>, name: RequestName, entry: RequestCopy) {
     let entry = RequestCopy { first_token: 0, tokens: Vec::new(), ..entry };
     for target in context.directory_targets(&name) {
         if let Ok(Some(known)) = context.pool.offer(&target, &entry).await {
@@ -189,7 +191,7 @@
     }
 }
 
-/// Takes over what a peer knows, if that goes before what is known here.
+/// Applies what a peer knows, if it has precedence over what is known here.
 pub async fn supersede(context: &Rc<ServeContext>, known: RequestCopy) {
     let name = known.name.clone();
     let offer = context.requests.ask(|reply| RequestMessage::Offer { copy: known, reply });
--- a/src/native/serve/router/poll.rs
+++ b/src/native/serve/services/router/poll.rs
@@ -14,6 +14,7 @@
 };
 
 /// Longest wait for a polled endpoint.
+/// Basis: chosen, not measured: a quarter of the time between polls.
 const POLL_LIMIT: Duration = Duration::from_millis(500);
 
 /// Asks an endpoint for its load and, after the event `after`, for cache events.
@@ -26,12 +27,14 @@
 ) {
     let call = OutgoingCall::get("read load", &info.address, "/load");
     let report = http.fetch(&call, POLL_LIMIT).await;
-    let report = report.and_then(|answer| answer.json::<LoadReport>("read load", &info.address));
-    // NOTE: an endpoint that does not report keeps its last load, corrected by our own
+    let report =
+        report.and_then(|response| response.json::<LoadReport>("read load", &info.address));
+    // An endpoint that does not report keeps its last load, corrected by our own
     // dispatches; attempts show whether it works.
     let Ok(report) = report else { return };
     let load = report.running + report.waiting;
     let message = RouterMessage::Load { service: service.clone(), id: info.id.clone(), load };
+    // Lost if the router is overloaded; the next poll reports again.
     let _ = router.send(message);
     let Some(after) = after else { return };
     let call = OutgoingCall::get(
@@ -39,12 +42,13 @@
         &info.address,
         format!("/cache_events?after={after}"),
     );
-    let Ok(answer) = http.fetch(&call, POLL_LIMIT).await else { return };
-    let Ok(events) = answer.json::<Vec<CacheEvent>>("read cache events", &info.address) else {
+    let Ok(response) = http.fetch(&call, POLL_LIMIT).await else { return };
+    let Ok(events) = response.json::<Vec<CacheEvent>>("read cache events", &info.address) else {
         return;
     };
     let changes: Vec<CacheChange> = events.into_iter().map(CacheEvent::into_change).collect();
     if !changes.is_empty() {
+        // Lost if the router is overloaded; the next poll asks for the same events.
         let _ = router.send(RouterMessage::Cache { service, id: info.id, changes });
     }
 }
--- a/src/native/serve/store_service.rs
+++ b/src/native/serve/services/store_service.rs
@@ -7,19 +7,23 @@
     time::{Instant, MissedTickBehavior, interval},
 };
 
+use super::send_reply;
 use crate::{
     ids::RequestName,
     kernel::ServiceInbox,
     native::request::{
-        answer_log::AnswerView,
-        call::CallerCall,
-        outcome::FinalAnswer,
-        store::{AnswerToken, ClaimVerdict, OfferVerdict, RequestCopy, RequestStore},
+        call::ClientCall,
+        copy::{RequestCopy, ResponseToken},
+        outcome::FinalResponse,
+        response_log::ResponseView,
+        store::{ClaimVerdict, OfferVerdict, RequestStore},
     },
 };
 
 /// Name of the service.
 pub const NAME: &str = "requests";
+/// Time between searches for records that have expired.
+/// Basis: chosen, not measured: short beside the time for which records are kept.
 const EXPIRE_EVERY: Duration = Duration::from_millis(500);
 
 /// Size of the store.
@@ -34,12 +38,12 @@
 /// What the service is asked.
 #[derive(Debug)]
 pub enum RequestMessage {
-    /// A caller asks for `call` under `name`.
+    /// A client asks for `call` under `name`.
     Claim {
         /// Name.
         name: RequestName,
         /// Call.
-        call: Arc<CallerCall>,
+        call: Arc<ClientCall>,
         /// Verdict.
         reply: oneshot::Sender<ClaimVerdict>,
     },
@@ -54,21 +58,21 @@
     Append {
         /// Name.
         name: RequestName,
-        /// Term under which it was produced.
-        term: u32,
+        /// Take-overs before it was produced.
+        takeovers: u32,
         /// Token.
-        token: AnswerToken,
+        token: ResponseToken,
     },
     /// A request that ran here has ended.
     End {
         /// Name.
         name: RequestName,
-        /// Term under which it ran.
-        term: u32,
+        /// Take-overs before it ran.
+        takeovers: u32,
         /// Outcome.
-        answer: Arc<FinalAnswer>,
+        response: Arc<FinalResponse>,
     },
-    /// A peer's copy, whole or news.
+    /// A peer's copy, whole or an update.
     Offer {
         /// Copy.
         copy: RequestCopy,
@@ -89,7 +93,7 @@
         /// Name.
         name: RequestName,
         /// Reading end, if known.
-        reply: oneshot::Sender<Option<AnswerView>>,
+        reply: oneshot::Sender<Option<ResponseView>>,
     },
     /// Number of those who wait on a request.
     Watchers {
@@ -129,43 +133,41 @@
         }
     }
 }
-
-// NOTE: whoever asked may have gone meanwhile; then the reply is not wanted any more.
 fn handle(store: &mut RequestStore, message: RequestMessage) {
     let now = Instant::now();
     match message {
         RequestMessage::Claim { name, call, reply } => {
-            let _ = reply.send(store.claim(&name, &call, now));
+            send_reply(reply, store.claim(&name, &call, now));
         }
         RequestMessage::TakeOver { name, reply } => {
-            let _ = reply.send(store.take_over(&name, now));
+            send_reply(reply, store.take_over(&name, now));
         }
-        RequestMessage::Append { name, term, token } => {
-            // NOTE: under a term that is over, the token is dropped; its driver is told
-            // by the progress.
-            store.append(&name, term, token);
+        RequestMessage::Append { name, takeovers, token } => {
+            // After a later take-over the token is dropped; its driver learns of it from the
+            // progress.
+            store.append(&name, takeovers, token);
         }
-        RequestMessage::End { name, term, answer } => {
-            store.end(&name, term, answer, now);
+        RequestMessage::End { name, takeovers, response } => {
+            store.end(&name, takeovers, response, now);
         }
         RequestMessage::Offer { copy, reply } => {
-            let _ = reply.send(store.offer(copy, now));
+            send_reply(reply, store.offer(copy, now));
         }
         RequestMessage::Read { name, first_token, reply } => {
-            let _ = reply.send(store.read(&name, first_token));
+            send_reply(reply, store.read(&name, first_token));
         }
         RequestMessage::View { name, reply } => {
-            let _ = reply.send(store.view(&name));
+            send_reply(reply, store.view(&name));
         }
         RequestMessage::Watchers { name, reply } => {
-            let _ = reply.send(store.watchers(&name));
+            send_reply(reply, store.watchers(&name));
         }
         RequestMessage::Remove { name } => store.remove(&name),
         RequestMessage::Running { reply } => {
-            let _ = reply.send(store.running());
+            send_reply(reply, store.running());
         }
         RequestMessage::Gauge { reply } => {
-            let _ = reply.send(StoreGauge { records: store.len(), bytes: store.bytes() });
+            send_reply(reply, StoreGauge { records: store.record_count(), bytes: store.bytes() });
         }
     }
 }
--- a/src/native/serve/ticket_service.rs
+++ b/src/native/serve/services/ticket_service.rs
@@ -4,13 +4,14 @@
 
 use tokio::{sync::oneshot, time::Instant};
 
+use super::send_reply;
 use crate::{
     ids::IncarnationId,
     kernel::ServiceInbox,
     native::request::{
-        outcome::FinalAnswer,
+        outcome::FinalResponse,
         tickets::{
-            ConsentVerdict, SealVerdict, SettledAnswer, TicketId, TicketLedger, TicketUse,
+            ConsentVerdict, SealVerdict, SettledResponse, TicketId, TicketLedger, TicketUse,
             WitnessLedger,
         },
     },
@@ -45,14 +46,14 @@
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
-        answer: FinalAnswer,
+        response: FinalResponse,
     },
     /// Wait for the end of a ticket held here that is in progress.
     Wait {
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
-        reply: oneshot::Sender<FinalAnswer>,
+        reply: oneshot::Sender<FinalResponse>,
     },
     /// A holder asks for consent.
     Consent {
@@ -73,7 +74,7 @@
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
-        settled: SettledAnswer,
+        settled: SettledResponse,
     },
     /// Tickets held and witnessed.
     Gauge {
@@ -85,7 +86,7 @@
 struct TicketService {
     held: TicketLedger,
     witnessed: WitnessLedger,
-    waiting: HashMap<TicketId, Vec<oneshot::Sender<FinalAnswer>>>,
+    waiting: HashMap<TicketId, Vec<oneshot::Sender<FinalResponse>>>,
 }
 
 /// Runs the service of the daemon `own`.
@@ -101,38 +102,37 @@
 }
 
 impl TicketService {
-    // NOTE: whoever asked may have gone meanwhile; then the reply is not wanted any more.
     fn handle(&mut self, message: TicketMessage, now: Instant) {
         match message {
             TicketMessage::Issue { witness, scope, reply } => {
-                let _ = reply.send(self.held.issue(witness, scope, now));
+                send_reply(reply, self.held.issue(witness, scope, now));
             }
             TicketMessage::Begin { ticket, digest, reply } => {
-                let _ = reply.send(self.held.begin(ticket, digest));
+                send_reply(reply, self.held.begin(ticket, digest));
             }
-            TicketMessage::End { ticket, answer } => {
-                for waiting in self.waiting.remove(&ticket).unwrap_or_default() {
-                    let _ = waiting.send(answer.clone());
+            TicketMessage::End { ticket, response } => {
+                for waiting in self.waiting.remove(&ticket).into_iter().flatten() {
+                    send_reply(waiting, response.clone());
                 }
-                self.held.end(ticket, answer);
+                self.held.end(ticket, response);
             }
             TicketMessage::Wait { ticket, reply } => match self.held.ended(ticket) {
-                Some(answer) => {
-                    let _ = reply.send(answer);
+                Some(response) => {
+                    send_reply(reply, response);
                 }
                 None => self.waiting.entry(ticket).or_default().push(reply),
             },
             TicketMessage::Consent { ticket, reply } => {
-                let _ = reply.send(self.witnessed.consent(ticket, now));
+                send_reply(reply, self.witnessed.consent(ticket, now));
             }
             TicketMessage::Seal { ticket, reply } => {
-                let _ = reply.send(self.witnessed.seal(ticket, now));
+                send_reply(reply, self.witnessed.seal(ticket, now));
             }
             TicketMessage::Settle { ticket, settled } => {
                 self.witnessed.settle(ticket, settled, now);
             }
             TicketMessage::Gauge { reply } => {
-                let _ = reply.send((self.held.len(), self.witnessed.len()));
+                send_reply(reply, (self.held.ticket_count(), self.witnessed.ticket_count()));
             }
         }
     }
