--- a/tests/gateway/duties.rs
+++ b/tests/gateway/leader_tasks.rs
@@ -1,4 +1,4 @@
-//! Duties of the daemon that holds the lease, and what becomes of them when it goes.
+//! Tasks of the daemon that holds the leader lease, and what happens to them when it goes.
 
 use std::collections::BTreeMap;
 
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -2,11 +2,11 @@
 //! real daemon between loopback clients and stand-ins of the platform.
 
 mod decoders;
-mod duties;
 mod endpoint_standin;
 mod exchange;
 mod fleet;
 mod groups;
+mod leader_tasks;
 mod loopback_proxy;
 mod operations;
 mod platform_standin;
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -16,8 +16,8 @@
 use serde_json::json;
 
 use crate::{
-    duties::{check_reports, reports},
     endpoint_standin::{EndpointManner, EndpointStandin},
+    leader_tasks::{check_reports, reports},
     loopback_proxy::{LinkState, LoopbackProxy},
     platform_standin::PlatformStandin,
     serving::{Gateway, RawAnswer, configuration, request_bytes, try_send_raw, wait_for},
