--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -13,7 +13,8 @@
 
 use super::{
     endpoint_orders::{cloud_order, observe_service},
-    lease_keeper::{AcquireResult, LeaseKeeper},
+    lease_acquire::AcquireResult,
+    lease_keeper::LeaseKeeper,
     lease_record::{LeaseRecord, UsageReport},
 };
 use crate::{
