--- a/src/gateway/gossip/call_schedule.rs
+++ b/src/gateway/gossip/call_schedule.rs
@@ -1,5 +1,5 @@
-//! Decides which addresses a daemon calls in a gossip interval: neighbours and addresses that
-//! nobody has heard of yet, those first that were not called for longest; once a second also a
+//! Decides which addresses a daemon calls in a gossip interval: neighbours and addresses of which
+//! no daemon is known yet, those first that were not called for longest; once a second also a
 //! random daemon that is no neighbour. Addresses that do not respond are tried less often.
 
 use std::{
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// The renewal is at least as old as reported; if it is taken for younger because the message
-/// was late, a successor only waits longer.
+/// The renewal is at least as old as reported; a late message makes it look younger than
+/// it is, and a successor only waits longer.
 fn apply_lease(context: &GatewayContext, lease: &LeaseSummary, now: Instant) {
     if context.fleet_size.get().is_none() && lease.daemons > 0 {
         context.fleet_size.set(Some(lease.daemons));
--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -44,8 +44,9 @@
 /// Basis: commit 7044e2a (docs/CAPACITY.md, calls to store and cloud): one instead of three
 /// brought 1.0 and 1.3 calls a second to 0.37 and 0.39.
 const GROUP_WATCHERS: usize = 1;
-/// Exchanges that a report passes in a fleet of several groups: it reaches the representative
-/// first.
+/// Exchanges that a report passes in a fleet of several groups.
+///
+/// Basis: the way of a report: to the representative, and from there to this daemon.
 const REPORT_HOPS: u32 = 2;
 
 /// What is known of one daemon.
--- a/src/gateway/leader/endpoint_orders.rs
+++ b/src/gateway/leader/endpoint_orders.rs
@@ -12,7 +12,7 @@
         endpoint::EndpointState,
         policy::{
             endpoint_orders::{ObservedService, ZoneOrder},
-            fleet_size::{PriceClass, ZoneHolding},
+            zone_plan::{PriceClass, ZoneHolding},
         },
     },
     ids::SharedName,
@@ -20,6 +20,8 @@
 };
 
 /// Milliseconds in a second.
+///
+/// Basis: a conversion of units.
 const MS_PER_S: f64 = 1e3;
 
 /// What this daemon knows of a service's endpoints and load.
--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -100,11 +100,9 @@
 
     async fn try_acquire(&mut self) -> Result<(), StepError> {
         match self.lease.try_acquire().await? {
-            AcquireResult::Acquired => {
+            AcquireResult::Acquired { required_endpoints } => {
                 self.is_report_sent = false;
-                let record = self.lease.record();
-                let required = record.map(|record| record.required_endpoints.clone());
-                self.orders = required.map(EndpointOrders::after).unwrap_or_default();
+                self.orders = EndpointOrders::after(required_endpoints);
             }
             AcquireResult::RetryAt(at) => self.next_try = at,
             AcquireResult::NotAcquired => {}
--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -12,9 +12,12 @@
 use crate::{
     errors::StepError,
     gateway::policy::leader_lease::{AcquireDecision, LeaseOwner, ObservedLease, decide_acquire},
+    ids::SharedName,
 };
 
 /// Revision to write at when there is no object yet.
+///
+/// Basis: given by the store's API.
 const NO_REVISION: u64 = 0;
 /// Longest random time added to a wait for the lease, in milliseconds, so that daemons do not
 /// all try at once.
@@ -25,8 +28,11 @@
 /// What became of a try to acquire the lease.
 #[derive(Debug)]
 pub enum AcquireResult {
-    /// This daemon holds it. The record's requirements and report go on.
-    Acquired,
+    /// This daemon holds it.
+    Acquired {
+        /// Required endpoints by service, as the former holder found them.
+        required_endpoints: BTreeMap<SharedName, f64>,
+    },
     /// Another daemon holds it or was faster.
     NotAcquired,
     /// It may be free at this time.
@@ -104,7 +110,7 @@
             released: false,
             daemons: self.known_daemons(),
             throttled: self.throttled_accounts(),
-            required_endpoints,
+            required_endpoints: required_endpoints.clone(),
             report,
         };
         if !self.write(revision, record).await? {
@@ -112,6 +118,6 @@
         }
         spdlog::info!("lease", kv: { outcome = "taken", fence });
         self.context.metrics.count("lease_taken", 1);
-        Ok(AcquireResult::Acquired)
+        Ok(AcquireResult::Acquired { required_endpoints })
     }
 }
--- a/src/gateway/policy.rs
+++ b/src/gateway/policy.rs
@@ -13,3 +13,4 @@
 pub mod usage_counts;
 pub mod usage_reports;
 pub mod wall_clock;
+pub mod zone_plan;
--- a/src/gateway/policy/fleet_size.rs
+++ b/src/gateway/policy/fleet_size.rs
@@ -1,17 +1,12 @@
-//! Decides how many endpoints of which price class a service should hold in which zone.
+//! Decides how many endpoints a service requires.
 //!
 //! Inputs are the load of the service (prefill and running requests), what is held in each
-//! zone, the service's fleet settings, and which zones had no reclaimable capacity lately.
+//! zone, and which zones refused reclaimable capacity lately. Where they are held is decided by
+//! `zone_plan`.
 //!
 //! The required number follows the load upwards at once and decays slowly. Before any load was
 //! seen it is estimated from the endpoints that are held, and never lowered: a leader that has
 //! just started must not release endpoints because it knows nothing yet.
-//!
-//! Reclaimable endpoints cost a fraction of on-demand ones, but a whole zone of them can be
-//! reclaimed at once and may then not be available for a while. They are spread evenly over
-//! the zones, enough that the required number is still there when the largest zone has gone.
-//! On-demand endpoints are held only where reclaimable ones cannot be had and too few would be
-//! left.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,6 +15,7 @@
 
 use tokio::time::Instant;
 
+use super::zone_plan::{EndpointTargets, ZoneHolding, ZonePlan};
 use crate::{gateway::configuration::FleetSpec, ids::SharedName};
 
 /// Fraction of an endpoint's prefill rate at which it is full enough.
@@ -36,11 +32,6 @@
 /// Basis: chosen, not measured by itself: commit dcfb149 raised it from 0.03 when the required
 /// number became smaller than before.
 const DECAY_PER_S: f64 = 0.05;
-/// Fraction of the required number that must still be there when the next zone is reclaimed.
-///
-/// Basis: commit 67bc14d (journal 20261202T134209), lowered from 0.75: both sites 1.000, gates
-/// passed; not separated from the other changes of that commit.
-const CRITICAL_FRACTION: f64 = 0.65;
 /// Fraction of the endpoints held at the start that is assumed to be required.
 ///
 /// Basis: chosen, not measured by itself: commit 7044e2a (journal 20261202T131510).
@@ -71,20 +62,6 @@
 ///
 /// Basis: chosen, not measured (commit 827f7c7): bounds the calls to the cloud.
 const REFUSED_FOR: Duration = Duration::from_secs(2);
-/// Price of an endpoint in a zone whose price is not configured.
-///
-/// Basis: chosen, not measured: the price that configured ones are relative to.
-const DEFAULT_PRICE: f64 = 1.0;
-
-/// Price class of an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum PriceClass {
-    /// Cheap; the cloud may reclaim it.
-    Reclaimable,
-    /// Stays until it is released.
-    OnDemand,
-}
-
 /// Load of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceDemand {
@@ -109,28 +86,6 @@
     }
 }
 
-/// Endpoints of one service in one zone that are not leaving.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ZoneHolding {
-    /// Reclaimable ones.
-    pub reclaimable: u32,
-    /// On-demand ones.
-    pub on_demand: u32,
-}
-
-impl ZoneHolding {
-    /// Those of one price class.
-    pub fn of(self, class: PriceClass) -> u32 {
-        match class {
-            PriceClass::Reclaimable => self.reclaimable,
-            PriceClass::OnDemand => self.on_demand,
-        }
-    }
-}
-
-/// Numbers to hold, by zone and class.
-pub type EndpointTargets = BTreeMap<(SharedName, PriceClass), u32>;
-
 /// Largest number of endpoints that were listed, and since when.
 #[derive(Clone, Copy, Debug)]
 struct LargestList {
@@ -224,105 +179,7 @@
         spec: &FleetSpec,
         held: &BTreeMap<SharedName, ZoneHolding>,
     ) -> EndpointTargets {
-        match spec.reclaimable_price {
-            Some(price) if price < 1.0 => self.plan_mixed(spec, held),
-            _ => self.plan_on_demand(spec, held),
-        }
+        let scarce = self.refused_at.keys().collect();
+        ZonePlan { required: self.required, scarce, spec, held }.targets()
     }
-
-    /// Reclaimable endpoints evenly over the zones; on-demand ones for what is missing, in the
-    /// cheapest zones first. On-demand ones that are held stay until enough reclaimable ones
-    /// serve in their place.
-    fn plan_mixed(
-        &self,
-        spec: &FleetSpec,
-        held: &BTreeMap<SharedName, ZoneHolding>,
-    ) -> EndpointTargets {
-        let per_zone = self.reclaimable_per_zone(spec, held.len());
-        let mut missing = self.missing(held);
-        if self.refused_at.is_empty() && per_zone < spec.most {
-            // Reclaimable capacity is available and starts as fast: no more on-demand ones.
-            missing = missing.min(held.values().map(|holding| holding.on_demand).sum());
-        }
-        let half = missing.div_ceil(2);
-        let by_price = zones_by_price(spec, held);
-        let mut targets = EndpointTargets::new();
-        for (place, zone) in by_price.iter().enumerate() {
-            let zones_left = (by_price.len() - place) as u32;
-            // As many as possible in cheap zones, but at most half in one, unless few are left.
-            let share = missing.div_ceil(zones_left).max(half.min(missing));
-            let on_demand = self.on_demand_in_zone(spec, zone, held[*zone], share, per_zone);
-            missing = missing.saturating_sub(on_demand);
-            let room = spec.most.saturating_sub(on_demand).max(spec.least.max(1));
-            let zone = (*zone).clone();
-            targets.insert((zone.clone(), PriceClass::OnDemand), on_demand);
-            targets.insert((zone, PriceClass::Reclaimable), per_zone.min(room));
-        }
-        targets
-    }
-
-    /// Reclaimable endpoints for each zone, so that the others suffice when one is reclaimed.
-    fn reclaimable_per_zone(&self, spec: &FleetSpec, zones: usize) -> u32 {
-        let remaining_zones = (zones.max(1) - 1).max(1) as f64;
-        let wanted = (self.required / remaining_zones).ceil() as u32;
-        wanted.clamp(spec.least.max(1), spec.most)
-    }
-
-    /// On-demand endpoints for a zone that should hold `share` of the missing ones: within the
-    /// zone's limits, both classes together.
-    fn on_demand_in_zone(
-        &self,
-        spec: &FleetSpec,
-        zone: &SharedName,
-        holding: ZoneHolding,
-        share: u32,
-        reclaimable_per_zone: u32,
-    ) -> u32 {
-        let reserved = match self.refused_at.contains_key(zone) {
-            // None are available here; room reserved for them would stay empty.
-            true => holding.reclaimable,
-            false => holding.reclaimable.max(reclaimable_per_zone),
-        };
-        let room = spec.most.saturating_sub(reserved);
-        let floor = spec.least.max(1).saturating_sub(holding.reclaimable);
-        share.max(floor).min(room.max(floor))
-    }
-
-    /// On-demand endpoints that are required because reclaimable ones are missing: enough for
-    /// all of the load now, and for its critical part when the zone with most reclaimable ones
-    /// goes next.
-    fn missing(&self, held: &BTreeMap<SharedName, ZoneHolding>) -> u32 {
-        let reclaimable: u32 = held.values().map(|holding| holding.reclaimable).sum();
-        let largest = held.values().map(|holding| holding.reclaimable).max().unwrap_or(0);
-        let remaining = f64::from(reclaimable - largest);
-        let short_of_critical = self.required * CRITICAL_FRACTION - remaining;
-        let short_of_all = self.required - f64::from(reclaimable);
-        short_of_critical.max(short_of_all).max(0.0).ceil() as u32
-    }
-
-    fn plan_on_demand(
-        &self,
-        spec: &FleetSpec,
-        held: &BTreeMap<SharedName, ZoneHolding>,
-    ) -> EndpointTargets {
-        let zones = held.len().max(1) as f64;
-        let per_zone = (self.required / zones).ceil() as u32;
-        let per_zone = per_zone.clamp(spec.least, spec.most);
-        let class = PriceClass::OnDemand;
-        held.keys().map(|zone| ((zone.clone(), class), per_zone)).collect()
-    }
-}
-
-fn zones_by_price<'a>(
-    spec: &FleetSpec,
-    held: &'a BTreeMap<SharedName, ZoneHolding>,
-) -> Vec<&'a SharedName> {
-    let mut zones: Vec<&SharedName> = held.keys().collect();
-    zones.sort_by(|one, other| price_of(spec, one).total_cmp(&price_of(spec, other)));
-    zones
-}
-
-fn price_of(spec: &FleetSpec, zone: &str) -> f64 {
-    let named = spec.zone_prices.iter().find(|(name, _)| &**name == zone);
-    named.map_or(DEFAULT_PRICE, |(_, price)| *price)
 }
--- a/src/gateway/policy/leader_lease.rs
+++ b/src/gateway/policy/leader_lease.rs
@@ -33,6 +33,8 @@
 /// may still act.
 const RENEW_FRACTION: f64 = 0.35;
 /// Fence of the first holder.
+///
+/// Basis: 0 means in gossip messages that no lease is known.
 const FIRST_FENCE: u64 = 1;
 
 /// What this daemon knows of the lease.
--- /dev/null
+++ b/src/gateway/policy/zone_plan.rs
@@ -0,0 +1,157 @@
+//! Decides how many endpoints of which price class each zone should hold.
+//!
+//! Inputs are the required number (`fleet_size`), the zones where reclaimable capacity is
+//! scarce, the service's fleet settings, and what is held in each zone.
+//!
+//! Reclaimable endpoints cost a fraction of on-demand ones, but a whole zone of them can be
+//! reclaimed at once and may then not be available for a while. They are spread evenly over
+//! the zones, enough that the required number is still there when the largest zone has gone.
+//! On-demand endpoints are held only where reclaimable ones are not available and too few would be
+//! left.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::{gateway::configuration::FleetSpec, ids::SharedName};
+
+/// Fraction of the required number that must still be there when the next zone is reclaimed.
+///
+/// Basis: commit 67bc14d (journal 20261202T134209), lowered from 0.75: both sites 1.000, gates
+/// passed; not separated from the other changes of that commit.
+const CRITICAL_FRACTION: f64 = 0.65;
+/// Price of an endpoint in a zone whose price is not configured.
+///
+/// Basis: chosen, not measured: the price that configured ones are relative to.
+const DEFAULT_PRICE: f64 = 1.0;
+
+/// Price class of an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum PriceClass {
+    /// Cheap; the cloud may reclaim it.
+    Reclaimable,
+    /// Stays until it is released.
+    OnDemand,
+}
+
+/// Endpoints of one service in one zone that are not leaving.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ZoneHolding {
+    /// Reclaimable ones.
+    pub reclaimable: u32,
+    /// On-demand ones.
+    pub on_demand: u32,
+}
+
+impl ZoneHolding {
+    /// Those of one price class.
+    pub fn of(self, class: PriceClass) -> u32 {
+        match class {
+            PriceClass::Reclaimable => self.reclaimable,
+            PriceClass::OnDemand => self.on_demand,
+        }
+    }
+}
+
+/// Numbers to hold, by zone and class.
+pub type EndpointTargets = BTreeMap<(SharedName, PriceClass), u32>;
+
+/// What the numbers of one service are decided from.
+#[derive(Clone, Debug)]
+pub struct ZonePlan<'a> {
+    /// Required endpoints.
+    pub required: f64,
+    /// Zones where reclaimable capacity is scarce.
+    pub scarce: BTreeSet<&'a SharedName>,
+    /// Fleet settings.
+    pub spec: &'a FleetSpec,
+    /// What is held in each zone where the service may run.
+    pub held: &'a BTreeMap<SharedName, ZoneHolding>,
+}
+
+impl<'a> ZonePlan<'a> {
+    /// Numbers to hold.
+    pub fn targets(&self) -> EndpointTargets {
+        match self.spec.reclaimable_price {
+            Some(share) if share < 1.0 => self.mixed_targets(),
+            _ => self.on_demand_targets(),
+        }
+    }
+
+    /// Reclaimable endpoints evenly over the zones; on-demand ones for what is missing, in the
+    /// cheapest zones first. On-demand ones that are held stay until enough reclaimable ones
+    /// serve in their place.
+    fn mixed_targets(&self) -> EndpointTargets {
+        let per_zone = self.reclaimable_per_zone();
+        let mut missing = self.missing();
+        if self.scarce.is_empty() && per_zone < self.spec.most {
+            // Reclaimable capacity is available and starts as fast: no more on-demand ones.
+            missing = missing.min(self.held.values().map(|holding| holding.on_demand).sum());
+        }
+        let half = missing.div_ceil(2);
+        let by_price = self.zones_by_price();
+        let mut targets = EndpointTargets::new();
+        for (place, zone) in by_price.iter().enumerate() {
+            let zones_left = (by_price.len() - place) as u32;
+            // As many as possible in cheap zones, but at most half in one, unless few are left.
+            let share = missing.div_ceil(zones_left).max(half.min(missing));
+            let on_demand = self.on_demand_in_zone(zone, share, per_zone);
+            missing = missing.saturating_sub(on_demand);
+            let room = self.spec.most.saturating_sub(on_demand).max(self.spec.least.max(1));
+            let zone = (*zone).clone();
+            targets.insert((zone.clone(), PriceClass::OnDemand), on_demand);
+            targets.insert((zone, PriceClass::Reclaimable), per_zone.min(room));
+        }
+        targets
+    }
+
+    /// Reclaimable endpoints for each zone, so that the others suffice when one is reclaimed.
+    fn reclaimable_per_zone(&self) -> u32 {
+        let remaining_zones = (self.held.len().max(1) - 1).max(1) as f64;
+        let wanted = (self.required / remaining_zones).ceil() as u32;
+        wanted.clamp(self.spec.least.max(1), self.spec.most)
+    }
+
+    /// On-demand endpoints for a zone that should hold `share` of the missing ones: within the
+    /// zone's limits, both classes together.
+    fn on_demand_in_zone(&self, zone: &SharedName, share: u32, reclaimable_per_zone: u32) -> u32 {
+        let holding = self.held[zone];
+        let reserved = match self.scarce.contains(zone) {
+            // None are available here; room reserved for them would stay empty.
+            true => holding.reclaimable,
+            false => holding.reclaimable.max(reclaimable_per_zone),
+        };
+        let room = self.spec.most.saturating_sub(reserved);
+        let floor = self.spec.least.max(1).saturating_sub(holding.reclaimable);
+        share.max(floor).min(room.max(floor))
+    }
+
+    /// On-demand endpoints that are required because reclaimable ones are missing: enough for
+    /// all of the load now, and for its critical part when the zone with most reclaimable ones
+    /// goes next.
+    fn missing(&self) -> u32 {
+        let reclaimable: u32 = self.held.values().map(|holding| holding.reclaimable).sum();
+        let largest = self.held.values().map(|holding| holding.reclaimable).max().unwrap_or(0);
+        let remaining = f64::from(reclaimable - largest);
+        let short_of_critical = self.required * CRITICAL_FRACTION - remaining;
+        let short_of_all = self.required - f64::from(reclaimable);
+        short_of_critical.max(short_of_all).max(0.0).ceil() as u32
+    }
+
+    fn on_demand_targets(&self) -> EndpointTargets {
+        let zones = self.held.len().max(1) as f64;
+        let per_zone = (self.required / zones).ceil() as u32;
+        let per_zone = per_zone.clamp(self.spec.least, self.spec.most);
+        let class = PriceClass::OnDemand;
+        self.held.keys().map(|zone| ((zone.clone(), class), per_zone)).collect()
+    }
+
+    fn zones_by_price(&self) -> Vec<&'a SharedName> {
+        let mut zones: Vec<&SharedName> = self.held.keys().collect();
+        zones.sort_by(|one, other| self.price_of(one).total_cmp(&self.price_of(other)));
+        zones
+    }
+
+    fn price_of(&self, zone: &str) -> f64 {
+        let named = self.spec.zone_prices.iter().find(|(name, _)| &**name == zone);
+        named.map_or(DEFAULT_PRICE, |(_, price)| *price)
+    }
+}
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -7,7 +7,10 @@
 use willowarch::{
     gateway::{
         configuration::FleetSpec,
-        policy::fleet_size::{EndpointPlanner, PriceClass, ServiceDemand, ZoneHolding},
+        policy::{
+            fleet_size::{EndpointPlanner, ServiceDemand},
+            zone_plan::{PriceClass, ZoneHolding},
+        },
     },
     ids::SharedName,
 };
