--- /dev/null
+++ b/tests/gateway/leader_rules.rs
@@ -0,0 +1,166 @@
+//! Rules of the leader without I/O: when the lease may be acquired and held, which usage window
+//! is due, which orders of endpoints are sent.
+
+use std::time::Duration;
+
+use googletest::prelude::*;
+use tokio::time::Instant;
+use willowarch::{
+    gateway::{
+        configuration::FleetSpec,
+        policy::{
+            endpoint_orders::{EndpointOrders, ObservedService, OrderResult, ZoneOrder},
+            leader_lease::{
+                ACQUIRE_MARGIN, AcquireDecision, HoldDecision, LeaseOwner, LossReason,
+                ObservedLease, decide_acquire, decide_hold,
+            },
+            usage_reports::due_window,
+            zone_plan::{PriceClass, ZoneHolding},
+        },
+    },
+    ids::SharedName,
+};
+
+const LEASE: Duration = Duration::from_secs(3);
+
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
+
+fn observed(owner: LeaseOwner, released: bool, unchanged_ms: u64) -> Option<ObservedLease> {
+    Some(ObservedLease { fence: 7, owner, released, unchanged_for: millis(unchanged_ms) })
+}
+
+#[googletest::test]
+fn lease_is_acquired_only_when_its_holder_has_ended() {
+    let acquire = |fence| AcquireDecision::Acquire { fence };
+    let other = LeaseOwner::Other;
+    let whole = (LEASE + ACQUIRE_MARGIN).as_millis() as u64;
+    for (observed, decision) in [
+        (None, acquire(1)),
+        (observed(other, false, 0), AcquireDecision::Wait(LEASE + ACQUIRE_MARGIN)),
+        (observed(other, false, whole - 1), AcquireDecision::Wait(millis(1))),
+        (observed(other, false, whole), acquire(8)),
+        (observed(other, true, 0), acquire(8)),
+        (observed(LeaseOwner::EarlierProcess, false, 0), acquire(8)),
+        (observed(LeaseOwner::ThisProcess, false, 0), acquire(7)),
+    ] {
+        expect_that!(decide_acquire(observed, LEASE), eq(decision), "{observed:?}");
+    }
+}
+
+#[googletest::test]
+fn holder_renews_in_time_and_stops_when_it_could_not() {
+    for (age_ms, is_leaving, decision) in [
+        (0, false, HoldDecision::Keep),
+        (1_000, false, HoldDecision::Keep),
+        (1_100, false, HoldDecision::Renew),
+        (3_000, false, HoldDecision::Renew),
+        (3_001, false, HoldDecision::Lose(LossReason::NotRenewed)),
+        (0, true, HoldDecision::Release),
+        (3_001, true, HoldDecision::Lose(LossReason::NotRenewed)),
+    ] {
+        expect_that!(decide_hold(millis(age_ms), LEASE, is_leaving), eq(decision), "{age_ms} ms");
+    }
+}
+
+#[googletest::test]
+fn windows_are_due_in_order_some_time_after_their_end() {
+    let length = Duration::from_secs(2);
+    for (last, now_ms, window) in [
+        (None, 1_000, None),
+        (None, 3_499, None),
+        (None, 3_500, Some(0)),
+        (None, 21_500, Some(9)),
+        (Some(9), 21_500, None),
+        (Some(8), 21_500, Some(9)),
+        (Some(2), 21_500, Some(7)),
+    ] {
+        expect_that!(due_window(last, now_ms, length), eq(window), "{last:?} at {now_ms} ms");
+    }
+}
+
+fn spec() -> FleetSpec {
+    FleetSpec {
+        least: 1,
+        most: 10,
+        start_time: millis(4_000),
+        reclaimable_price: Some(0.2),
+        zone_prices: vec![("a".into(), 1.0), ("b".into(), 1.0)],
+    }
+}
+
+/// Two zones with this many reclaimable endpoints each, and requests that need two in each.
+fn service(held: u32) -> ObservedService {
+    let holding = ZoneHolding { reclaimable: held, on_demand: 0 };
+    ObservedService {
+        held: [("a".into(), holding), ("b".into(), holding)].into(),
+        serving: 2 * held as usize,
+        running: 12.0,
+        slots: 10.0,
+        ..ObservedService::default()
+    }
+}
+
+struct Orders {
+    orders: EndpointOrders,
+    start: Instant,
+    service: SharedName,
+}
+
+impl Orders {
+    /// Orders of a holder that knows that two endpoints are required.
+    fn new() -> Self {
+        let service: SharedName = "pool".into();
+        let orders = EndpointOrders::after([(service.clone(), 2.0)].into());
+        Self { orders, start: Instant::now(), service }
+    }
+
+    fn due(&mut self, at_ms: u64, held: u32) -> Vec<ZoneOrder> {
+        let now = self.start + millis(at_ms);
+        self.orders.due(&self.service, &spec(), &service(held), now)
+    }
+
+    fn finish(&mut self, at_ms: u64, orders: &[ZoneOrder], result: OrderResult) {
+        for order in orders {
+            self.orders.finish(order, result, self.start + millis(at_ms));
+        }
+    }
+}
+
+#[googletest::test]
+fn accepted_order_is_sent_again_only_if_the_list_does_not_follow() {
+    let mut orders = Orders::new();
+    expect_that!(orders.due(0, 1), is_empty());
+    let due = orders.due(1_500, 1);
+    expect_that!(due.len(), eq(2));
+    expect_that!(due.iter().all(|order| order.class == PriceClass::Reclaimable), eq(true));
+    expect_that!(due.iter().all(|order| order.count == 2), eq(true));
+    orders.finish(1_500, &due, OrderResult::Accepted);
+    expect_that!(orders.due(2_000, 1), is_empty());
+    expect_that!(orders.due(7_900, 1), is_empty());
+    expect_that!(orders.due(8_100, 1).len(), eq(2));
+}
+
+#[googletest::test]
+fn order_whose_outcome_is_unknown_is_sent_again_at_once() {
+    let mut orders = Orders::new();
+    orders.due(0, 1);
+    let due = orders.due(1_500, 1);
+    orders.finish(1_500, &due, OrderResult::Unknown);
+    expect_that!(orders.due(2_000, 1).len(), eq(2));
+}
+
+#[googletest::test]
+fn zone_without_capacity_is_asked_again_after_a_while_and_gets_on_demand_endpoints() {
+    let mut orders = Orders::new();
+    orders.due(0, 1);
+    let due = orders.due(1_500, 1);
+    expect_that!(due.iter().all(|order| order.class == PriceClass::Reclaimable), eq(true));
+    orders.finish(1_500, &due, OrderResult::CapacityRefused);
+    let instead = orders.due(2_000, 1);
+    expect_that!(instead, not(is_empty()));
+    expect_that!(instead.iter().all(|order| order.class == PriceClass::OnDemand), eq(true));
+    let again = orders.due(3_600, 1);
+    expect_that!(again.iter().any(|order| order.class == PriceClass::Reclaimable), eq(true));
+}
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -6,6 +6,7 @@
 mod exchange;
 mod fleet;
 mod groups;
+mod leader_rules;
 mod leader_tasks;
 mod loopback_proxy;
 mod operations;
--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -158,14 +158,14 @@
 
 /// Units admitted to an account with a quota of 10,000 a second and as much at once, by the
 /// time of their admission.
-struct CrowdedAccount {
+struct OverloadedAccount {
     fleet: TestFleet,
     begun: Instant,
     admitted: Vec<(u64, u64)>,
     asked: u64,
 }
 
-impl CrowdedAccount {
+impl OverloadedAccount {
     const QUOTA: AccountQuota =
         AccountQuota { rate: Some(10_000.0), burst: 10_000.0, in_tokens: true, plain_tokens: 1 };
     /// What a window of 8 s may hold: the quota and a tenth of it.
@@ -207,10 +207,10 @@
 #[googletest::test]
 fn quota_holds_over_many_daemons() {
     for count in [9, 87, 300] {
-        let mut account = CrowdedAccount::new(count);
+        let mut account = OverloadedAccount::new(count);
         account.press(3.0, Duration::from_secs(20));
         let most = busiest_window(&account.admitted);
-        expect_that!(most, le(CrowdedAccount::MOST_IN_WINDOW), "{count} daemons");
+        expect_that!(most, le(OverloadedAccount::MOST_IN_WINDOW), "{count} daemons");
         expect_that!(account.total(), ge(170_000), "{count} daemons");
     }
 }
@@ -219,16 +219,16 @@
 #[googletest::test]
 fn quota_holds_over_three_hundred_daemons_with_unlucky_draws() {
     const UNLUCKY_SEED: u64 = 8;
-    let mut account = CrowdedAccount::with_seed(300, UNLUCKY_SEED);
+    let mut account = OverloadedAccount::with_seed(300, UNLUCKY_SEED);
     account.press(3.0, Duration::from_secs(20));
     let most = busiest_window(&account.admitted);
-    expect_that!(most, le(CrowdedAccount::MOST_IN_WINDOW));
+    expect_that!(most, le(OverloadedAccount::MOST_IN_WINDOW));
 }
 
 #[googletest::test]
 fn quota_holds_when_one_account_sends_many_times_its_usual() {
     for count in [9, 87] {
-        let mut account = CrowdedAccount::new(count);
+        let mut account = OverloadedAccount::new(count);
         account.press(0.55, Duration::from_secs(10));
         expect_that!(account.total(), eq(account.asked), "{count} daemons, usual");
         account.press(3.3, Duration::from_secs(11));
@@ -236,7 +236,7 @@
         let before = (account.total(), account.asked);
         account.press(0.55, Duration::from_secs(5));
         let most = busiest_window(&account.admitted);
-        expect_that!(most, le(CrowdedAccount::MOST_IN_WINDOW), "{count} daemons");
+        expect_that!(most, le(OverloadedAccount::MOST_IN_WINDOW), "{count} daemons");
         let after = (account.total() - before.0, account.asked - before.1);
         expect_that!(after.0, eq(after.1), "{count} daemons, usual again");
     }
