--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -111,7 +111,7 @@
 
 async fn call(context: &GatewayContext, connections: &PeerConnections, address: SocketAddr) {
     let called_at = Instant::now();
-    match timeout(CALL_LIMIT, exchange(context, connections, address)).await {
+    match timeout(CALL_LIMIT, swap_messages(context, connections, address)).await {
         Ok(Ok(response)) => apply_message(context, response, Some(called_at)),
         // Counted, not logged: calls to a daemon that is gone fail twice a second.
         Ok(Err(_)) | Err(_) => {
@@ -122,7 +122,7 @@
     }
 }
 
-async fn exchange(
+async fn swap_messages(
     context: &GatewayContext,
     connections: &PeerConnections,
     address: SocketAddr,
--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -135,8 +135,8 @@
                 known.heard_at = known.heard_at.max(heard_at);
             }
             _ => {
-                let (sequence, met_at, leaving) = (0, None, false);
-                let record = PeerRecord { incarnation, sequence, heard_at, met_at, leaving };
+                let record =
+                    PeerRecord { incarnation, sequence: 0, heard_at, met_at: None, leaving: false };
                 self.insert(address, record);
             }
         }
--- a/tests/gateway/leader_rules.rs
+++ b/tests/gateway/leader_rules.rs
@@ -131,14 +131,14 @@
 #[googletest::test]
 fn accepted_order_is_sent_again_only_if_the_list_does_not_follow() {
     let mut orders = Orders::new();
-    expect_that!(orders.due(0, 1), is_empty());
+    expect_that!(orders.due(0, 1).len(), eq(0));
     let due = orders.due(1_500, 1);
     expect_that!(due.len(), eq(2));
     expect_that!(due.iter().all(|order| order.class == PriceClass::Reclaimable), eq(true));
     expect_that!(due.iter().all(|order| order.count == 2), eq(true));
     orders.finish(1_500, &due, OrderResult::Accepted);
-    expect_that!(orders.due(2_000, 1), is_empty());
-    expect_that!(orders.due(7_900, 1), is_empty());
+    expect_that!(orders.due(2_000, 1).len(), eq(0));
+    expect_that!(orders.due(7_900, 1).len(), eq(0));
     expect_that!(orders.due(8_100, 1).len(), eq(2));
 }
 
@@ -159,7 +159,7 @@
     expect_that!(due.iter().all(|order| order.class == PriceClass::Reclaimable), eq(true));
     orders.finish(1_500, &due, OrderResult::CapacityRefused);
     let instead = orders.due(2_000, 1);
-    expect_that!(instead, not(is_empty()));
+    expect_that!(instead.len(), gt(0));
     expect_that!(instead.iter().all(|order| order.class == PriceClass::OnDemand), eq(true));
     let again = orders.due(3_600, 1);
     expect_that!(again.iter().any(|order| order.class == PriceClass::Reclaimable), eq(true));
