--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -27,7 +27,7 @@
 };
 
 /// Name of the service.
-pub const NAME: &str = "exchange";
+pub const NAME: &str = "gossip-caller";
 /// Time between two rounds of calls.
 ///
 /// Basis: chosen, not measured (commit 827f7c7); reports of a fleet of one group are then at
@@ -99,7 +99,7 @@
     }
 }
 
-/// Peers whose turn it is, and those that hold a newer configuration or endpoint list.
+/// Peers to call in this interval, and those that hold a newer configuration or endpoint list.
 fn addresses_to_call(context: &GatewayContext, now: Instant) -> Vec<SocketAddr> {
     let mut addresses = context.peers.borrow_mut().next_calls(now, &mut rand::rng());
     let newer_holders = context.catch_up.borrow().newer_holders(held_revisions(context));
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -119,7 +119,7 @@
 fn apply_endpoints(context: &GatewayContext, list: EndpointList) {
     let revision = list.revision;
     if context.take_endpoints(list) {
-        spdlog::info!("replicas", kv: { revision, source = "peer" });
+        spdlog::info!("endpoints", kv: { revision, source = "peer" });
     }
 }
 
--- a/src/gateway/gossip/listener.rs
+++ b/src/gateway/gossip/listener.rs
@@ -19,7 +19,7 @@
 };
 
 /// Name of the service.
-pub const NAME: &str = "exchange-gate";
+pub const NAME: &str = "gossip-listener";
 
 /// Serves other daemons' calls until the daemon stops.
 pub async fn run(listener: TcpListener, context: Rc<GatewayContext>) {
--- a/src/gateway/gossip/messages.rs
+++ b/src/gateway/gossip/messages.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other in a gossip exchange, as typed messages. Ages are relative, so
+//! Messages of a gossip exchange. Ages are relative, so
 //! that no clock of another daemon is ever compared with the own one.
 
 use std::{
--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -32,7 +32,7 @@
 };
 
 /// Name of the service.
-pub const NAME: &str = "duties";
+pub const NAME: &str = "leader-tasks";
 /// Time between two looks at what is due.
 ///
 /// Basis: chosen, not measured: one gossip interval.
@@ -74,7 +74,7 @@
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     if let Err(error) = tasks.lease.read_at_start().await {
-        spdlog::warn!("duty", kv: { outcome = "failed", error: = error });
+        spdlog::warn!("leader task", kv: { outcome = "failed", error: = error });
     }
     loop {
         ticks.tick().await;
@@ -92,7 +92,7 @@
             false => self.try_acquire().await,
         };
         if let Err(error) = result {
-            spdlog::warn!("duty", kv: { outcome = "failed", error: = error });
+            spdlog::warn!("leader task", kv: { outcome = "failed", error: = error });
             let spread = rand::rng().random_range(RETRY_SPREAD);
             self.next_try = Instant::now() + RETRY_PAUSE.mul_f64(spread);
         }
@@ -202,11 +202,11 @@
             Ok(outcome) => format!("{outcome:?}"),
             Err(error) => error.to_string(),
         };
-        let need = self.orders.required(&order.service);
+        let required = self.orders.required(&order.service);
         let cloud_order = cloud_order(order);
         spdlog::info!("order", kv: {
             service: = order.service, zone: = order.zone, reclaimable = cloud_order.reclaimable,
-            count = order.count, need, outcome: = outcome
+            count = order.count, required, outcome: = outcome
         });
         let result = match response {
             Ok(CloudOutcome::NoneToBeHad) => OrderResult::CapacityRefused,
--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -116,7 +116,7 @@
         if !self.write(revision, record).await? {
             return Ok(AcquireResult::NotAcquired);
         }
-        spdlog::info!("lease", kv: { outcome = "taken", fence });
+        spdlog::info!("lease", kv: { outcome = "acquired", fence });
         self.context.metrics.count("lease_taken", 1);
         Ok(AcquireResult::Acquired { required_endpoints })
     }
--- a/src/gateway/leader/lease_keeper.rs
+++ b/src/gateway/leader/lease_keeper.rs
@@ -42,14 +42,14 @@
     pub(super) store: LeaseStore,
     pub(super) seen: Option<SeenLease>,
     /// Whether the outcome of the last write is not known.
-    is_write_unanswered: bool,
+    is_write_unconfirmed: bool,
 }
 
 impl LeaseKeeper {
     /// Keeper that has read nothing yet.
     pub fn new(context: Rc<GatewayContext>) -> Self {
         let store = LeaseStore::new(context.clone());
-        Self { context, store, seen: None, is_write_unanswered: false }
+        Self { context, store, seen: None, is_write_unconfirmed: false }
     }
 
     /// Reads what the last holder wrote of the fleet: quotas depend on it from the start.
@@ -79,7 +79,7 @@
         self.seen.as_ref().map(|seen| &seen.record)
     }
 
-    /// The holder as the cloud is told: this daemon, under its fence.
+    /// This daemon and its fence, as calls to the cloud carry them.
     pub fn holder(&self) -> LeaseHolder {
         let fence = self.context.lease.borrow().fence;
         LeaseHolder { name: self.context.settings.name.clone(), fence }
@@ -106,7 +106,7 @@
         let record: LeaseRecord = match serde_json::from_str(&object.value) {
             Ok(record) => record,
             Err(error) => {
-                spdlog::error!("lease not understood: {}", error);
+                spdlog::error!("lease record not decoded: {}", error);
                 return None;
             }
         };
@@ -127,7 +127,7 @@
     ///
     /// The store failed or did not respond in time.
     pub async fn check_hold(&mut self) -> Result<HoldDecision, StepError> {
-        if self.is_write_unanswered {
+        if self.is_write_unconfirmed {
             self.reconcile().await?;
         }
         let now = Instant::now();
@@ -176,12 +176,12 @@
         record: LeaseRecord,
     ) -> Result<bool, StepError> {
         let started_at = Instant::now();
-        self.is_write_unanswered = true;
+        self.is_write_unconfirmed = true;
         let revision = match self.store.write("write lease", revision, &record).await? {
             WriteResult::Written(revision) => revision,
             WriteResult::Conflict => return Ok(false),
         };
-        self.is_write_unanswered = false;
+        self.is_write_unconfirmed = false;
         let mut lease = self.context.lease.borrow_mut();
         lease.acquire_or_renew(record.fence, record.holder.clone(), started_at);
         self.seen = Some(SeenLease { revision, record, since: started_at });
@@ -195,7 +195,7 @@
         let Ok(object) = timeout(STORE_LIMIT, self.store.read()).await else {
             return Err(self.store.timed_out("read lease"));
         };
-        self.is_write_unanswered = false;
+        self.is_write_unconfirmed = false;
         let seen = self.observe(object?, asked_at);
         let is_own = seen.is_some_and(|seen| {
             seen.record.incarnation == self.context.incarnation.0
@@ -227,7 +227,7 @@
         }
         lease.own = false;
         self.seen = None;
-        self.is_write_unanswered = false;
+        self.is_write_unconfirmed = false;
     }
 
     pub(super) fn throttled_accounts(&self) -> Vec<SharedName> {
--- a/src/gateway/policy/leader_lease.rs
+++ b/src/gateway/policy/leader_lease.rs
@@ -3,8 +3,8 @@
 //!
 //! The lease is an object in the store, written only at the revision that was read; its fence
 //! rises with every new holder. Clocks of daemons are never compared: each measures by its own
-//! steady clock from the moment at which it called the store, which is before the store's
-//! answer. The holder acts for [`ACTIVE_FRACTION`] of the lease after a renewal and gives a call
+//! steady clock from the moment at which it called the store, which is before the store
+//! responded. The holder acts for [`ACTIVE_FRACTION`] of the lease after a renewal and gives a call
 //! to the cloud up after a second. Others acquire the lease only after they have seen the object
 //! unchanged for a whole lease and [`ACQUIRE_MARGIN`], so the two can't overlap.
 //!
@@ -93,7 +93,7 @@
 /// Whose the lease object in the store is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseOwner {
-    /// This process: it wrote the object, and the store's answer was lost.
+    /// This process: it wrote the object, and the store's response was lost.
     ThisProcess,
     /// An earlier process on this VM. It has ended: this one could not listen at its address
     /// otherwise.
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -29,7 +29,7 @@
 /// Name of the service that keeps the configuration.
 pub const CONFIGURATION_SERVICE: &str = "configuration-watch";
 /// Name of the service that keeps the endpoints.
-pub const ENDPOINT_SERVICE: &str = "replica-watch";
+pub const ENDPOINT_SERVICE: &str = "endpoint-watch";
 /// Time that a watch waits for a change.
 ///
 /// Basis: chosen, not measured (commit c834c29): a few calls within the time for which keys
@@ -217,7 +217,7 @@
         let list = EndpointList { revision: self.revision, endpoints };
         let count = list.endpoints.len();
         if context.take_endpoints(list) {
-            spdlog::info!("replicas", kv: { revision: = self.revision, count, source = "store" });
+            spdlog::info!("endpoints", kv: { revision: = self.revision, count, source = "store" });
         }
     }
 }
@@ -226,7 +226,7 @@
     match endpoints::decode(object.name.clone(), object.value.as_bytes()) {
         Ok(record) => Some((object.name.clone(), Rc::new(record))),
         Err(error) => {
-            spdlog::warn!("replica not understood: {}", error, kv: { endpoint: = object.name });
+            spdlog::warn!("endpoint entry not decoded: {}", error, kv: { endpoint: = object.name });
             None
         }
     }
