--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -3,7 +3,7 @@
 //!
 //! A daemon is known from its own messages or from summaries that others pass on; the newest
 //! incarnation and sequence win. It is forgotten when nobody has heard it for
-//! [`FORGET_AFTER`].
+//! `FORGET_AFTER`.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/src/gateway/policy/catch_up.rs
+++ b/src/gateway/policy/catch_up.rs
@@ -3,7 +3,7 @@
 //! Inputs are the revisions that peers report with each gossip message, the revisions that this
 //! daemon holds, and how long it waits for the store to deliver a change first. Both texts are
 //! long; each is requested from one daemon at a time, so that it crosses a link once and not
-//! from every neighbour. A daemon that does not deliver in [`FETCH_TIMEOUT`] is replaced by the
+//! from every neighbour. A daemon that does not deliver in `FETCH_TIMEOUT` is replaced by the
 //! next one that reports the same revision. Without reports nothing is fetched.
 
 use std::{net::SocketAddr, time::Duration};
--- a/src/gateway/policy/endpoint_orders.rs
+++ b/src/gateway/policy/endpoint_orders.rs
@@ -42,7 +42,7 @@
 const FEWER_ON_DEMAND_AFTER: Duration = Duration::from_millis(500);
 /// Weight of the newest look in the averaged load.
 ///
-/// Basis: chosen, not measured (commit 827f7c7): about 1.5 s until half of a change shows.
+/// Basis: chosen, not measured (commit 827f7c7): about 1 s until half of a change shows.
 const NEWEST_LOAD_WEIGHT: f64 = 0.3;
 
 /// What is known of a service's endpoints and load.
--- a/src/gateway/policy/leader_lease.rs
+++ b/src/gateway/policy/leader_lease.rs
@@ -4,7 +4,7 @@
 //! The lease is an object in the store, written only at the revision that was read; its fence
 //! rises with every new holder. Clocks of daemons are never compared: each measures by its own
 //! steady clock from the moment at which it called the store, which is before the store
-//! responded. The holder acts for [`ACTIVE_FRACTION`] of the lease after a renewal and gives a call
+//! responded. The holder acts for `ACTIVE_FRACTION` of the lease after a renewal and gives a call
 //! to the cloud up after a second. Others acquire the lease only after they have seen the object
 //! unchanged for a whole lease and [`ACQUIRE_MARGIN`], so the two can't overlap.
 //!
--- a/src/gateway/policy/wall_clock.rs
+++ b/src/gateway/policy/wall_clock.rs
@@ -3,7 +3,7 @@
 //!
 //! The time is carried forward by the steady clock and compared with the system's clock in
 //! every gossip interval. Small differences are followed at once; a larger one is followed only
-//! after it has lasted for [`JUMP_ACCEPTED_AFTER`], so that a clock that is set wrong for a few
+//! after it has lasted for `JUMP_ACCEPTED_AFTER`, so that a clock that is set wrong for a few
 //! seconds does not move requests into windows that were reported already.
 
 use std::time::Duration;
