--- a/src/gateway/policy/usage_reports.rs
+++ b/src/gateway/policy/usage_reports.rs
@@ -2,8 +2,8 @@
 //!
 //! Windows have equal lengths and are numbered from 1970 by the wall clock. A window is
 //! reported once, in order, some time after its end, so that all daemons' counts have arrived
-//! by gossip. If the leader was away for longer than a few windows, the oldest ones are left
-//! out: the counts of a killed daemon are gone by then, and the cloud would get wrong ones.
+//! by gossip. If there was no leader for longer than a few windows, the oldest ones are left
+//! out. Without an earlier report the newest complete window is the first.
 
 use std::time::Duration;
 
--- a/tests/gateway/exchange.rs
+++ b/tests/gateway/exchange.rs
@@ -47,7 +47,7 @@
     expect_that!(ask(cut_off.clients, "/plain/", "d", "key-2", &[], b"").status, eq(503));
 }
 
-fn sample_tally() -> DaemonCounters {
+fn sample_counters() -> DaemonCounters {
     let counts = [("kiosk".into(), 3)].into();
     DaemonCounters {
         accounts: [
@@ -61,7 +61,7 @@
     }
 }
 
-fn sample_news() -> GossipMessage {
+fn sample_message() -> GossipMessage {
     GossipMessage {
         state: DaemonState {
             incarnation: IncarnationId(9),
@@ -70,7 +70,7 @@
             address: "127.0.0.1:80".parse().expect("address"),
             sequence: 4,
             leaving: true,
-            counters: sample_tally(),
+            counters: sample_counters(),
         },
         known: vec![PeerSummary {
             address: "127.0.0.1:81".parse().expect("address"),
@@ -86,13 +86,13 @@
         endpoints: None,
         lease: Some(LeaseSummary { fence: 2, holder: "edge-2".into(), age_ms: 40, daemons: 9 }),
         wants: RequestedParts { group: true, configuration: false, endpoints: true },
-        group: Some(sample_tally()),
+        group: Some(sample_counters()),
     }
 }
 
 fn encoded() -> Vec<u8> {
     let mut message = capnp::message::Builder::new_default();
-    write_message(message.init_root(), &sample_news());
+    write_message(message.init_root(), &sample_message());
     capnp::serialize::write_message_to_words(&message)
 }
 
@@ -104,9 +104,9 @@
 }
 
 #[googletest::test]
-fn news_come_back_as_they_were_written() {
+fn message_is_read_as_it_was_written() {
     let news = decode(&encoded()).expect("decodes");
-    let sample = sample_news();
+    let sample = sample_message();
     expect_that!(news.state, eq(&sample.state));
     expect_that!(news.known, eq(&sample.known));
     expect_that!(news.configuration, eq(&sample.configuration));
@@ -117,7 +117,7 @@
 
 proptest! {
     #[test]
-    fn damaged_news_do_no_harm(place in 0_usize..600, byte: u8, length in 0_usize..700) {
+    fn damaged_message_does_no_harm(place in 0_usize..600, byte: u8, length in 0_usize..700) {
         let mut bytes = encoded();
         let place = place % bytes.len();
         bytes[place] = byte;
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -71,7 +71,7 @@
 }
 
 #[googletest::test]
-fn others_stay_until_reclaimable_ones_serve_and_come_back_when_these_are_missing() {
+fn on_demand_ones_stay_until_reclaimable_ones_serve_and_return_when_these_are_missing() {
     let planner = planner(72.0);
     let before = total(&planner, &held([0; 4], [5; 4]), PriceClass::OnDemand);
     expect_that!(f64::from(before), ge(planner.required()));
@@ -82,7 +82,7 @@
 }
 
 #[googletest::test]
-fn need_sinks_slowly_and_not_without_demand() {
+fn required_number_decays_slowly_and_not_without_demand() {
     let start = Instant::now();
     let mut planner = EndpointPlanner::new(None, start);
     planner.estimate_from_held(&held([0; 4], [5; 4]), start);
@@ -113,7 +113,7 @@
 }
 
 #[googletest::test]
-fn full_endpoints_do_not_make_the_need_run_away() {
+fn full_endpoints_do_not_raise_the_required_number_without_bound() {
     let start = Instant::now();
     let mut planner = EndpointPlanner::new(None, start);
     // Few endpoints, slow because they are full: more requests run than they can serve.
@@ -145,7 +145,7 @@
 }
 
 #[googletest::test]
-fn successor_goes_on_from_the_need_that_was_found() {
+fn successor_goes_on_from_the_required_number() {
     let start = Instant::now();
     let mut planner = EndpointPlanner::new(Some(24.0), start);
     // A zone has just gone: what is left says little of what is needed.
--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -119,7 +119,7 @@
 }
 
 #[googletest::test]
-fn daemon_that_hears_nobody_keeps_to_its_even_part() {
+fn daemon_that_hears_nobody_keeps_to_its_even_share() {
     let start = Instant::now();
     let account: SharedName = "reader".into();
     let alone = sharing(10, 1);
@@ -265,7 +265,7 @@
 }
 
 #[googletest::test]
-fn daemons_that_are_long_gone_are_no_longer_guessed_at() {
+fn daemons_that_are_long_gone_are_no_longer_extrapolated() {
     let start = Instant::now();
     let account: SharedName = "reader".into();
     let shared = sharing(2, 2);
