--- /dev/null
+++ b/src/gateway/leader/lease_keeper.rs
@@ -0,0 +1,240 @@
+//! Holds the lease: renews, releases and loses it as `policy::leader_lease` decides, and applies
+//! what the store shows of it.
+//!
+//! Owns the object as last read. A write whose outcome is not known (time limit, lost response)
+//! is followed by a read before anything else is done with the lease.
+
+use std::{collections::BTreeMap, rc::Rc, time::Duration};
+
+use tokio::time::{Instant, timeout};
+
+use super::{
+    lease_record::{LeaseRecord, UsageReport},
+    lease_store::{LeaseStore, STORE_LIMIT},
+};
+use crate::{
+    errors::StepError,
+    gateway::{
+        context::GatewayContext,
+        policy::leader_lease::{HoldDecision, LossReason, decide_hold},
+    },
+    ids::SharedName,
+    platform::{
+        cloud::LeaseHolder,
+        store::{StoredObject, WriteResult},
+    },
+};
+
+/// The lease object as last read, and since when it has not changed.
+#[derive(Clone, Debug)]
+pub struct SeenLease {
+    /// Revision that was read or written.
+    pub revision: u64,
+    /// What it holds.
+    pub record: LeaseRecord,
+    /// When the store was asked that first showed this revision.
+    pub since: Instant,
+}
+
+/// The lease as one daemon keeps it.
+pub struct LeaseKeeper {
+    pub(super) context: Rc<GatewayContext>,
+    pub(super) store: LeaseStore,
+    pub(super) seen: Option<SeenLease>,
+    /// Whether the outcome of the last write is not known.
+    is_write_unconfirmed: bool,
+}
+
+impl LeaseKeeper {
+    /// Keeper that has read nothing yet.
+    pub fn new(context: Rc<GatewayContext>) -> Self {
+        let store = LeaseStore::new(context.clone());
+        Self { context, store, seen: None, is_write_unconfirmed: false }
+    }
+
+    /// Reads what the last holder wrote of the fleet: quotas depend on it from the start.
+    ///
+    /// # Errors
+    ///
+    /// The store failed or did not respond within the time limit.
+    pub async fn read_at_start(&mut self) -> Result<(), StepError> {
+        let asked_at = Instant::now();
+        let object = self.store.read_within_limit().await?;
+        self.observe(object, asked_at);
+        Ok(())
+    }
+
+    /// Whether this daemon is the holder, as far as it knows.
+    pub fn is_holder(&self) -> bool {
+        self.context.lease.borrow().own
+    }
+
+    /// Whether this daemon may act as the leader now.
+    pub fn may_act(&self) -> bool {
+        self.context.lease.borrow().may_act(self.lease(), Instant::now())
+    }
+
+    /// The record that the lease holds, if this daemon has read or written it.
+    pub fn record(&self) -> Option<&LeaseRecord> {
+        self.seen.as_ref().map(|seen| &seen.record)
+    }
+
+    /// This daemon and its fence, as calls to the cloud carry them.
+    pub fn holder(&self) -> LeaseHolder {
+        let fence = self.context.lease.borrow().fence;
+        LeaseHolder { name: self.context.settings.name.clone(), fence }
+    }
+
+    pub(super) fn lease(&self) -> Duration {
+        self.context.settings.bounds.lease
+    }
+
+    /// Applies the lease object that was requested at `asked_at`; none if there is no readable
+    /// one.
+    pub(super) fn observe(
+        &mut self,
+        object: Option<StoredObject>,
+        asked_at: Instant,
+    ) -> Option<SeenLease> {
+        let Some(object) = object else {
+            // There never was a holder: all daemons are just starting.
+            let known = self.known_daemons();
+            self.context.fleet_size.set(self.context.fleet_size.get().or(Some(known)));
+            self.context.quotas.borrow_mut().set_throttled_before([]);
+            return None;
+        };
+        let record: LeaseRecord = match serde_json::from_str(&object.value) {
+            Ok(record) => record,
+            Err(error) => {
+                spdlog::error!("lease record not decoded: {}", error);
+                return None;
+            }
+        };
+        self.context.fleet_size.set(Some(record.daemons.max(1)));
+        self.context.quotas.borrow_mut().set_throttled_before(record.throttled.iter().cloned());
+        let since = match &self.seen {
+            Some(seen) if seen.revision == object.revision => seen.since,
+            _ => asked_at,
+        };
+        let seen = SeenLease { revision: object.revision, record, since };
+        self.seen = Some(seen.clone());
+        Some(seen)
+    }
+
+    /// What to do with the lease that this daemon holds; a lost or released one is dealt with.
+    ///
+    /// # Errors
+    ///
+    /// The store failed or did not respond in time.
+    pub async fn check_hold(&mut self) -> Result<HoldDecision, StepError> {
+        if self.is_write_unconfirmed {
+            self.reconcile().await?;
+        }
+        let now = Instant::now();
+        let Some(seen) = self.seen.clone() else {
+            self.lose(LossReason::UnknownRecord);
+            return Ok(HoldDecision::Lose(LossReason::UnknownRecord));
+        };
+        let renewed_at = self.context.lease.borrow().renewed_at.unwrap_or(now);
+        let age = now.saturating_duration_since(renewed_at);
+        let decision = decide_hold(age, self.lease(), self.context.is_leaving());
+        match decision {
+            HoldDecision::Lose(reason) => self.lose(reason),
+            HoldDecision::Release => self.release(seen).await?,
+            HoldDecision::Renew | HoldDecision::Keep => {}
+        }
+        Ok(decision)
+    }
+
+    /// Renews the lease and writes `report` and the required endpoints into it. Returns whether
+    /// this daemon still holds it.
+    ///
+    /// # Errors
+    ///
+    /// The store failed or did not respond in time; the outcome is not known.
+    pub async fn renew(
+        &mut self,
+        report: Option<UsageReport>,
+        required_endpoints: BTreeMap<SharedName, f64>,
+    ) -> Result<bool, StepError> {
+        let Some(seen) = self.seen.clone() else { return Ok(false) };
+        let record = LeaseRecord {
+            renewals: seen.record.renewals + 1,
+            report,
+            daemons: self.known_daemons(),
+            throttled: self.throttled_accounts(),
+            required_endpoints,
+            ..seen.record
+        };
+        self.write(seen.revision, record).await
+    }
+
+    /// Writes the lease; on success this daemon holds it from when the call was made.
+    pub(super) async fn write(
+        &mut self,
+        revision: u64,
+        record: LeaseRecord,
+    ) -> Result<bool, StepError> {
+        let started_at = Instant::now();
+        self.is_write_unconfirmed = true;
+        let revision = match self.store.write("write lease", revision, &record).await? {
+            WriteResult::Written(revision) => revision,
+            WriteResult::Conflict => return Ok(false),
+        };
+        self.is_write_unconfirmed = false;
+        let mut lease = self.context.lease.borrow_mut();
+        lease.acquire_or_renew(record.fence, record.holder.clone(), started_at);
+        self.seen = Some(SeenLease { revision, record, since: started_at });
+        Ok(true)
+    }
+
+    /// After a write whose outcome is not known: reads what the lease is now. If the write was
+    /// done, this daemon goes on from it; it acts again only after a write that is confirmed.
+    async fn reconcile(&mut self) -> Result<(), StepError> {
+        let asked_at = Instant::now();
+        let Ok(object) = timeout(STORE_LIMIT, self.store.read()).await else {
+            return Err(self.store.timed_out("read lease"));
+        };
+        self.is_write_unconfirmed = false;
+        let seen = self.observe(object?, asked_at);
+        let is_own = seen.is_some_and(|seen| {
+            seen.record.incarnation == self.context.incarnation.0
+                && seen.record.fence == self.context.lease.borrow().fence
+        });
+        if !is_own {
+            self.lose(LossReason::OtherHolder);
+        }
+        Ok(())
+    }
+
+    /// Releases the lease on the way out. From here on this daemon acts no more, whatever
+    /// becomes of the write.
+    async fn release(&mut self, seen: SeenLease) -> Result<(), StepError> {
+        self.lose(LossReason::Leaving);
+        let record = LeaseRecord { released: true, ..seen.record };
+        match self.store.write("release lease", seen.revision, &record).await? {
+            // After a conflict another daemon holds it already.
+            WriteResult::Written(_) | WriteResult::Conflict => Ok(()),
+        }
+    }
+
+    /// Stops being the holder.
+    pub fn lose(&mut self, reason: LossReason) {
+        let mut lease = self.context.lease.borrow_mut();
+        if lease.own {
+            spdlog::warn!("lease", kv: { outcome = "lost", reason: = reason, fence = lease.fence });
+            self.context.metrics.count("lease_lost", 1);
+        }
+        lease.own = false;
+        self.seen = None;
+        self.is_write_unconfirmed = false;
+    }
+
+    pub(super) fn throttled_accounts(&self) -> Vec<SharedName> {
+        self.context.quotas.borrow().throttled(Instant::now())
+    }
+
+    pub(super) fn known_daemons(&self) -> usize {
+        self.context.peers.borrow().sharing(Instant::now()).known
+    }
+}
--- a/tests/gateway/leader_state.rs
+++ b/tests/gateway/leader_state.rs
@@ -30,9 +30,9 @@
     expect_that!(view.may_act(lease, start + millis(2_000)), eq(true));
     expect_that!(view.may_act(lease, start + millis(2_200)), eq(false));
     expect_that!(view.is_silent(lease, start + millis(2_900)), eq(false));
-    view.hear(2, &"edge-2".into(), start + millis(500));
+    view.observe(2, &"edge-2".into(), start + millis(500));
     expect_that!(view.own, eq(false));
-    view.hear(1, &"edge-1".into(), start + millis(900));
+    view.observe(1, &"edge-1".into(), start + millis(900));
     expect_that!(view.fence, eq(2));
 }
 
@@ -59,9 +59,9 @@
     usage.count(&reader, 7);
     usage.count(&reader, 7);
     usage.count(&kiosk, 8);
-    usage.hear(daemon(1), 7, [(reader.clone(), 3)].into());
-    usage.hear(daemon(1), 7, [(reader.clone(), 5)].into());
-    usage.hear(daemon(2), 7, [(kiosk.clone(), 1)].into());
+    usage.receive(daemon(1), 7, [(reader.clone(), 3)].into());
+    usage.receive(daemon(1), 7, [(reader.clone(), 5)].into());
+    usage.receive(daemon(2), 7, [(kiosk.clone(), 1)].into());
     expect_that!(usage.total(7), eq(&BTreeMap::from([(reader, 7), (kiosk.clone(), 1)])));
     expect_that!(usage.total(8), eq(&BTreeMap::from([(kiosk, 1)])));
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -3,7 +3,6 @@
 
 mod catch_up;
 mod decoders;
-mod duties;
 mod endpoint_choice;
 mod endpoint_standin;
 mod event_cutter;
@@ -11,7 +10,9 @@
 mod fleet;
 mod gateway_site;
 mod groups;
+mod leader_rules;
 mod leader_state;
+mod leader_tasks;
 mod loopback_proxy;
 mod operations;
 mod platform_standin;
--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -21,7 +21,7 @@
 }
 
 fn sharing(known: usize, heard: usize) -> QuotaSharing {
-    QuotaSharing { known, heard, lag: millis(300) }
+    QuotaSharing { known, heard, report_age: millis(300) }
 }
 
 fn millis(count: u64) -> Duration {
@@ -64,7 +64,7 @@
             for (to, ledger) in ledgers.iter_mut().enumerate() {
                 for (from, counters) in told.iter().enumerate().filter(|(from, _)| *from != to) {
                     let source = daemon((life * 100 + from) as u64);
-                    ledger.hear(source, [(&account, counters)], recent, now);
+                    ledger.receive(source, [(&account, counters)], recent, now);
                 }
             }
         }
@@ -112,14 +112,14 @@
         expect_that!(verdict, eq(QuotaVerdict::Admitted), "at {at_ms} ms");
         others += 15;
         for other in 1..4 {
-            let counters = AccountCounters { spent: others, asked: others };
-            ledger.hear(daemon(other), [(&account, &counters)], false, now);
+            let counters = AccountCounters { spent: others, requested: others };
+            ledger.receive(daemon(other), [(&account, &counters)], false, now);
         }
     }
 }
 
 #[googletest::test]
-fn daemon_that_hears_nobody_keeps_to_its_even_part() {
+fn daemon_that_hears_nobody_keeps_to_its_even_share() {
     let start = Instant::now();
     let account: SharedName = "reader".into();
     let alone = sharing(10, 1);
@@ -158,14 +158,14 @@
 
 /// Units admitted to an account with a quota of 10,000 a second and as much at once, by the
 /// time of their admission.
-struct CrowdedAccount {
+struct OverloadedAccount {
     fleet: TestFleet,
     begun: Instant,
     admitted: Vec<(u64, u64)>,
     asked: u64,
 }
 
-impl CrowdedAccount {
+impl OverloadedAccount {
     const QUOTA: AccountQuota =
         AccountQuota { rate: Some(10_000.0), burst: 10_000.0, in_tokens: true, default_tokens: 1 };
     /// What a window of 8 s may hold: the quota and a tenth of it.
@@ -207,10 +207,10 @@
 #[googletest::test]
 fn quota_holds_over_many_daemons() {
     for count in [9, 87, 300] {
-        let mut account = CrowdedAccount::new(count);
+        let mut account = OverloadedAccount::new(count);
         account.press(3.0, Duration::from_secs(20));
         let most = busiest_window(&account.admitted);
-        expect_that!(most, le(CrowdedAccount::MOST_IN_WINDOW), "{count} daemons");
+        expect_that!(most, le(OverloadedAccount::MOST_IN_WINDOW), "{count} daemons");
         expect_that!(account.total(), ge(170_000), "{count} daemons");
     }
 }
@@ -219,16 +219,16 @@
 #[googletest::test]
 fn quota_holds_over_three_hundred_daemons_with_unlucky_draws() {
     const UNLUCKY_SEED: u64 = 8;
-    let mut account = CrowdedAccount::with_seed(300, UNLUCKY_SEED);
+    let mut account = OverloadedAccount::with_seed(300, UNLUCKY_SEED);
     account.press(3.0, Duration::from_secs(20));
     let most = busiest_window(&account.admitted);
-    expect_that!(most, le(CrowdedAccount::MOST_IN_WINDOW));
+    expect_that!(most, le(OverloadedAccount::MOST_IN_WINDOW));
 }
 
 #[googletest::test]
 fn quota_holds_when_one_account_sends_many_times_its_usual() {
     for count in [9, 87] {
-        let mut account = CrowdedAccount::new(count);
+        let mut account = OverloadedAccount::new(count);
         account.press(0.55, Duration::from_secs(10));
         expect_that!(account.total(), eq(account.asked), "{count} daemons, usual");
         account.press(3.3, Duration::from_secs(11));
@@ -236,7 +236,7 @@
         let before = (account.total(), account.asked);
         account.press(0.55, Duration::from_secs(5));
         let most = busiest_window(&account.admitted);
-        expect_that!(most, le(CrowdedAccount::MOST_IN_WINDOW), "{count} daemons");
+        expect_that!(most, le(OverloadedAccount::MOST_IN_WINDOW), "{count} daemons");
         let after = (account.total() - before.0, account.asked - before.1);
         expect_that!(after.0, eq(after.1), "{count} daemons, usual again");
     }
@@ -265,7 +265,7 @@
 }
 
 #[googletest::test]
-fn daemons_that_are_long_gone_are_no_longer_guessed_at() {
+fn daemons_that_are_long_gone_are_no_longer_extrapolated() {
     let start = Instant::now();
     let account: SharedName = "reader".into();
     let shared = sharing(2, 2);
@@ -274,12 +274,12 @@
     for second in 1..5 {
         // Far beyond the quota, and then never heard again.
         let units = second * 2_000;
-        let counters = AccountCounters { spent: units, asked: units };
-        ledger.hear(daemon(1), [(&account, &counters)], true, start + millis(second * 1_000));
+        let counters = AccountCounters { spent: units, requested: units };
+        ledger.receive(daemon(1), [(&account, &counters)], true, start + millis(second * 1_000));
     }
     let later = start + millis(120_000);
     let nothing = AccountCounters::default();
-    ledger.hear(daemon(2), [(&account, &nothing)], true, later);
+    ledger.receive(daemon(2), [(&account, &nothing)], true, later);
     let verdict = ledger.admit(&account, &QUOTA, 100, shared, later, &mut rng);
     expect_that!(verdict, eq(QuotaVerdict::Admitted));
 }
--- a/tests/gateway/request_rules.rs
+++ b/tests/gateway/request_rules.rs
@@ -230,7 +230,7 @@
 
 #[googletest::test]
 fn starting_daemon_assumes_the_recorded_number_of_others() {
-    let met = QuotaSharing { known: 3, heard: 2, lag: millis(100) };
+    let met = QuotaSharing { known: 3, heard: 2, report_age: millis(100) };
     let known = |recorded, age| daemon_count::sharing_at_start(met, recorded, millis(age)).known;
     expect_that!(known(Some(86), 2_499), eq(86));
     expect_that!(known(Some(2), 2_499), eq(3));
