--- a/src/native/cluster/core.rs
+++ b/src/native/cluster/core.rs
@@ -1,6 +1,6 @@
 //! Membership and spread of items, without I/O: events in, actions out.
 //!
-//! [`failure_detector`] decides who is a member, [`dissemination`] who is sent which items.
+//! `failure_detector` decides who is a member, `dissemination` who is sent which items.
 //! The cost for a daemon does not depend on the number of daemons. The gateway's peers
 //! exchange by `gateway::gossip`; the two share no code.
 
--- a/src/native/daemon.rs
+++ b/src/native/daemon.rs
@@ -1,5 +1,5 @@
 //! Assembles one daemon of the native path: registers its services, starts them, and runs them
-//! until it stops ([`shutdown`]). The gateway's daemon is `gateway::daemon`; `willowarchd` runs
+//! until it stops (`shutdown`). The gateway's daemon is `gateway::daemon`; `willowarchd` runs
 //! one or the other.
 
 mod shutdown;
--- a/src/native/request/call.rs
+++ b/src/native/request/call.rs
@@ -65,6 +65,14 @@
         Sha256::digest(&text).into()
     }
 
+    /// Content as a completion, if it is one.
+    pub fn completion(&self) -> Option<&CompletionCall> {
+        match &self.content {
+            CallContent::Completion(completion) => Some(completion),
+            CallContent::Plain(_) => None,
+        }
+    }
+
     /// Tokens the call is expected to cost; a plain call counts as one.
     pub fn expected_tokens(&self) -> f64 {
         match &self.content {
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -1,6 +1,6 @@
 //! Service that holds and releases VMs, at one daemon at a time.
 //!
-//! A lease in the object API ([`lease`]) says which daemon plans; `decide::fleet` decides which
+//! A lease in the object API (`lease`) says which daemon plans; `decide::fleet` decides which
 //! VMs. Two planners at once (a holder that was paused past its lease) do no harm: the plan is
 //! written conditionally before the cloud is asked, both choose the same names for new VMs and
 //! the cloud starts each name once, and a release follows a notice that any planner carries
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -22,7 +22,7 @@
         endpoint::{EngineOrder, EngineToken, STREAM_END, sse::EventDecoder},
         headers,
         request::{
-            call::{CallContent, ClientCall, CompletionCall, PlainCall},
+            call::{ClientCall, CompletionCall, PlainCall},
             copy::ResponseToken,
             outcome::{FinalResponse, NotStartedEvidence, PlainResponse},
         },
@@ -291,11 +291,3 @@
         }
     }
 }
-
-/// Content of a call as a completion, if it is one.
-pub fn as_completion(call: &ClientCall) -> Option<&CompletionCall> {
-    match &call.content {
-        CallContent::Completion(completion) => Some(completion),
-        CallContent::Plain(_) => None,
-    }
-}
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use super::attempt::{AttemptEnd, AttemptTask, as_completion};
+use super::attempt::{AttemptEnd, AttemptTask};
 use crate::{
     ids::{RequestName, SharedName},
     native::{
@@ -175,7 +175,7 @@
     }
 
     async fn pick(&self) -> PickReply {
-        let completion = as_completion(&self.call);
+        let completion = self.call.completion();
         let text = completion.map(|call| format!("{} {}", call.prompt, self.tokens.concat()));
         let order = PickOrder {
             service: self.call.service.clone(),
--- a/src/native/serve/run/driver/leaving.rs
+++ b/src/native/serve/run/driver/leaving.rs
@@ -10,10 +10,7 @@
     native::{
         decide::reclaim::ReclaimWay,
         endpoint::ImportOrder,
-        serve::{
-            run::attempt::as_completion,
-            services::router::messages::{EndpointSlot, PickReply},
-        },
+        serve::services::router::messages::{EndpointSlot, PickReply},
     },
 };
 
@@ -33,7 +30,7 @@
             return;
         }
         let PickReply::Slot(next) = self.pick().await else { return };
-        let Some(completion) = as_completion(&self.call) else { return };
+        let Some(completion) = self.call.completion() else { return };
         let text = format!("{} {}", completion.prompt, self.tokens.concat());
         let order = ImportOrder { from: from.to_string(), text };
         // This type always serializes.
--- a/src/native/serve/services/router.rs
+++ b/src/native/serve/services/router.rs
@@ -1,8 +1,8 @@
 //! Service that owns the routes.
 //!
-//! It gives each attempt its endpoint ([`picks`]), keeps the requests of all accounts in a fair
+//! It gives each attempt its endpoint (`picks`), keeps the requests of all accounts in a fair
 //! order while endpoints are full, and moves streams off endpoints that are leaving
-//! ([`reclaims`]). The rules are in `decide`: routing, fair_queue, reclaim, subset.
+//! (`reclaims`). The rules are in `decide`: routing, fair_queue, reclaim, subset.
 
 pub mod messages;
 mod picks;
