--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -19,13 +19,15 @@
     gossip::{caller, listener, peer_table::PeerTable},
     leader::leader_tasks,
     policy::{
-        catch_up::CatchUpState,
-        endpoint_table::EndpointTable,
-        leader_lease::LeaderLease,
-        quota::{QuotaLedger, QuotaTolerance},
-        retry_budget::RetryBudgets,
-        usage_counts::UsageCounts,
-        wall_clock::SteadyWallClock,
+        daemon::catch_up::CatchUpState,
+        endpoint::endpoint_table::EndpointTable,
+        leader::{
+            leader_lease::LeaderLease, usage_counts::UsageCounts, wall_clock::SteadyWallClock,
+        },
+        request::{
+            quota::{QuotaLedger, QuotaTolerance},
+            retry_budget::RetryBudgets,
+        },
     },
     request::{client_listener, connection_pool::ConnectionPool},
     settings::GatewaySettings,
--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -21,7 +21,7 @@
 };
 use crate::{
     exchange_capnp::exchange,
-    gateway::{context::GatewayContext, policy::catch_up::wait_for_store},
+    gateway::{context::GatewayContext, policy::daemon::catch_up::wait_for_store},
     rpc_transport::{TrafficCounter, rpc_system},
     wall_clock_ms,
 };
--- a/src/gateway/gossip/counters_codec.rs
+++ b/src/gateway/gossip/counters_codec.rs
@@ -7,12 +7,15 @@
 
 use capnp::{Error, primitive_list, struct_list, text_list};
 
-use super::codec::{check_length, read_text};
+use super::{
+    codec::{check_length, read_text},
+    messages::DaemonCounters,
+};
 use crate::{
     exchange_capnp::{replica_load, service_tokens, window_use},
-    gateway::{
-        gossip::messages::DaemonCounters,
-        policy::{endpoint_load::EndpointLoad, quota::AccountCounters, usage_counts::WindowCounts},
+    gateway::policy::{
+        endpoint::endpoint_load::EndpointLoad, leader::usage_counts::WindowCounts,
+        request::quota::AccountCounters,
     },
     ids::SharedName,
 };
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -19,7 +19,7 @@
 use crate::gateway::{
     context::GatewayContext,
     endpoint::EndpointList,
-    policy::{catch_up::HeldRevisions, endpoint_load::ReportedLoads},
+    policy::{daemon::catch_up::HeldRevisions, endpoint::endpoint_load::ReportedLoads},
 };
 
 /// A daemon that has reported fewer states than this has started a few seconds ago, so that all
--- a/src/gateway/gossip/messages.rs
+++ b/src/gateway/gossip/messages.rs
@@ -10,7 +10,10 @@
 use crate::{
     gateway::{
         endpoint::EndpointList,
-        policy::{endpoint_load::EndpointLoad, quota::AccountCounters, usage_counts::WindowCounts},
+        policy::{
+            endpoint::endpoint_load::EndpointLoad, leader::usage_counts::WindowCounts,
+            request::quota::AccountCounters,
+        },
     },
     ids::{IncarnationId, SharedName},
 };
--- a/src/gateway/gossip/outgoing.rs
+++ b/src/gateway/gossip/outgoing.rs
@@ -9,7 +9,10 @@
 };
 use crate::gateway::{
     context::GatewayContext,
-    policy::{catch_up::HeldRevisions, endpoint_load::endpoint_number, usage_counts::WindowCounts},
+    policy::{
+        daemon::catch_up::HeldRevisions, endpoint::endpoint_load::endpoint_number,
+        leader::usage_counts::WindowCounts,
+    },
 };
 
 /// Other daemons that one message has summaries of.
--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -20,7 +20,7 @@
     messages::{DaemonState, PeerSummary},
 };
 use crate::{
-    gateway::policy::quota::QuotaSharing,
+    gateway::policy::request::quota::QuotaSharing,
     ids::{IncarnationId, hash_parts},
 };
 
--- a/src/gateway/leader/endpoint_orders.rs
+++ b/src/gateway/leader/endpoint_orders.rs
@@ -10,7 +10,7 @@
         configuration::Service,
         context::GatewayContext,
         endpoint::EndpointState,
-        policy::{
+        policy::leader::{
             endpoint_orders::{ObservedService, ZoneOrder},
             zone_plan::{PriceClass, ZoneHolding},
         },
--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -21,7 +21,7 @@
     errors::StepError,
     gateway::{
         context::GatewayContext,
-        policy::{
+        policy::leader::{
             endpoint_orders::{EndpointOrders, OrderResult, ZoneOrder},
             leader_lease::{HoldDecision, LossReason},
             usage_reports::due_window,
--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -11,7 +11,9 @@
 };
 use crate::{
     errors::StepError,
-    gateway::policy::leader_lease::{AcquireDecision, LeaseOwner, ObservedLease, decide_acquire},
+    gateway::policy::leader::leader_lease::{
+        AcquireDecision, LeaseOwner, ObservedLease, decide_acquire,
+    },
     ids::SharedName,
 };
 
--- a/src/gateway/leader/lease_keeper.rs
+++ b/src/gateway/leader/lease_keeper.rs
@@ -16,7 +16,7 @@
     errors::StepError,
     gateway::{
         context::GatewayContext,
-        policy::leader_lease::{HoldDecision, LossReason, decide_hold},
+        policy::leader::leader_lease::{HoldDecision, LossReason, decide_hold},
     },
     ids::SharedName,
     platform::{
--- a/src/gateway/leader/lease_record.rs
+++ b/src/gateway/leader/lease_record.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{gateway::policy::usage_counts::WindowCounts, ids::SharedName};
+use crate::{gateway::policy::leader::usage_counts::WindowCounts, ids::SharedName};
 
 /// A usage report. It is written into the lease before it is sent, so that a successor that
 /// sends it again sends the same counts.
--- /dev/null
+++ b/src/gateway/policy/daemon.rs
@@ -0,0 +1,7 @@
+//! Rules of a daemon beside its requests: ready or not, who asks the store, what is fetched
+//! from peers.
+
+pub mod catch_up;
+pub mod daemon_count;
+pub mod readiness;
+pub mod store_watchers;
--- a/src/gateway/policy/daemon_count.rs
+++ b/src/gateway/policy/daemon/daemon_count.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::quota::QuotaSharing;
+use crate::gateway::policy::request::quota::QuotaSharing;
 
 /// Time in which a starting daemon meets the others.
 /// Basis: chosen, not measured for itself: brought by commit 466d31b, whose three replayed
--- a/src/gateway/policy/readiness.rs
+++ b/src/gateway/policy/daemon/readiness.rs
@@ -3,7 +3,7 @@
 //! Decided anew at each of the balancer's questions, from what the daemon holds at that
 //! moment. A daemon that lacks an input is not ready: requests would only be refused.
 
-use super::key_freshness::KeyFreshness;
+use crate::gateway::policy::request::key_freshness::KeyFreshness;
 
 /// What readiness depends on.
 #[derive(Clone, Copy, Debug)]
--- /dev/null
+++ b/src/gateway/policy/endpoint.rs
@@ -0,0 +1,8 @@
+//! Rules of the choice of an endpoint, and what a daemon knows of endpoints to decide by.
+
+pub mod endpoint_choice;
+pub mod endpoint_load;
+pub mod endpoint_status;
+pub mod endpoint_table;
+pub mod prefill_rate;
+pub mod prompt_cache;
--- /dev/null
+++ b/src/gateway/policy/leader.rs
@@ -0,0 +1,9 @@
+//! Rules of the leader: who holds the lease, what is reported, what is ordered.
+
+pub mod endpoint_orders;
+pub mod fleet_size;
+pub mod leader_lease;
+pub mod usage_counts;
+pub mod usage_reports;
+pub mod wall_clock;
+pub mod zone_plan;
--- a/src/gateway/policy/quota.rs
+++ b/src/gateway/policy/request/quota.rs
@@ -36,7 +36,7 @@
 use rand::{Rng, RngExt};
 use tokio::time::Instant;
 
-use self::account_bucket::{AccountBucket, BucketLimits, REPORT_RETENTION};
+use super::quota::account_bucket::{AccountBucket, BucketLimits, REPORT_RETENTION};
 use crate::{
     gateway::{configuration::AccountQuota, gossip::report_source::ReportSource},
     ids::SharedName,
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -13,7 +13,7 @@
     call::{Call, CallHead},
     configuration::{Account, Configuration, Route, Service},
     context::{GatewayContext, Intake},
-    policy::{
+    policy::request::{
         admission::{MatchedHead, match_head, quota_units, service_at, total_weight},
         quota::QuotaVerdict,
         refusal::{Refusal, SpentQuota},
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -27,12 +27,16 @@
         call::AttemptHead,
         context::GatewayContext,
         policy::{
-            endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointChoice},
-            endpoint_load::{RunLoad, estimated_memory},
-            endpoint_priority::endpoint_priority,
-            refusal::Refusal,
-            retries::{AttemptFailure, NoAttempt},
-            time_limits,
+            endpoint::{
+                endpoint_choice::{ChoiceQuery, ChoiceResult, EndpointChoice},
+                endpoint_load::{RunLoad, estimated_memory},
+            },
+            request::{
+                endpoint_priority::endpoint_priority,
+                refusal::Refusal,
+                retries::{AttemptFailure, NoAttempt},
+                time_limits,
+            },
         },
     },
     ids::SharedName,
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -17,7 +17,7 @@
     endpoint_health::AttemptResult,
     gateway::{
         context::GatewayContext,
-        policy::{
+        policy::request::{
             refusal::Refusal,
             retries::{AttemptFailure, FailureStep, after_failure, may_retry_response},
         },
--- a/src/gateway/request/refusal_response.rs
+++ b/src/gateway/request/refusal_response.rs
@@ -3,7 +3,7 @@
 use hyper::Response;
 
 use crate::{
-    gateway::policy::refusal::Refusal,
+    gateway::policy::request::refusal::Refusal,
     http::{LocalBody, whole_body},
     platform::ingress,
 };
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -31,7 +31,7 @@
     endpoint_health::AttemptResult,
     gateway::{
         context::GatewayContext,
-        policy::{retries, time_limits},
+        policy::request::{retries, time_limits},
     },
     http::{BodyError, LocalBody},
     platform::ingress,
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -12,7 +12,7 @@
 use crate::{
     gateway::{
         context::GatewayContext,
-        policy::{endpoint_choice::EndpointChoice, refusal::Refusal},
+        policy::{endpoint::endpoint_choice::EndpointChoice, request::refusal::Refusal},
     },
     ids::SharedName,
 };
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -8,7 +8,7 @@
     endpoint_health::AttemptResult,
     gateway::{
         call::PromptPart, context::GatewayContext, endpoint::EndpointRecord,
-        policy::endpoint_load::RunLoad,
+        policy::endpoint::endpoint_load::RunLoad,
     },
 };
 
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -7,7 +7,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::{context::GatewayContext, endpoint::EndpointState, policy::readiness::Readiness};
+use super::{
+    context::GatewayContext, endpoint::EndpointState, policy::daemon::readiness::Readiness,
+};
 use crate::ids::SharedName;
 
 /// State of one daemon. Ages are in milliseconds.
--- a/src/gateway/status_listeners.rs
+++ b/src/gateway/status_listeners.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, Response, StatusCode, body::Incoming};
 use tokio::{net::TcpListener, time::Instant};
 
-use super::{context::GatewayContext, policy::readiness::Readiness, state::GatewayState};
+use super::{context::GatewayContext, policy::daemon::readiness::Readiness, state::GatewayState};
 use crate::{
     http::{ResponseBody, server, whole_body},
     platform::ingress,
--- a/src/native/cluster/core.rs
+++ b/src/native/cluster/core.rs
@@ -15,8 +15,8 @@
 use rand::{RngExt, rngs::SmallRng};
 use tokio::time::Instant;
 
-use self::{dissemination::FORGET_EVERY, failure_detector::RECALL_EVERY};
 use super::{
+    core::{dissemination::FORGET_EVERY, failure_detector::RECALL_EVERY},
     events::{ClusterAction, ClusterCounters, ClusterEvent, PeerTarget},
     items::{ItemKey, ItemKind, ItemStore, SpreadItem},
     members::{MemberList, MemberRecord, MemberStatus, member_version},
--- a/src/native/cluster/service.rs
+++ b/src/native/cluster/service.rs
@@ -11,8 +11,7 @@
     time::{Instant, MissedTickBehavior, interval},
 };
 
-use self::tasks::{greet, probe, probe_via, synchronize};
-pub use self::{
+pub use super::service::{
     messages::{ClusterMessage, ItemVersions},
     tasks::newer_than,
 };
@@ -21,6 +20,7 @@
     events::{ClusterAction, ClusterEvent},
     items::{ItemKey, ItemKind, SpreadItem},
     members::MemberList,
+    service::tasks::{greet, probe, probe_via, synchronize},
 };
 use crate::{
     ids::SharedName,
--- a/src/native/decide/fleet.rs
+++ b/src/native/decide/fleet.rs
@@ -23,7 +23,7 @@
 
 use tokio::time::Instant;
 
-use self::{
+use super::fleet::{
     free_name::free_name,
     problem::{FleetProblem, place_of},
 };
--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -27,9 +27,8 @@
 use rand::{Rng, RngExt};
 use tokio::time::Instant;
 
-use self::endpoint_route::EndpointRoute;
-pub use self::query::{CacheChange, EndpointInfo, EndpointPick, RouteChoice, RouteQuery};
-use super::limits::RequestPriority;
+pub use super::routing::query::{CacheChange, EndpointInfo, EndpointPick, RouteChoice, RouteQuery};
+use super::{limits::RequestPriority, routing::endpoint_route::EndpointRoute};
 use crate::{
     endpoint_health::{AttemptResult, HealthState},
     ids::SharedName,
--- a/src/native/request/store.rs
+++ b/src/native/request/store.rs
@@ -15,12 +15,12 @@
 
 use tokio::time::Instant;
 
-use self::stored_request::{StoredRequest, token_bytes};
 use super::{
     call::ClientCall,
     copy::{RequestCopy, RequestHolder, ResponseToken},
     outcome::FinalResponse,
     response_log::{ResponseLog, ResponseView, TokenText},
+    store::stored_request::{StoredRequest, token_bytes},
 };
 use crate::ids::RequestName;
 
--- a/src/native/request/tickets.rs
+++ b/src/native/request/tickets.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-pub use self::{
+pub use super::tickets::{
     ledger::{TicketLedger, TicketUse},
     ticket_id::{TicketError, TicketId},
     witness::{ConsentVerdict, SealVerdict, SettledResponse, WitnessLedger},
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 
-use self::{
+use super::planner::{
     lease::{LeaseRecord, LeaseVerdict, LeaseView},
     plan::{FleetPlan, PlannedVm, to_planned, weights_of},
 };
--- a/src/native/serve/run/once.rs
+++ b/src/native/serve/run/once.rs
@@ -12,7 +12,7 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use self::{
+use super::once::{
     claims::{abandon, claim, claim_name},
     run::OnceRun,
 };
--- a/src/native/serve/run/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -13,13 +13,13 @@
 
 use tokio::time::Instant;
 
-use self::{
-    directory::{place, rank, recover},
-    mirror::{follow_again, mirror},
-};
 use super::{
     admission::{AdmissionVerdict, admit},
     driver::RequestDriver,
+    resume::{
+        directory::{place, rank, recover},
+        mirror::{follow_again, mirror},
+    },
 };
 use crate::{
     ids::RequestName,
--- a/src/native/serve/services/router.rs
+++ b/src/native/serve/services/router.rs
@@ -17,13 +17,16 @@
     time::{Instant, MissedTickBehavior, interval},
 };
 
-use self::{
-    messages::{PickReply, RouterMessage, RouterStatus},
-    picks::PendingPick,
-    poll::poll_endpoint,
-    reclaims::RunningStream,
+use super::{
+    limit_service::ServiceLoads,
+    router::{
+        messages::{PickReply, RouterMessage, RouterStatus},
+        picks::PendingPick,
+        poll::poll_endpoint,
+        reclaims::RunningStream,
+    },
+    send_reply,
 };
-use super::{limit_service::ServiceLoads, send_reply};
 use crate::{
     http::client::HttpClient,
     ids::{AttemptId, IncarnationId, SharedName},
--- a/tests/gateway/catch_up.rs
+++ b/tests/gateway/catch_up.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use tokio::time::Instant;
-use willowarch::gateway::policy::catch_up::{CatchUpState, HeldRevisions};
+use willowarch::gateway::policy::daemon::catch_up::{CatchUpState, HeldRevisions};
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
--- a/tests/gateway/endpoint_choice.rs
+++ b/tests/gateway/endpoint_choice.rs
@@ -11,7 +11,7 @@
         call::PromptPart,
         endpoint::{EndpointList, EndpointRecord, EndpointState},
         gossip::report_source::ReportSource,
-        policy::{
+        policy::endpoint::{
             endpoint_choice::{ChoiceQuery, ChoiceResult},
             endpoint_load::{EndpointLoad, ReportedLoads, RunLoad, endpoint_number},
             endpoint_table::EndpointTable,
--- a/tests/gateway/exchange.rs
+++ b/tests/gateway/exchange.rs
@@ -14,7 +14,7 @@
                 PeerSummary, RequestedParts,
             },
         },
-        policy::{endpoint_load::EndpointLoad, quota::AccountCounters},
+        policy::{endpoint::endpoint_load::EndpointLoad, request::quota::AccountCounters},
     },
     ids::IncarnationId,
 };
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -7,7 +7,7 @@
 use willowarch::{
     gateway::{
         configuration::FleetSpec,
-        policy::{
+        policy::leader::{
             fleet_size::{EndpointPlanner, ServiceDemand},
             zone_plan::{PriceClass, ZoneHolding},
         },
--- a/tests/gateway/groups.rs
+++ b/tests/gateway/groups.rs
@@ -20,8 +20,8 @@
             report_source::ReportSource,
         },
         policy::{
-            quota::{AccountCounters, QuotaLedger, QuotaTolerance, QuotaVerdict},
-            usage_counts::UsageCounts,
+            leader::usage_counts::UsageCounts,
+            request::quota::{AccountCounters, QuotaLedger, QuotaTolerance, QuotaVerdict},
         },
     },
     ids::{IncarnationId, SharedName},
--- a/tests/gateway/leader_rules.rs
+++ b/tests/gateway/leader_rules.rs
@@ -8,7 +8,7 @@
 use willowarch::{
     gateway::{
         configuration::FleetSpec,
-        policy::{
+        policy::leader::{
             endpoint_orders::{EndpointOrders, ObservedService, OrderResult, ZoneOrder},
             leader_lease::{
                 ACQUIRE_MARGIN, AcquireDecision, HoldDecision, LeaseOwner, LossReason,
--- a/tests/gateway/leader_state.rs
+++ b/tests/gateway/leader_state.rs
@@ -7,7 +7,7 @@
 use willowarch::{
     gateway::{
         gossip::report_source::ReportSource,
-        policy::{
+        policy::leader::{
             leader_lease::LeaderLease, usage_counts::UsageCounts, wall_clock::SteadyWallClock,
         },
     },
--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -9,7 +9,9 @@
     gateway::{
         configuration::AccountQuota,
         gossip::report_source::ReportSource,
-        policy::quota::{AccountCounters, QuotaLedger, QuotaSharing, QuotaTolerance, QuotaVerdict},
+        policy::request::quota::{
+            AccountCounters, QuotaLedger, QuotaSharing, QuotaTolerance, QuotaVerdict,
+        },
     },
     ids::{IncarnationId, SharedName},
 };
--- a/tests/gateway/request_rules.rs
+++ b/tests/gateway/request_rules.rs
@@ -8,20 +8,24 @@
     call::TokenCounts,
     configuration::{AccountQuota, Route, RouteKind, ServiceWeight},
     policy::{
-        admission::{quota_units, service_at, total_weight},
-        daemon_count,
-        endpoint_load::estimated_memory,
-        endpoint_priority::endpoint_priority,
-        key_freshness::KeyFreshness,
-        quota::QuotaSharing,
-        readiness::{Readiness, ReadinessInputs},
-        refusal::Refusal,
-        retries::{
-            AttemptFailure, FailureStep, GiveUpReason, NoAttempt, after_failure, may_resume,
-            may_retry_response,
+        daemon::{
+            daemon_count,
+            readiness::{Readiness, ReadinessInputs},
+            store_watchers::{StoreWatch, is_store_failing},
+        },
+        endpoint::endpoint_load::estimated_memory,
+        request::{
+            admission::{quota_units, service_at, total_weight},
+            endpoint_priority::endpoint_priority,
+            key_freshness::KeyFreshness,
+            quota::QuotaSharing,
+            refusal::Refusal,
+            retries::{
+                AttemptFailure, FailureStep, GiveUpReason, NoAttempt, after_failure, may_resume,
+                may_retry_response,
+            },
+            time_limits,
         },
-        store_watchers::{StoreWatch, is_store_failing},
-        time_limits,
     },
 };
 
--- a/tests/gateway/retry_budget.rs
+++ b/tests/gateway/retry_budget.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use tokio::time::Instant;
-use willowarch::gateway::policy::retry_budget::RetryBudget;
+use willowarch::gateway::policy::request::retry_budget::RetryBudget;
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
