--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -135,7 +135,7 @@
 
     /// The next report that is due, once the one before has been sent.
     fn due_report(&self, record: &LeaseRecord) -> Option<UsageReport> {
-        if !self.context.settings.duties.contains(&LeaderTask::UsageReports) {
+        if !self.context.settings.leader_tasks.contains(&LeaderTask::UsageReports) {
             return None;
         }
         if record.report.is_some() && !self.is_report_sent {
@@ -161,13 +161,13 @@
         });
         match outcome {
             CloudOutcome::Fenced => self.lease.lose(LossReason::Fenced),
-            CloudOutcome::Done | CloudOutcome::NoneToBeHad => self.is_report_sent = true,
+            CloudOutcome::Done | CloudOutcome::CapacityRefused => self.is_report_sent = true,
         }
         Ok(())
     }
 
     async fn order_endpoints(&mut self) -> Result<(), StepError> {
-        if !self.context.settings.duties.contains(&LeaderTask::EndpointOrders) {
+        if !self.context.settings.leader_tasks.contains(&LeaderTask::EndpointOrders) {
             return Ok(());
         }
         for order in self.due_orders(Instant::now()) {
@@ -209,7 +209,7 @@
             count = order.count, required, outcome: = outcome
         });
         let result = match response {
-            Ok(CloudOutcome::NoneToBeHad) => OrderResult::CapacityRefused,
+            Ok(CloudOutcome::CapacityRefused) => OrderResult::CapacityRefused,
             Ok(CloudOutcome::Done | CloudOutcome::Fenced) => OrderResult::Accepted,
             Err(_) => OrderResult::Unknown, // Logged above.
         };
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -36,7 +36,7 @@
     /// The cloud's API, for the leader tasks.
     pub cloud_address: Option<SocketAddr>,
     /// Leader tasks of this deployment.
-    pub duties: Vec<LeaderTask>,
+    pub leader_tasks: Vec<LeaderTask>,
     /// Bounds that the deployment promises.
     pub bounds: ServiceBounds,
 }
--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -39,7 +39,7 @@
     /// Refused: another holder has a higher fence.
     Fenced,
     /// Refused: there is no capacity in that zone now.
-    NoneToBeHad,
+    CapacityRefused,
 }
 
 /// Number of endpoints of one service that are required in one zone, in total.
@@ -112,7 +112,7 @@
             use_spot: order.reclaimable,
         };
         let response = self.post("order endpoints", "/scale", holder, &body).await?;
-        read_outcome(&response, CloudOutcome::NoneToBeHad)
+        read_outcome(&response, CloudOutcome::CapacityRefused)
     }
 
     async fn post(
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -148,7 +148,7 @@
         seeds: file.seeds,
         store_address: file.platform.address,
         cloud_address: file.cloud_api.as_ref().map(|cloud| cloud.address),
-        duties: duties.filter_map(|name| leader_task(name)).collect(),
+        leader_tasks: duties.filter_map(|name| leader_task(name)).collect(),
         bounds,
     })
 }
