--- a/src/gateway/gossip/call_schedule.rs
+++ b/src/gateway/gossip/call_schedule.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, seq::IteratorRandom};
 use tokio::time::Instant;
 
-use super::{groups::Neighbours, peer_table::PeerRecord};
+use super::{groups::Neighbours, peer_record::PeerRecord};
 
 /// Time between tries of an address that does not respond.
 ///
--- a/src/gateway/gossip/codec.rs
+++ b/src/gateway/gossip/codec.rs
@@ -4,11 +4,12 @@
 //! gossip group, `replica` an endpoint, `asked` requested units. They end in this module and
 //! `counters_codec`. A message that is malformed or whose lists are too long is an error.
 
-use std::{net::SocketAddr, rc::Rc, time::Duration};
+use std::{rc::Rc, time::Duration};
 
 use capnp::{Error, struct_list};
 
 use super::{
+    codec_values::{check_length, read_address, read_text},
     counters_codec::{self, read_counters, write_counters},
     messages::{
         ConfigurationSummary, DaemonCounters, DaemonState, GossipMessage, LeaseSummary,
@@ -18,15 +19,9 @@
 use crate::{
     exchange_capnp::{daemon_state, lease_news, news, peer_word, replica_entry},
     gateway::endpoint::{EndpointList, EndpointRecord, EndpointState},
-    ids::{IncarnationId, SharedName},
+    ids::IncarnationId,
 };
 
-/// Longest list that is read, in entries.
-///
-/// Basis: chosen, not measured: far above any fleet, and bounds what a broken peer can make us
-/// allocate.
-const MAX_LIST_LENGTH: u32 = 65_536;
-
 /// Writes a message.
 pub fn write_message(mut target: news::Builder<'_>, source: &GossipMessage) {
     write_state(target.reborrow().init_state(), &source.state);
@@ -205,20 +200,3 @@
         })),
     }
 }
-
-pub(super) fn read_text(reader: capnp::text::Reader<'_>) -> Result<SharedName, Error> {
-    let text = reader.to_str().map_err(|_| Error::failed("malformed text".into()))?;
-    Ok(text.into())
-}
-
-fn read_address(reader: capnp::text::Reader<'_>) -> Result<SocketAddr, Error> {
-    let text = reader.to_str().map_err(|_| Error::failed("malformed text".into()))?;
-    text.parse().map_err(|_| Error::failed("malformed address".into()))
-}
-
-pub(super) fn check_length(length: u32) -> Result<(), Error> {
-    match length <= MAX_LIST_LENGTH {
-        true => Ok(()),
-        false => Err(Error::failed("list too long".into())),
-    }
-}
--- /dev/null
+++ b/src/gateway/gossip/codec_values.rs
@@ -0,0 +1,30 @@
+//! Texts, addresses and lists of gossip messages, checked as they are read.
+
+use std::net::SocketAddr;
+
+use capnp::Error;
+
+use crate::ids::SharedName;
+
+/// Longest list that is read, in entries.
+///
+/// Basis: chosen, not measured: far above any fleet, and bounds what a broken peer can make us
+/// allocate.
+const MAX_LIST_LENGTH: u32 = 65_536;
+
+pub fn read_text(reader: capnp::text::Reader<'_>) -> Result<SharedName, Error> {
+    let text = reader.to_str().map_err(|_| Error::failed("malformed text".into()))?;
+    Ok(text.into())
+}
+
+pub fn read_address(reader: capnp::text::Reader<'_>) -> Result<SocketAddr, Error> {
+    let text = reader.to_str().map_err(|_| Error::failed("malformed text".into()))?;
+    text.parse().map_err(|_| Error::failed("malformed address".into()))
+}
+
+pub fn check_length(length: u32) -> Result<(), Error> {
+    match length <= MAX_LIST_LENGTH {
+        true => Ok(()),
+        false => Err(Error::failed("list too long".into())),
+    }
+}
--- a/src/gateway/gossip/counters_codec.rs
+++ b/src/gateway/gossip/counters_codec.rs
@@ -8,7 +8,7 @@
 use capnp::{Error, primitive_list, struct_list, text_list};
 
 use super::{
-    codec::{check_length, read_text},
+    codec_values::{check_length, read_text},
     messages::DaemonCounters,
 };
 use crate::{
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -13,7 +13,7 @@
 use super::{
     messages::{ConfigurationSummary, DaemonCounters, DaemonState, GossipMessage, LeaseSummary},
     outgoing::PEER_SUMMARIES,
-    peer_table::PeerReport,
+    peer_record::PeerReport,
     report_source::ReportSource,
 };
 use crate::gateway::{
@@ -108,9 +108,9 @@
     let proof = called_at.zip(proof_age).and_then(|(at, age)| at.checked_sub(age));
     let held = context.configuration.borrow().revision;
     match &summary.text {
-        Some(text) => context.take_configuration(summary.revision, text, proof),
+        Some(text) => context.apply_configuration(summary.revision, text, proof),
         None if summary.revision == held && held > 0 => {
-            context.take_configuration(summary.revision, &[], proof);
+            context.apply_configuration(summary.revision, &[], proof);
         }
         None => {}
     }
@@ -118,7 +118,7 @@
 
 fn apply_endpoints(context: &GatewayContext, list: EndpointList) {
     let revision = list.revision;
-    if context.take_endpoints(list) {
+    if context.apply_endpoints(list) {
         spdlog::info!("endpoints", kv: { revision, source = "peer" });
     }
 }
--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -3,7 +3,8 @@
 //!
 //! A daemon is known from its own messages or from summaries that others pass on; the newest
 //! incarnation and sequence win. It is forgotten when nobody has heard it for
-//! `FORGET_AFTER`.
+//! `FORGET_AFTER`. The native path knows its members by probes and suspicions
+//! (`native::cluster`); here the calls that carry reports show who lives.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,12 +18,10 @@
 use super::{
     call_schedule::CallSchedule,
     groups::{Neighbours, group_of},
-    messages::{DaemonState, PeerSummary},
-};
-use crate::{
-    gateway::policy::request::quota::QuotaSharing,
-    ids::{IncarnationId, hash_parts},
+    messages::PeerSummary,
+    peer_record::{PeerRecord, PeerReport},
 };
+use crate::{gateway::policy::request::quota::QuotaSharing, ids::hash_parts};
 
 /// A neighbour that was not heard for this long may not hear this daemon either.
 ///
@@ -49,40 +48,6 @@
 /// Basis: the way of a report: to the representative, and from there to this daemon.
 const REPORT_HOPS: u32 = 2;
 
-/// What is known of one daemon.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PeerRecord {
-    /// This start of it.
-    pub incarnation: IncarnationId,
-    /// Sequence of its newest own state; 0 if only others have reported it.
-    pub sequence: u64,
-    /// When any daemon last heard it, as far as known.
-    pub heard_at: Instant,
-    /// When this daemon last heard it.
-    pub met_at: Option<Instant>,
-    /// Whether it is shutting down.
-    pub leaving: bool,
-}
-
-/// What a daemon reports of itself to the table.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerReport {
-    /// This start of it.
-    pub incarnation: IncarnationId,
-    /// Sequence of its state.
-    pub sequence: u64,
-    /// Whether it is shutting down.
-    pub leaving: bool,
-}
-
-impl PeerReport {
-    /// The part of a state that the table needs.
-    pub fn of(state: &DaemonState) -> Self {
-        let DaemonState { incarnation, sequence, leaving, .. } = *state;
-        Self { incarnation, sequence, leaving }
-    }
-}
-
 /// Daemons by the addresses at which they listen for peers.
 #[derive(Debug)]
 pub struct PeerTable {
--- a/tests/gateway/groups.rs
+++ b/tests/gateway/groups.rs
@@ -16,7 +16,8 @@
         gossip::{
             caller::{CALLS_PER_INTERVAL, GOSSIP_INTERVAL},
             groups::{GROUP_SIZE, Neighbours, group_of},
-            peer_table::{PeerReport, PeerTable},
+            peer_record::PeerReport,
+            peer_table::PeerTable,
             report_source::ReportSource,
         },
         policy::{
--- a/tests/gateway/long_configuration.rs
+++ b/tests/gateway/long_configuration.rs
@@ -10,7 +10,8 @@
     gateway::{
         gossip::{
             caller::{CALLS_PER_INTERVAL, FETCH_LIMIT, GOSSIP_INTERVAL},
-            peer_table::{PeerReport, PeerTable},
+            peer_record::PeerReport,
+            peer_table::PeerTable,
         },
         policy::daemon::{
             catch_up::{CatchUpState, HeldRevisions},
