--- a/src/endpoint_health.rs
+++ b/src/endpoint_health.rs
@@ -2,7 +2,7 @@
 //! it alone: ejection after failures in a row, then one probe at a time until one succeeds.
 //!
 //! Both paths keep one `EndpointHealth` for each endpoint (`native::decide::routing`,
-//! `gateway::policy::endpoint_choice`). An endpoint without results counts as healthy; results
+//! `gateway::policy::endpoint::endpoint_choice`). An endpoint without results counts as healthy; results
 //! are not shared between daemons.
 
 use std::time::Duration;
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -105,7 +105,7 @@
     /// It names no host.
     #[display("no host")]
     NoHost,
-    /// Its length is told in two ways, or in one that nobody can rely on.
+    /// Its length is given twice, or in a form that intermediaries read differently.
     #[display("ambiguous length")]
     AmbiguousLength,
     /// Its target is no path.
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -133,7 +133,7 @@
 
     /// Applies a configuration read at `proof`, or passed on by a daemon if there is none.
     /// Versions and revisions only rise.
-    pub fn take_configuration(&self, revision: u64, text: &[u8], proof: Option<Instant>) {
+    pub fn apply_configuration(&self, revision: u64, text: &[u8], proof: Option<Instant>) {
         let mut state = self.configuration.borrow_mut();
         if revision > state.revision {
             let decoded = match platform::configuration::decode(text) {
@@ -177,7 +177,7 @@
     }
 
     /// Applies a list of endpoints if it is newer than the one held; says whether it was.
-    pub fn take_endpoints(&self, list: EndpointList) -> bool {
+    pub fn apply_endpoints(&self, list: EndpointList) -> bool {
         if list.revision <= self.endpoint_list.borrow().revision {
             return false;
         }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -9,11 +9,13 @@
 mod call_schedule;
 pub mod caller;
 pub mod codec;
+mod codec_values;
 mod counters_codec;
 pub mod groups;
 mod incoming;
 pub mod listener;
 pub mod messages;
 mod outgoing;
+pub mod peer_record;
 pub mod peer_table;
 pub mod report_source;
--- a/src/gateway/leader/endpoint_orders.rs
+++ b/src/gateway/leader/endpoint_orders.rs
@@ -1,4 +1,4 @@
-//! Collects what `policy::endpoint_orders` decides from, and translates its orders for the
+//! Collects what `policy::leader::endpoint_orders` decides from, and translates its orders for the
 //! cloud's API.
 
 use std::collections::BTreeMap;
--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -1,4 +1,4 @@
-//! Acquires the lease when `policy::leader_lease` allows it.
+//! Acquires the lease when `policy::leader::leader_lease` allows it.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/src/gateway/leader/lease_keeper.rs
+++ b/src/gateway/leader/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! Holds the lease: renews, releases and loses it as `policy::leader_lease` decides, and applies
+//! Holds the lease: renews, releases and loses it as `policy::leader::leader_lease` decides, and applies
 //! what the store shows of it.
 //!
 //! Owns the object as last read. A write whose outcome is not known (time limit, lost response)
--- a/src/gateway/policy/daemon/text_pacing.rs
+++ b/src/gateway/policy/daemon/text_pacing.rs
@@ -15,8 +15,8 @@
 /// Rate at which a text is taken to leave this VM, in bytes a second.
 ///
 /// Basis: links of 10 Mbit/s (1.25 MB/s) in the grown sites, less a fifth for requests. With it a
-/// text of 253 KB was in force at 87 daemons after 1.8 to 2.3 s (journal 20261202T151342 to
-/// 151346), without it after 3.3 to 4.8 s (20261202T151120 to 151122).
+/// text of 253 KB was applied at 87 daemons after 2.1 to 2.4 s (journal 20261202T154313 to
+/// 154317), without it after 3.3 to 4.8 s (20261202T151120 to 151122).
 const TEXT_BYTES_PER_S: f64 = 1_000_000.0;
 
 /// Spaces the texts that one daemon sends.
--- a/src/gateway/policy/endpoint/endpoint_choice.rs
+++ b/src/gateway/policy/endpoint/endpoint_choice.rs
@@ -9,6 +9,9 @@
 //! Requests that share parts of their prompts have an affinity endpoint, the same at every
 //! daemon by rendezvous hashing. It is expected to have most of the shared parts cached, so
 //! requests gather there unless its wait has grown beyond what the cache saves.
+//!
+//! The native path has a rule of its own (`native::decide::routing`): its endpoints report
+//! their load and cache, which those of the platform do only at a price.
 
 use std::rc::Rc;
 
--- a/src/gateway/policy/leader/endpoint_orders.rs
+++ b/src/gateway/policy/leader/endpoint_orders.rs
@@ -4,9 +4,11 @@
 //! Inputs are the endpoint list and the load of a service as this daemon knows them (endpoint
 //! entries and loads of other daemons are up to a second or two old), the service's fleet
 //! settings, and the results of earlier orders. How many endpoints are required is decided by
-//! `fleet_size`, in which zones by `zone_plan`. New endpoints need their start time until they are listed, so an accepted order
-//! counts as held until then; if the list still differs some time later, it is sent again.
-//! Orders for fewer endpoints wait a little, so that short dips of the load change nothing.
+//! `fleet_size`, in which zones by `zone_plan`.
+//!
+//! New endpoints need their start time until they are listed, so an accepted order counts as
+//! held until then; if the list still differs some time later, it is sent again. Orders for
+//! fewer endpoints wait a little, so that short dips of the load change nothing.
 
 use std::{
     collections::{BTreeMap, HashMap},
--- a/src/gateway/policy/leader/fleet_size.rs
+++ b/src/gateway/policy/leader/fleet_size.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs are the load of the service (prefill and running requests), what is held in each
 //! zone, and which zones refused reclaimable capacity lately. Where they are held is decided by
-//! `zone_plan`.
+//! `zone_plan`. The native path plans VMs by expected cost (`native::decide::fleet`).
 //!
 //! The required number follows the load upwards at once and decays slowly. Before any load was
 //! seen it is estimated from the endpoints that are held, and never lowered: a leader that has
@@ -62,6 +62,7 @@
 ///
 /// Basis: chosen, not measured (commit 827f7c7): bounds the calls to the cloud.
 const REFUSED_FOR: Duration = Duration::from_secs(2);
+
 /// Load of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceDemand {
--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -1,5 +1,6 @@
 //! Decides when a daemon may acquire the leader lease, when the holder renews it, and until
-//! when the holder may act.
+//! when the holder may act. The native path's planner has a lease of its own
+//! (`native::serve::planning::planner`), without a fence: its plans do no harm when two hold it.
 //!
 //! The lease is an object in the store, written only at the revision that was read; its fence
 //! rises with every new holder. Clocks of daemons are never compared: each measures by its own
--- a/src/gateway/policy/request/quota.rs
+++ b/src/gateway/policy/request/quota.rs
@@ -2,7 +2,8 @@
 //!
 //! Inputs are the quota (units a second and a burst), the units of the request, how many
 //! daemons share the quotas and how old their reports are, and a random number. The decision
-//! is [`QuotaVerdict`].
+//! is [`QuotaVerdict`]. The native path has a rule of its own (`native::decide::limits`): shares
+//! by demand, which are coarser than one large prompt of a small account.
 //!
 //! Every daemon keeps a token bucket for the whole quota of each account. Units that it admits
 //! leave the bucket at once; units that peers admit leave it when their reports arrive, a few
--- a/src/gateway/policy/request/retry_budget.rs
+++ b/src/gateway/policy/request/retry_budget.rs
@@ -4,6 +4,9 @@
 //! window, and besides an even part of a reserve that all daemons have together, so that a
 //! quiet service can retry at all. Both come from the deployment's settings. Only what this
 //! daemon has counted itself enters; a daemon that has just started has its reserve alone.
+//!
+//! The native path has a rule of its own (`native::decide::retries`): no deployment promises it
+//! a window, so a token bucket without a clock is enough there.
 
 use std::{
     collections::{HashMap, VecDeque},
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -1,5 +1,5 @@
 //! Admits a client's request: reads its body and charges its quota, by the rules of
-//! `policy::admission`, `policy::key_freshness` and `policy::quota`.
+//! `policy::request::admission`, `policy::request::key_freshness` and `policy::request::quota`.
 
 use std::{cell::Cell, rc::Rc};
 
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt at a request: an endpoint is chosen, connected to and sent the request.
 //!
-//! The choice is made by `policy::endpoint_choice`, the wait for a response is limited by
-//! `policy::time_limits`. What follows the attempt is not decided here but in
-//! `policy::retries`.
+//! The choice is made by `policy::endpoint::endpoint_choice`, the wait for a response is limited by
+//! `policy::request::time_limits`. What follows the attempt is not decided here but in
+//! `policy::request::retries`.
 
 use std::rc::Rc;
 
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -1,5 +1,5 @@
 //! A client's request from its head to the response: admitted, run at an endpoint, passed on
-//! or refused. What follows each attempt is decided by `policy::retries`.
+//! or refused. What follows each attempt is decided by `policy::request::retries`.
 
 use std::rc::Rc;
 
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -2,7 +2,7 @@
 //! stream that breaks is resumed at another endpoint within the same response.
 //!
 //! Streams are passed on by whole events, so that a resumed one continues cleanly after the
-//! last event. `policy::retries` decides whether to resume, `policy::time_limits` how long an
+//! last event. `policy::request::retries` decides whether to resume, `policy::request::time_limits` how long an
 //! endpoint may be silent.
 
 use std::rc::Rc;
--- a/src/gateway/status_listeners.rs
+++ b/src/gateway/status_listeners.rs
@@ -1,6 +1,6 @@
 //! Two listeners: the balancer's readiness check, and metrics with the daemon's state.
 //!
-//! Whether the daemon is ready is decided in `policy::readiness`; this module only serves it.
+//! Whether the daemon is ready is decided in `policy::daemon::readiness`; this module only serves it.
 
 use std::rc::Rc;
 
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -161,7 +161,7 @@
 }
 
 fn apply_configuration(context: &GatewayContext, object: &StoredObject, asked_at: Instant) {
-    context.take_configuration(object.revision, object.value.as_bytes(), Some(asked_at));
+    context.apply_configuration(object.revision, object.value.as_bytes(), Some(asked_at));
 }
 
 /// Notes that the store has shown no change up to a moment after `asked_at`.
@@ -216,7 +216,7 @@
         let endpoints = self.by_id.values().cloned().collect();
         let list = EndpointList { revision: self.revision, endpoints };
         let count = list.endpoints.len();
-        if context.take_endpoints(list) {
+        if context.apply_endpoints(list) {
             spdlog::info!("endpoints", kv: { revision: = self.revision, count, source = "store" });
         }
     }
--- a/src/native/decide/fleet.rs
+++ b/src/native/decide/fleet.rs
@@ -1,7 +1,7 @@
 //! How many VMs of a service to hold, in which availability zone and price class.
 //!
 //! Decides which VMs to start and which to release, for the planner on the native path
-//! (`serve::planning::planner`). The gateway's rule, `gateway::policy::fleet_size`, spreads
+//! (`serve::planning::planner`). The gateway's rule, `gateway::policy::leader::fleet_size`, spreads
 //! endpoints by fixed rules; this one minimizes an expected cost, so the two stay apart.
 //!
 //! Inputs: the VMs required (from averages of load, one to two epochs of 2 s old), the prices
--- a/src/native/decide/limits.rs
+++ b/src/native/decide/limits.rs
@@ -1,7 +1,7 @@
 //! Quotas of client accounts on the native path, held over all daemons together.
 //!
 //! Decides whether a request of an account is admitted here and now, with which priority, or
-//! after which time there is room. In the gateway's rule, `gateway::policy::quota`, every
+//! after which time there is room. In the gateway's rule, `gateway::policy::request::quota`, every
 //! daemon is told what the others admit; here daemons exchange averages only, so that messages
 //! do not grow with their number.
 //!
--- a/src/native/decide/retries.rs
+++ b/src/native/decide/retries.rs
@@ -10,7 +10,7 @@
 //!
 //! After [`ATTEMPT_LIMIT`] attempts each of them ends the request. Retries are a bounded
 //! fraction of first attempts, so that a brownout is not answered with a retry storm. This is
-//! a token bucket without a clock; the gateway's rule, `gateway::policy::retry_budget`, counts
+//! a token bucket without a clock; the gateway's rule, `gateway::policy::request::retry_budget`, counts
 //! requests and retries in a sliding window, with a reserve that all daemons share. The two
 //! answer differently, so they stay two.
 //!
--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -1,7 +1,7 @@
 //! Chooses the endpoint of each attempt on the native path.
 //!
 //! Decides which endpoint of the daemon's window takes the attempt, or that all are full, or
-//! that there is none. The gateway's rule, `gateway::policy::endpoint_choice`, has
+//! that there is none. The gateway's rule, `gateway::policy::endpoint::endpoint_choice`, has
 //! other inputs: what peers report of their requests, and affinity endpoints. Here endpoints
 //! report their own load and cache, so the two stay apart.
 //!
--- a/src/native/serve/planning/planner/lease.rs
+++ b/src/native/serve/planning/planner/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! Decides whether this daemon may acquire or renew the lease, from the lease object as just
 //! read and from how long this daemon has seen it unchanged on its own steady clock, so clocks
-//! need not agree. The gateway's rule is `gateway::policy::leader_lease`; it has other times and
+//! need not agree. The gateway's rule is `gateway::policy::leader::leader_lease`; it has other times and
 //! another record, so the two stay apart.
 //!
 //! If the object cannot be read, the holder stops when its lease runs out and nobody acquires
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at an endpoint on the native path: sends the call, takes tokens or the response, and leaves
-//! when a notice says so.
+//! One attempt at an endpoint on the native path: sends the call, takes tokens or the response,
+//! and leaves when a notice says so.
 //!
 //! It reports how the attempt ended and decides nothing; `run::driver` and `run::once` do. The
 //! gateway's attempts (`gateway::request::attempt`) speak the platform's protocol instead.
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -3,7 +3,7 @@
 //! examples and the program `willow-standin` use them; nothing of the daemons does.
 //!
 //! There are two sets. These speak the wires of `native::{cloud_api, endpoint}` and of
-//! docs/callers.md. The gateway meets the users' platform, whose wires differ in every call;
+//! docs/native/clients.md. The gateway meets the users' platform, whose wires differ in every call;
 //! its stand-ins are in tests/gateway, since only its tests need them.
 
 pub mod clients;
--- a/src/standin/clients.rs
+++ b/src/standin/clients.rs
@@ -1,5 +1,5 @@
 //! Stand-in of the clients of the native interface: plays a request mix against the daemons
-//! as the documented protocol says (docs/callers.md), compares every response with the one
+//! as the documented protocol says (docs/native/clients.md), compares every response with the one
 //! expected, and reports.
 
 mod mix;
