--- a/tests/gateway/endpoint_standin.rs
+++ b/tests/gateway/endpoint_standin.rs
@@ -11,6 +11,10 @@
     time::Duration,
 };
 
+/// Time after which a late surplus answer is sent: longer than a client on loopback takes to
+/// send its next request.
+const SURPLUS_DELAY: Duration = Duration::from_millis(20);
+
 /// What an endpoint does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointManner {
@@ -36,6 +40,8 @@
     Silent,
     /// Sends a second answer behind the first.
     Surplus,
+    /// The same, but the second answer comes late: the next request may be on its way by then.
+    LateSurplus,
 }
 
 /// A request as the endpoint has read it.
@@ -163,6 +169,11 @@
                 self.write_whole(out, "200 OK", id, &body)
                     && self.write_whole(out, "200 OK", id, "surplus")
             }
+            EndpointManner::LateSurplus => {
+                let first = self.write_whole(out, "200 OK", id, &body);
+                std::thread::sleep(SURPLUS_DELAY);
+                first && self.write_whole(out, "200 OK", id, "surplus")
+            }
             EndpointManner::Foreign => {
                 self.write_whole(out, "200 OK", "another-request", "foreign")
             }
--- a/tests/gateway/serving.rs
+++ b/tests/gateway/serving.rs
@@ -94,11 +94,15 @@
 
 #[googletest::test]
 fn surplus_answer_goes_to_no_request() {
-    let site = Site::start(&[EndpointManner::Surplus]);
-    for number in 0..4 {
-        let answer = site.ask("/plain/one", &format!("request-{number}"));
-        expect_that!(answer.status, eq(200));
-        expect_that!(answer.text(), not(contains_substring("surplus")));
+    // Two endpoints: a surplus response that arrives after the next request was sent spoils that
+    // attempt, and the request has to be served by the other one.
+    for manner in [EndpointManner::Surplus, EndpointManner::LateSurplus] {
+        let site = Site::start(&[manner; 2]);
+        for number in 0..4 {
+            let answer = site.ask("/plain/one", &format!("request-{number}"));
+            expect_that!(answer.status, eq(200), "{manner:?}");
+            expect_that!(answer.text(), not(contains_substring("surplus")), "{manner:?}");
+        }
     }
 }
 
