--- a/src/gateway/policy/daemon/text_pacing.rs
+++ b/src/gateway/policy/daemon/text_pacing.rs
@@ -4,7 +4,7 @@
 //! links of 10 Mbit/s. A daemon that has just received it is asked for it by all its neighbours
 //! at once; sent to all of them together, none would have it before the call's time limit, and
 //! all would ask again. Each text is therefore given the time that it takes on such a link
-//! before the next one is sent. A peer that is turned down asks again, or asks another daemon
+//! before the next one is sent. A peer that gets no text asks again, or asks another daemon
 //! that has received the text meanwhile, so that the number of senders doubles with every
 //! transfer.
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -28,13 +28,13 @@
 /// Code generated from schema/peer.capnp by schema/generate.sh.
 #[rustfmt::skip]
 #[allow(missing_docs, clippy::all, clippy::pedantic, clippy::restriction)]
-#[path = "generated/peer_capnp.rs"]
+#[path = "peer/peer_capnp.rs"]
 pub mod peer_capnp;
 
 /// Code generated from schema/exchange.capnp by schema/generate.sh.
 #[rustfmt::skip]
 #[allow(missing_docs, clippy::all, clippy::pedantic, clippy::restriction)]
-#[path = "generated/exchange_capnp.rs"]
+#[path = "peer/exchange_capnp.rs"]
 pub mod exchange_capnp;
 
 /// Wall-clock time in milliseconds since 1970; for what people read and for what the
