--- a/src/gateway/policy/daemon/store_watchers.rs
+++ b/src/gateway/policy/daemon/store_watchers.rs
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreWatch {
     /// It does: nobody has passed on a recent proof.
-    NotFed,
+    NotInformed,
     /// It does: it is a watcher of its group.
     Elected,
     /// It doesn't: others pass on what they read.
-    Fed,
+    Informed,
 }
 
 impl StoreWatch {
@@ -37,16 +37,16 @@
                 if is_elected() {
                     Self::Elected
                 } else {
-                    Self::Fed
+                    Self::Informed
                 }
             }
-            _ => Self::NotFed,
+            _ => Self::NotInformed,
         }
     }
 
     /// Whether the daemon watches the store itself.
     pub fn watches(self) -> bool {
-        self != Self::Fed
+        self != Self::Informed
     }
 }
 
--- a/tests/gateway/request_rules.rs
+++ b/tests/gateway/request_rules.rs
@@ -221,10 +221,10 @@
     let start = Instant::now();
     let decide =
         |proof, is_elected, age| StoreWatch::decide(proof, || is_elected, start + millis(age));
-    expect_that!(decide(None, false, 0), eq(StoreWatch::NotFed));
-    expect_that!(decide(Some(start), false, 3_999), eq(StoreWatch::Fed));
+    expect_that!(decide(None, false, 0), eq(StoreWatch::NotInformed));
+    expect_that!(decide(Some(start), false, 3_999), eq(StoreWatch::Informed));
     expect_that!(decide(Some(start), true, 3_999), eq(StoreWatch::Elected));
-    expect_that!(decide(Some(start), false, 4_000), eq(StoreWatch::NotFed));
+    expect_that!(decide(Some(start), false, 4_000), eq(StoreWatch::NotInformed));
     let asked = Cell::new(false);
     StoreWatch::decide(None, || asked.replace(true), start);
     expect_that!(asked.get(), eq(false));
