--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -43,8 +43,9 @@
 const CALL_LIMIT: Duration = Duration::from_millis(400);
 /// Time limit of a call that requests a configuration.
 ///
-/// Basis: 253 KB (1,400 routes) take 0.2 s alone on a link of 10 Mbit/s and shared it with other
-/// transfers; limited to 400 ms they failed again and again (journal 20261202T151120 to 151122).
+/// Basis: chosen, not measured by itself. 253 KB (1,400 routes) take 0.2 s on an idle link of
+/// 10 Mbit/s by calculation; limited to 400 ms, calls failed again and again beside other
+/// transfers (journal 20261202T151120 to 151122).
 pub const FETCH_LIMIT: Duration = Duration::from_millis(2_500);
 
 struct OpenConnection {
--- a/src/gateway/policy/daemon/catch_up.rs
+++ b/src/gateway/policy/daemon/catch_up.rs
@@ -13,8 +13,8 @@
 
 /// Time after which another daemon is asked for a revision that was requested and not received.
 ///
-/// Basis: chosen, not measured by itself: 253 KB take 0.2 s on a link of 10 Mbit/s alone, and up
-/// to three times that beside requests.
+/// Basis: chosen, not measured by itself: 253 KB take 0.2 s on an idle link of 10 Mbit/s by
+/// calculation; three times that.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time that a daemon that watches the store waits for a change from there before it requests
 /// the change from a peer.
--- a/src/gateway/policy/request/retry_after.rs
+++ b/src/gateway/policy/request/retry_after.rs
@@ -1,4 +1,4 @@
-//! When a client may retry that got 429 or 503: the times told in `Retry-After`.
+//! When a client may retry that got 429 or 503: the times sent in `Retry-After`.
 //!
 //! Quotas compute their own time, from the bucket's level (`quota`). All other times are
 //! here. They don't depend on the load; the route's target is the only input.
--- a/src/gateway/request/sized_body.rs
+++ b/src/gateway/request/sized_body.rs
@@ -11,7 +11,7 @@
 
 use crate::http::BodyError;
 
-/// Body that tells its length.
+/// Body of a known length.
 pub struct SizedBody<B> {
     body: Pin<Box<B>>,
     left: u64,
