--- a/src/gateway/request/attempt/endpoint_response.rs
+++ b/src/gateway/request/attempt/endpoint_response.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     gateway::request::{
-        connection_pool::EndpointConnection, response_meaning::ResponseSigns, run_guard::RunGuard,
+        connection_pool::EndpointConnection, response_meaning::ResponseMetadata, run_guard::RunGuard,
     },
     true_time,
 };
@@ -23,7 +23,7 @@
     /// Until when the attempt may wait for the body, if another one could follow.
     pub awaited_until: Instant,
     /// What its head says.
-    pub signs: ResponseSigns,
+    pub metadata: ResponseMetadata,
     /// Connection that it comes over.
     pub connection: EndpointConnection,
     /// The run at the endpoint.
--- a/src/gateway/request/attempt/judge.rs
+++ b/src/gateway/request/attempt/judge.rs
@@ -28,7 +28,7 @@
             connection_pool::EndpointConnection,
             drain::drain,
             request_log::RequestTrace,
-            response_meaning::{LimitSignal, ResponseMeaning, ResponseSigns},
+            response_meaning::{LimitSignal, ResponseMeaning, ResponseMetadata},
             run_guard::RunGuard,
         },
     },
@@ -45,13 +45,13 @@
     guard: RunGuard,
     trace: &mut RequestTrace,
 ) -> AttemptEnd {
-    let signs = ingress::read_response(&admitted.call.head.id, &response);
-    trace.responded(response.status(), &signs);
-    note_signals(&signs, &guard);
+    let metadata = ingress::read_response(&admitted.call.head.id, &response);
+    trace.responded(response.status(), &metadata);
+    note_signals(&metadata, &guard);
     let (status, body_start) = (response.status(), BodyStart::Unread);
     let response =
-        EndpointResponse { response, body_start, awaited_until, signs, connection, guard };
-    match signs.meaning {
+        EndpointResponse { response, body_start, awaited_until, metadata, connection, guard };
+    match metadata.meaning {
         ResponseMeaning::Ran if promises_no_run(status) => {
             // The client would take the status for a promise that the endpoint has not made.
             admitted.count_run(context);
@@ -68,13 +68,13 @@
 }
 
 /// Notes what the endpoint says of itself.
-fn note_signals(signs: &ResponseSigns, guard: &RunGuard) {
-    if signs.signals.is_draining {
+fn note_signals(metadata: &ResponseMetadata, guard: &RunGuard) {
+    if metadata.signals.is_draining {
         // Lists may call it ready for as long as the store is away.
         guard.endpoint_drains();
     }
     // An endpoint names a limit when it is in need: what it gets beyond is more than it can serve.
-    match (signs.meaning, signs.signals.limit) {
+    match (metadata.meaning, metadata.signals.limit) {
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::PerSecond(limit)) => {
             guard.endpoint_limits(believed_limit(limit));
         }
@@ -110,10 +110,10 @@
     response: EndpointResponse,
     failure: AttemptFailure,
 ) -> AttemptEnd {
-    let EndpointResponse { response, signs, connection, mut guard, .. } = response;
-    guard.endpoint_refused(signs.signals.backoff);
+    let EndpointResponse { response, metadata, connection, mut guard, .. } = response;
+    guard.endpoint_refused(metadata.signals.backoff);
     guard.finish(AttemptResult::Neutral);
-    drain(context, response, connection, signs);
+    drain(context, response, connection, metadata);
     AttemptEnd::Failed(failure)
 }
 
--- a/src/gateway/request/drain.rs
+++ b/src/gateway/request/drain.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, body::Incoming};
 use tokio::time::timeout;
 
-use super::{connection_pool::EndpointConnection, response_meaning::ResponseSigns};
+use super::{connection_pool::EndpointConnection, response_meaning::ResponseMetadata};
 use crate::gateway::context::GatewayContext;
 
 /// Longest wait for the rest of the response: such responses are short; a new connection costs less
@@ -19,16 +19,16 @@
     context: &Rc<GatewayContext>,
     response: Response<Incoming>,
     connection: EndpointConnection,
-    signs: ResponseSigns,
+    metadata: ResponseMetadata,
 ) {
-    if signs.closes {
+    if metadata.closes {
         return;
     }
     let pool = context.connections.clone();
     tokio::task::spawn_local(async move {
         let whole = timeout(DRAIN_LIMIT, response.into_body().collect()).await;
         if matches!(whole, Ok(Ok(_))) {
-            pool.give_back(connection, signs.keep);
+            pool.give_back(connection, metadata.keep);
         }
     });
 }
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -245,8 +245,8 @@
         request_served(&self.context, &self.admitted);
         upstream.guard.endpoint_ran();
         upstream.guard.finish(AttemptResult::Succeeded);
-        if !upstream.signs.closes {
-            self.context.connections.give_back(upstream.connection, upstream.signs.keep);
+        if !upstream.metadata.closes {
+            self.context.connections.give_back(upstream.connection, upstream.metadata.keep);
         }
     }
 }
--- a/src/gateway/request/relay/upstream.rs
+++ b/src/gateway/request/relay/upstream.rs
@@ -14,7 +14,7 @@
     gateway::request::{
         attempt::endpoint_response::{BodyStart, EndpointResponse},
         connection_pool::EndpointConnection,
-        response_meaning::ResponseSigns,
+        response_meaning::ResponseMetadata,
         run_guard::RunGuard,
     },
     platform::ingress,
@@ -26,7 +26,7 @@
     body_start: BodyStart,
     body: Incoming,
     /// What its head says.
-    pub signs: ResponseSigns,
+    pub metadata: ResponseMetadata,
     /// Connection that it comes over.
     pub connection: EndpointConnection,
     /// The run at the endpoint.
@@ -52,10 +52,10 @@
 impl Upstream {
     /// Splits a response into its head, and body with all that belongs to it.
     pub fn of(response: EndpointResponse) -> (Response<()>, Self) {
-        let EndpointResponse { response, body_start, signs, connection, guard, .. } = response;
+        let EndpointResponse { response, body_start, metadata, connection, guard, .. } = response;
         let (head, body) = ingress::client_response(response);
         let since = true_time::now();
-        (head, Self { body_start, body, signs, connection, guard, since, has_body: false })
+        (head, Self { body_start, body, metadata, connection, guard, since, has_body: false })
     }
 
     /// Bytes that are left of the body, if the endpoint has said how many there are.
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use tokio::time::Instant;
 
-use super::{connection_pool::SendFailure, response_meaning::ResponseSigns};
+use super::{connection_pool::SendFailure, response_meaning::ResponseMetadata};
 use crate::{
     gateway::{
         context::GatewayContext,
@@ -102,11 +102,11 @@
     }
 
     /// An endpoint responded.
-    pub fn responded(&mut self, status: StatusCode, signs: &ResponseSigns) {
+    pub fn responded(&mut self, status: StatusCode, metadata: &ResponseMetadata) {
         let after = true_time::since(self.begun).as_millis();
-        let (status, meaning) = (status.as_u16(), signs.meaning);
+        let (status, meaning) = (status.as_u16(), metadata.meaning);
         // Writing to a string cannot fail.
-        let _ = write!(self.steps, " {status} {meaning:?}{} after {after};", signs.signals);
+        let _ = write!(self.steps, " {status} {meaning:?}{} after {after};", metadata.signals);
     }
 
     /// The first event of a stream was passed on.
--- a/src/gateway/request/response_meaning.rs
+++ b/src/gateway/request/response_meaning.rs
@@ -63,7 +63,7 @@
 
 /// What the head of a response says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ResponseSigns {
+pub struct ResponseMetadata {
     /// Meaning for the request.
     pub meaning: ResponseMeaning,
     /// What the endpoint says of itself; nothing where another one has responded.
--- a/src/platform/ingress/endpoint.rs
+++ b/src/platform/ingress/endpoint.rs
@@ -16,7 +16,7 @@
 };
 use crate::gateway::{
     call::{AttemptHead, Call},
-    request::response_meaning::{EndpointSignals, ResponseMeaning, ResponseSigns},
+    request::response_meaning::{EndpointSignals, ResponseMeaning, ResponseMetadata},
 };
 
 /// Builds the request of one attempt; method, path and body stay as the client sent them.
@@ -51,7 +51,7 @@
 }
 
 /// Reads what a response to the request `id` says.
-pub fn read_response<B>(id: &str, response: &Response<B>) -> ResponseSigns {
+pub fn read_response<B>(id: &str, response: &Response<B>) -> ResponseMetadata {
     let headers = response.headers();
     let closes = text(headers, &header::CONNECTION).is_some_and(|value| {
         value.split(',').any(|part| part.trim().eq_ignore_ascii_case("close"))
@@ -62,7 +62,7 @@
         // Another endpoint's words, or the answer to another request.
         ResponseMeaning::OtherEndpoint | ResponseMeaning::Foreign => EndpointSignals::default(),
     };
-    ResponseSigns { meaning, signals, keep: read_keep_alive(headers), closes }
+    ResponseMetadata { meaning, signals, keep: read_keep_alive(headers), closes }
 }
 
 fn read_meaning<B>(id: &str, response: &Response<B>) -> ResponseMeaning {
