--- a/src/gateway/request/attempt/judge.rs
+++ b/src/gateway/request/attempt/judge.rs
@@ -78,7 +78,7 @@
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::PerSecond(limit)) => {
             guard.endpoint_limits(believed_limit(limit));
         }
-        (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::NotSaid) => {
+        (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::Absent) => {
             guard.endpoint_limits(None);
         }
         // Nothing is known of the limit.
--- a/src/gateway/request/response_meaning.rs
+++ b/src/gateway/request/response_meaning.rs
@@ -23,7 +23,7 @@
 pub enum LimitSignal {
     /// It names no limit.
     #[default]
-    NotSaid,
+    Absent,
     /// It names one that can't be read.
     Unreadable,
     /// So many requests a second, 0 or more.
--- a/src/platform/ingress/endpoint_signals.rs
+++ b/src/platform/ingress/endpoint_signals.rs
@@ -46,7 +46,7 @@
     match least {
         Some(limit) => LimitSignal::PerSecond(limit),
         None if headers.contains_key(LIMIT) => LimitSignal::Unreadable,
-        None => LimitSignal::NotSaid,
+        None => LimitSignal::Absent,
     }
 }
 
--- a/tests/gateway/endpoint_signals.rs
+++ b/tests/gateway/endpoint_signals.rs
@@ -127,7 +127,7 @@
         match signals.limit {
             LimitSignal::PerSecond(limit) => prop_assert!(limit.is_finite() && limit >= 0.0),
             LimitSignal::Unreadable => prop_assert!(signals.is_unreadable),
-            LimitSignal::NotSaid => prop_assert!(false, "the header is there"),
+            LimitSignal::Absent => prop_assert!(false, "the header is there"),
         }
     }
 
