--- a/src/gateway/policy/request/crash_ledger.rs
+++ b/src/gateway/policy/request/crash_ledger.rs
@@ -174,7 +174,7 @@
             return false;
         }
         let blamed = self.blamed(|other| other.evidence() >= evidence);
-        if record.evidence_beside(&blamed) < RUNS_TO_QUARANTINE {
+        if record.unexplained_evidence(&blamed) < RUNS_TO_QUARANTINE {
             return false;
         }
         if let Some(entry) = self.entries.get_mut(&request) {
@@ -190,7 +190,7 @@
         let is_explained = |record: &CrashRecord| {
             let evidence = record.evidence();
             let blamed = self.blamed(|other| other.evidence() > evidence);
-            evidence >= RUNS_TO_QUARANTINE && record.evidence_beside(&blamed) == 0
+            evidence >= RUNS_TO_QUARANTINE && record.unexplained_evidence(&blamed) == 0
         };
         let explained = self.quarantined().filter(|(_, record)| is_explained(record));
         let explained: Vec<RequestFingerprint> = explained.map(|(request, _)| *request).collect();
--- a/src/gateway/policy/request/crash_record.rs
+++ b/src/gateway/policy/request/crash_record.rs
@@ -145,7 +145,7 @@
     }
 
     /// The same without the runs that crashed together with one of `others`.
-    pub fn evidence_beside(&self, others: &[&Self]) -> usize {
+    pub fn unexplained_evidence(&self, others: &[&Self]) -> usize {
         let is_explained = |run: &CrashedRun| {
             let mut runs = others.iter().flat_map(|other| &other.runs);
             runs.any(|other| other.is_same_crash(run))
--- a/tests/gateway/crash_rules.rs
+++ b/tests/gateway/crash_rules.rs
@@ -417,7 +417,7 @@
         let evidence = record.evidence();
         prop_assert!(evidence <= record.runs.len() && record.runs.len() <= runs.len());
         prop_assert!(record.runs.is_sorted_by_key(|run| run.crashed));
-        prop_assert_eq!(record.evidence_beside(&[&record]), 0);
+        prop_assert_eq!(record.unexplained_evidence(&[&record]), 0);
         record.clear(clock.at(10_000));
         prop_assert_eq!(record.evidence(), 0);
     }
