--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -145,14 +145,14 @@
     /// Whether keys of the configuration may be used.
     pub fn key_freshness(&self, now: Instant) -> KeyFreshness {
         let proof = self.configuration.borrow().proof;
-        KeyFreshness::judge(proof, self.settings.bounds.key_freshness, now)
+        KeyFreshness::evaluate(proof, self.settings.bounds.key_freshness, now)
     }
 
     /// Why the configuration may not be the newest, if there is a reason.
     pub fn configuration_doubt(&self, now: Instant) -> Option<ConfigurationDoubt> {
         let proof = self.configuration.borrow().proof;
         let is_lagging = self.catch_up.borrow().configuration_lag(now).is_some();
-        ConfigurationDoubt::judge(proof, is_lagging, self.settings.bounds.apply_limit, now)
+        ConfigurationDoubt::evaluate(proof, is_lagging, self.settings.bounds.apply_limit, now)
     }
 
     /// Whether a call to the store has failed lately.
--- a/src/gateway/policy/request/configuration_doubt.rs
+++ b/src/gateway/policy/request/configuration_doubt.rs
@@ -24,7 +24,7 @@
 
 impl ConfigurationDoubt {
     /// Judges the newest proof, and whether a peer has reported a newer configuration.
-    pub fn judge(
+    pub fn evaluate(
         proof: Option<Instant>,
         is_lagging: bool,
         apply_limit: Duration,
--- a/src/gateway/policy/request/key_freshness.rs
+++ b/src/gateway/policy/request/key_freshness.rs
@@ -28,7 +28,7 @@
 
 impl KeyFreshness {
     /// Judges a proof by the greatest age that the deployment allows, none for any age.
-    pub fn judge(proof: Option<Instant>, max_age: Option<Duration>, now: Instant) -> Self {
+    pub fn evaluate(proof: Option<Instant>, max_age: Option<Duration>, now: Instant) -> Self {
         let Some(max_age) = max_age else { return Self::NotRequired };
         let max_age = max_age.saturating_sub(SAFETY_MARGIN);
         match proof {
--- a/tests/gateway/request_rules.rs
+++ b/tests/gateway/request_rules.rs
@@ -213,7 +213,7 @@
 #[googletest::test]
 fn keys_need_a_recent_proof() {
     let start = Instant::now();
-    let judge = |proof, max_age, age| KeyFreshness::judge(proof, max_age, start + millis(age));
+    let judge = |proof, max_age, age| KeyFreshness::evaluate(proof, max_age, start + millis(age));
     let max_age = Some(millis(5_000));
     expect_that!(judge(Some(start), max_age, 4_699), eq(KeyFreshness::Fresh));
     expect_that!(judge(Some(start), max_age, 4_700), eq(KeyFreshness::Stale));
@@ -273,7 +273,7 @@
 fn configuration_is_in_doubt_without_a_recent_proof_or_if_a_newer_one_is_known() {
     let start = Instant::now();
     let judge = |proof, is_lagging, age| {
-        ConfigurationDoubt::judge(proof, is_lagging, millis(3_000), start + millis(age))
+        ConfigurationDoubt::evaluate(proof, is_lagging, millis(3_000), start + millis(age))
     };
     expect_that!(judge(Some(start), false, 2_999), none());
     expect_that!(judge(Some(start), false, 3_000), some(eq(ConfigurationDoubt::NotProven)));
