--- a/src/gateway/policy/request/crash_ledger.rs
+++ b/src/gateway/policy/request/crash_ledger.rs
@@ -71,7 +71,7 @@
 
     /// Whether a request may be run now. `makes_trial` says whether this daemon is the one to
     /// make the trial of this number.
-    pub fn judge(
+    pub fn decide_run(
         &mut self,
         request: RequestFingerprint,
         makes_trial: impl FnOnce(u32) -> bool,
--- a/src/gateway/request/attempt/choice.rs
+++ b/src/gateway/request/attempt/choice.rs
@@ -41,7 +41,7 @@
     if !context.knows_what_peers_know(true_time::now()) {
         return Err(refusal(NoAttempt::NoPeerContact));
     }
-    match crash_watch::judge(context, admitted) {
+    match crash_watch::decide_run(context, admitted) {
         RunVerdict::Allowed => Ok(()),
         RunVerdict::Refused(wait) => Err(refusal(NoAttempt::Quarantined(wait))),
         RunVerdict::Trial => {
--- a/src/gateway/request/crash_watch.rs
+++ b/src/gateway/request/crash_watch.rs
@@ -54,7 +54,7 @@
 }
 
 /// Whether the request may be run now.
-pub fn judge(context: &GatewayContext, admitted: &Admitted) -> RunVerdict {
+pub fn decide_run(context: &GatewayContext, admitted: &Admitted) -> RunVerdict {
     let mut ledger = context.crashes.borrow_mut();
     if !is_on_record(&ledger, admitted) {
         return RunVerdict::Allowed;
@@ -63,7 +63,7 @@
     let makes_trial = |number: u32| {
         context.peers.borrow().is_first_for(request.head.wrapping_add(u64::from(number)))
     };
-    let verdict = ledger.judge(request, makes_trial, true_time::now());
+    let verdict = ledger.decide_run(request, makes_trial, true_time::now());
     match verdict {
         RunVerdict::Allowed => {}
         RunVerdict::Trial => {
--- a/tests/gateway/crash_model.rs
+++ b/tests/gateway/crash_model.rs
@@ -130,7 +130,7 @@
         let now = self.now;
         let mut daemons = self.daemons.iter_mut();
         let runs = |daemon: &mut ModelDaemon| {
-            daemon.ledger.judge(BLAMED, |_| false, now) == RunVerdict::Allowed
+            daemon.ledger.decide_run(BLAMED, |_| false, now) == RunVerdict::Allowed
         };
         daemons.by_ref().map(runs).filter(|runs| *runs).count()
     }
--- a/tests/gateway/crash_rules.rs
+++ b/tests/gateway/crash_rules.rs
@@ -181,7 +181,7 @@
 }
 
 fn judge(ledger: &mut CrashLedger, now: Instant) -> RunVerdict {
-    ledger.judge(request(1), |_| true, now)
+    ledger.decide_run(request(1), |_| true, now)
 }
 
 #[googletest::test]
@@ -190,7 +190,7 @@
     let mut ledger = quarantined(&clock, 1);
     let now = clock.at(1_300);
     expect_that!(judge(&mut ledger, now), eq(RunVerdict::Refused(seconds(29))));
-    expect_that!(ledger.judge(request(2), |_| true, now), eq(RunVerdict::Allowed));
+    expect_that!(ledger.decide_run(request(2), |_| true, now), eq(RunVerdict::Allowed));
 }
 
 #[googletest::test]
@@ -214,9 +214,9 @@
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
     let due = clock.at(60_000);
-    let refused = ledger.judge(request(1), |_| false, due);
+    let refused = ledger.decide_run(request(1), |_| false, due);
     expect_that!(refused, eq(RunVerdict::Refused(seconds(1))));
-    expect_that!(ledger.judge(request(1), |number| number == 0, due), eq(RunVerdict::Trial));
+    expect_that!(ledger.decide_run(request(1), |number| number == 0, due), eq(RunVerdict::Trial));
 }
 
 #[googletest::test]
@@ -275,7 +275,7 @@
         expect_that!(is_blamed, eq(place == 3), "its first runs may be the other's fault");
     }
     expect_that!(judge(&mut ledger, clock.at(1_000)), eq(RunVerdict::Allowed));
-    let other = ledger.judge(request(2), |_| true, clock.at(1_000));
+    let other = ledger.decide_run(request(2), |_| true, clock.at(1_000));
     expect_that!(matches!(other, RunVerdict::Refused(_)), eq(true));
 }
 
