--- a/src/gateway/policy/request/crash_ledger.rs
+++ b/src/gateway/policy/request/crash_ledger.rs
@@ -17,7 +17,7 @@
     fingerprint::RequestFingerprint,
 };
 
-/// Records that are kept: about 600 bytes each; a crash leaves as many as runs were at the
+/// Records that are retention: about 600 bytes each; a crash leaves as many as runs were at the
 /// endpoint.
 pub const MAX_RECORDS: usize = 1_024;
 /// Records in one report to another daemon: below 10 KB, 20 times a second, and only after crashes.
@@ -115,9 +115,9 @@
         let Some(entry) = self.entries.get_mut(&request) else { return false };
         let was_quarantined = entry.record.is_quarantined;
         // Popular requests are cleared many times a second; only the first one is news.
-        let is_news = !entry.record.runs.is_empty();
+        let was_suspected = !entry.record.runs.is_empty();
         entry.record.clear(now);
-        if is_news {
+        if was_suspected {
             self.mark_changed(request, now);
         }
         was_quarantined
@@ -130,13 +130,13 @@
         received: &CrashRecord,
         now: Instant,
     ) -> bool {
-        if received.is_old(now) {
+        if received.is_expired(now) {
             return false;
         }
         let entry = self.entries.entry(request).or_default();
         let before = entry.record.clone();
         entry.record.merge(received);
-        let is_changed = entry.record != before || entry.record.is_ahead_of(received);
+        let is_changed = entry.record != before || entry.record.has_cleared_runs_of(received);
         let is_adopted = entry.record.is_quarantined && !before.is_quarantined;
         if is_changed {
             self.mark_changed(request, now);
@@ -159,7 +159,7 @@
         let run = CrashedRun { endpoint: UNKNOWN_ENDPOINT, begun: crashed, crashed };
         let record =
             CrashRecord { runs: vec![run], is_quarantined: true, trials, ..CrashRecord::default() };
-        if !record.is_old(now) {
+        if !record.is_expired(now) {
             self.entries.insert(request, LedgerEntry { record, changed_at: Some(now) });
             self.evict();
         }
@@ -173,8 +173,8 @@
         if record.is_quarantined || evidence < RUNS_TO_QUARANTINE {
             return false;
         }
-        let blamed = self.blamed(|other| other.evidence() >= evidence);
-        if record.unexplained_evidence(&blamed) < RUNS_TO_QUARANTINE {
+        let explaining = self.explaining_records(|other| other.evidence() >= evidence);
+        if record.unexplained_evidence(&explaining) < RUNS_TO_QUARANTINE {
             return false;
         }
         if let Some(entry) = self.entries.get_mut(&request) {
@@ -189,8 +189,8 @@
     fn clear_explained(&mut self, now: Instant) {
         let is_explained = |record: &CrashRecord| {
             let evidence = record.evidence();
-            let blamed = self.blamed(|other| other.evidence() > evidence);
-            evidence >= RUNS_TO_QUARANTINE && record.unexplained_evidence(&blamed) == 0
+            let explaining = self.explaining_records(|other| other.evidence() > evidence);
+            evidence >= RUNS_TO_QUARANTINE && record.unexplained_evidence(&explaining) == 0
         };
         let explained = self.quarantined().filter(|(_, record)| is_explained(record));
         let explained: Vec<RequestFingerprint> = explained.map(|(request, _)| *request).collect();
@@ -200,7 +200,7 @@
     }
 
     /// Quarantined requests that may have the blame for others' runs.
-    fn blamed(&self, may_explain: impl Fn(&CrashRecord) -> bool) -> Vec<&CrashRecord> {
+    fn explaining_records(&self, may_explain: impl Fn(&CrashRecord) -> bool) -> Vec<&CrashRecord> {
         let records = self.quarantined().map(|(_, record)| record);
         records.filter(|record| may_explain(record)).collect()
     }
@@ -255,7 +255,7 @@
 
     /// Forgets what is too old to matter.
     pub fn forget_old(&mut self, now: Instant) {
-        self.entries.retain(|_, entry| !entry.record.is_old(now));
+        self.entries.retain(|_, entry| !entry.record.is_expired(now));
     }
 
     /// Drops the least important record if there are too many.
--- a/src/gateway/policy/request/crash_record.rs
+++ b/src/gateway/policy/request/crash_record.rs
@@ -26,10 +26,10 @@
 const MAX_RUNS: usize = 12;
 /// A request that is not quarantined is forgotten this long after its newest crash: clients that
 /// come again do so within their deadlines.
-const SUSPECTED_FOR: Duration = Duration::from_secs(60);
+const SUSPECT_RETENTION: Duration = Duration::from_secs(60);
 /// A quarantined request is forgotten this long after its newest crash: after the second of the
 /// longest waits between trials.
-const QUARANTINED_FOR: Duration = Duration::from_secs(60 * 60);
+const QUARANTINE_RETENTION: Duration = Duration::from_secs(60 * 60);
 /// Time from a crash of a quarantined request to its first trial: a trial may cost an endpoint and
 /// all that runs there, so it is not made often; repaired software is seldom rolled out faster.
 const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(30);
@@ -106,7 +106,7 @@
     /// Its times look younger by what its message took, and are returned to it in the same way: a
     /// time that is hardly newer is the same one, which would otherwise grow with each message.
     pub fn merge(&mut self, received: &Self) {
-        if let Some(at) = received.cleared_at.filter(|at| self.is_cleared_anew(*at)) {
+        if let Some(at) = received.cleared_at.filter(|at| self.is_new_clearance(*at)) {
             self.clear(at);
         }
         for run in &received.runs {
@@ -122,14 +122,14 @@
         }
     }
 
-    fn is_cleared_anew(&self, at: Instant) -> bool {
+    fn is_new_clearance(&self, at: Instant) -> bool {
         let is_later = self.cleared_at.is_none_or(|own| at > own + SAME_CRASH);
         let ends_suspicion = self.runs.iter().any(|run| run.crashed <= at);
         is_later || (ends_suspicion && self.cleared_at < Some(at))
     }
 
     /// Whether another daemon still holds runs against the request that are cleared here.
-    pub fn is_ahead_of(&self, received: &Self) -> bool {
+    pub fn has_cleared_runs_of(&self, received: &Self) -> bool {
         let is_cleared = |run: &CrashedRun| self.cleared_at.is_some_and(|at| run.crashed <= at);
         received.runs.iter().any(is_cleared)
     }
@@ -159,10 +159,10 @@
     }
 
     /// Whether it is too old to matter.
-    pub fn is_old(&self, now: Instant) -> bool {
-        let kept = if self.is_quarantined { QUARANTINED_FOR } else { SUSPECTED_FOR };
+    pub fn is_expired(&self, now: Instant) -> bool {
+        let retention = if self.is_quarantined { QUARANTINE_RETENTION } else { SUSPECT_RETENTION };
         let newest = self.last_crash().max(self.cleared_at);
-        newest.is_none_or(|at| now.saturating_duration_since(at) >= kept)
+        newest.is_none_or(|at| now.saturating_duration_since(at) >= retention)
     }
 
     /// When the next trial may be made.
--- a/src/gateway/policy/request/refusal.rs
+++ b/src/gateway/policy/request/refusal.rs
@@ -106,7 +106,7 @@
 }
 
 /// Whether clients take a status for a promise that the request has not run and never will.
-pub fn promises_no_run(status: StatusCode) -> bool {
+pub fn status_promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -159,9 +159,11 @@
             Self::NoConfiguration | Self::FleetUnknown | Self::NotFresh => {
                 Some(retry_after::DAEMON_STARTING)
             }
-            Self::NotYetKnown(ConfigurationDoubt::NewerReported) => Some(retry_after::CATCHING_UP),
+            Self::NotYetKnown(ConfigurationDoubt::NewerReported) => {
+                Some(retry_after::FETCHING_CONFIGURATION)
+            }
             Self::NotYetKnown(ConfigurationDoubt::NotProven) => Some(retry_after::DAEMON_STARTING),
-            Self::NoPeerContact => Some(retry_after::CONTACT_SOON),
+            Self::NoPeerContact => Some(retry_after::AWAITING_PEERS),
             Self::Leaving => Some(retry_after::AT_ONCE),
             Self::BadHead(_)
             | Self::BodyTooLong
--- a/src/gateway/policy/request/retry_after.rs
+++ b/src/gateway/policy/request/retry_after.rs
@@ -19,10 +19,10 @@
 pub const DAEMON_STARTING: Duration = Duration::from_millis(500);
 /// A newer configuration has been reported, and is being fetched: the daemon that is asked next may
 /// have it later.
-pub const CATCHING_UP: Duration = Duration::from_millis(300);
+pub const FETCHING_CONFIGURATION: Duration = Duration::from_millis(300);
 /// The daemon has not heard its peers since it started or stood still: it calls two of them every
 /// 0.1 s.
-pub const CONTACT_SOON: Duration = Duration::from_millis(200);
+pub const AWAITING_PEERS: Duration = Duration::from_millis(200);
 /// The daemon is stopping, and the balancer sends the retry to another one; or endpoints have room
 /// that this request was not allowed to try. Neither has need of a pause.
 pub const AT_ONCE: Duration = Duration::from_millis(20);
--- a/src/gateway/policy/request/retry_budget.rs
+++ b/src/gateway/policy/request/retry_budget.rs
@@ -37,7 +37,7 @@
 
     /// Counts a client's request.
     pub fn record_request(&mut self, now: Instant) {
-        self.forget_before_window(now);
+        self.drop_expired(now);
         self.requests.push_back(now);
     }
 
@@ -53,17 +53,17 @@
 
     /// Whether there is one to withdraw.
     pub fn has_retry(&mut self, share: f64, reserve: f64, now: Instant) -> bool {
-        self.forget_before_window(now);
+        self.drop_expired(now);
         let allowed = (self.requests.len() as f64 * share + reserve) * USED_FRACTION;
         (self.retries.len() as f64) + 1.0 <= allowed
     }
 
-    fn forget_before_window(&mut self, now: Instant) {
-        let is_old = |at: &Instant| now.saturating_duration_since(*at) > self.window;
-        while self.requests.front().is_some_and(is_old) {
+    fn drop_expired(&mut self, now: Instant) {
+        let is_expired = |at: &Instant| now.saturating_duration_since(*at) > self.window;
+        while self.requests.front().is_some_and(is_expired) {
             self.requests.pop_front();
         }
-        while self.retries.front().is_some_and(is_old) {
+        while self.retries.front().is_some_and(is_expired) {
             self.retries.pop_front();
         }
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -5,12 +5,12 @@
 
 pub mod admission;
 pub mod attempt;
+pub mod body_drain;
 pub mod client_listener;
 mod client_stream;
 pub mod connection_pool;
 pub mod crash_watch;
 pub mod dispatch;
-pub mod drain;
 pub mod event_cutter;
 pub mod refusal_response;
 pub mod relay;
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -6,7 +6,7 @@
 
 mod choice;
 pub mod endpoint_response;
-mod judge;
+mod response_evaluation;
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
 use self::{
     choice::{check_quarantine, choose, memory_tokens, prompt_tokens},
     endpoint_response::EndpointResponse,
-    judge::judge,
+    response_evaluation::evaluate_response,
 };
 use super::{
     admission::Admitted,
@@ -100,12 +100,12 @@
         Ok(connection) => connection,
         Err(failure) => return Ok(not_connected(&failure, guard, trace)),
     };
-    if !guard.try_send() {
-        return Ok(choose_anew(context, connection, trace));
+    if !guard.try_mark_sent() {
+        return Ok(return_unsent(context, connection, trace));
     }
     let now = true_time::now();
     let request = endpoint_request(admitted, &endpoint.id, resume_after, now);
-    let until = awaited_until(admitted, attempts, &choice, now);
+    let until = response_deadline(admitted, attempts, &choice, now);
     match connection.send(request, until).await {
         Err(failure) => {
             trace.failed(&failure);
@@ -114,7 +114,7 @@
         }
         Ok(response) => {
             attempts.sent += 1;
-            Ok(judge(context, admitted, response, until, connection, guard, trace))
+            Ok(evaluate_response(context, admitted, response, until, connection, guard, trace))
         }
     }
 }
@@ -126,7 +126,7 @@
 }
 
 /// While the connection came up its endpoint has come to want no more requests: nothing is sent.
-fn choose_anew(
+fn return_unsent(
     context: &GatewayContext,
     connection: EndpointConnection,
     trace: &mut RequestTrace,
@@ -147,7 +147,7 @@
     RunGuard::begin(context.clone(), &choice.endpoint, parts, load)
 }
 
-fn awaited_until(
+fn response_deadline(
     admitted: &Admitted,
     attempts: &Attempts,
     choice: &EndpointChoice,
@@ -179,7 +179,7 @@
         }
     };
     if matches!(failure, SendFailure::Broken(_)) {
-        note_broken_run(context, admitted, guard.record(), guard.begun(), trace);
+        record_broken_run(context, admitted, guard.record(), guard.begun(), trace);
     }
     match failure {
         // That an endpoint has closed an idle connection says nothing of its health: it may
@@ -194,7 +194,7 @@
 }
 
 /// Notes that a run has broken, and has its endpoint checked.
-pub fn note_broken_run(
+pub fn record_broken_run(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     endpoint: &Rc<EndpointRecord>,
--- a/src/gateway/request/attempt/endpoint_response.rs
+++ b/src/gateway/request/attempt/endpoint_response.rs
@@ -9,7 +9,8 @@
 
 use crate::{
     gateway::request::{
-        connection_pool::EndpointConnection, response_meaning::ResponseMetadata, run_guard::RunGuard,
+        connection_pool::EndpointConnection, response_meaning::ResponseMetadata,
+        run_guard::RunGuard,
     },
     true_time,
 };
@@ -21,7 +22,7 @@
     /// What was read of the body already.
     pub body_start: BodyStart,
     /// Until when the attempt may wait for the body, if another one could follow.
-    pub awaited_until: Instant,
+    pub response_deadline: Instant,
     /// What its head says.
     pub metadata: ResponseMetadata,
     /// Connection that it comes over.
@@ -47,10 +48,10 @@
     /// serve the request, which ends at `deadline`.
     pub async fn lacks_body(&mut self, deadline: Instant) -> bool {
         let body = self.response.body_mut();
-        if self.awaited_until >= deadline || body.is_end_stream() {
+        if self.response_deadline >= deadline || body.is_end_stream() {
             return false;
         }
-        match timeout_at(true_time::timer_at(self.awaited_until), body.frame()).await {
+        match timeout_at(true_time::timer_at(self.response_deadline), body.frame()).await {
             // Out of time.
             Err(_) => true,
             Ok(Some(Ok(frame))) => {
--- a/src/gateway/request/attempt/judge.rs
+++ b/src/gateway/request/attempt/response_evaluation.rs
@@ -19,14 +19,14 @@
         policy::{
             endpoint::request_limit::believed_limit,
             request::{
-                refusal::promises_no_run,
+                refusal::status_promises_not_run,
                 retries::{AttemptFailure, is_endpoint_failure},
             },
         },
         request::{
             admission::Admitted,
+            body_drain::drain_body,
             connection_pool::EndpointConnection,
-            drain::drain,
             request_log::RequestTrace,
             response_meaning::{LimitSignal, ResponseMeaning, ResponseMetadata},
             run_guard::RunGuard,
@@ -36,39 +36,41 @@
 };
 
 /// Judges the head of a response.
-pub fn judge(
+pub fn evaluate_response(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     response: Response<Incoming>,
-    awaited_until: Instant,
+    response_deadline: Instant,
     connection: EndpointConnection,
     guard: RunGuard,
     trace: &mut RequestTrace,
 ) -> AttemptEnd {
     let metadata = ingress::read_response(&admitted.call.head.id, &response);
     trace.responded(response.status(), &metadata);
-    note_signals(&metadata, &guard);
+    record_signals(&metadata, &guard);
     let (status, body_start) = (response.status(), BodyStart::Unread);
     let response =
-        EndpointResponse { response, body_start, awaited_until, metadata, connection, guard };
+        EndpointResponse { response, body_start, response_deadline, metadata, connection, guard };
     match metadata.meaning {
-        ResponseMeaning::Ran if promises_no_run(status) => {
+        ResponseMeaning::Ran if status_promises_not_run(status) => {
             // The client would take the status for a promise that the endpoint has not made.
             admitted.count_run(context);
-            refused(context, response, AttemptFailure::MayHaveRun)
+            handle_refusal(context, response, AttemptFailure::MayHaveRun)
         }
-        ResponseMeaning::Ran => ran(context, admitted, response),
-        ResponseMeaning::NotRun => refused(context, response, AttemptFailure::NotRun),
+        ResponseMeaning::Ran => handle_run(context, admitted, response),
+        ResponseMeaning::NotRun => handle_refusal(context, response, AttemptFailure::NotRun),
         ResponseMeaning::OtherEndpoint => {
             response.guard.endpoint_ended();
-            not_its_own(context, response, AttemptFailure::NotRun)
+            discard_mismatched(context, response, AttemptFailure::NotRun)
+        }
+        ResponseMeaning::Foreign => {
+            discard_mismatched(context, response, AttemptFailure::MayHaveRun)
         }
-        ResponseMeaning::Foreign => not_its_own(context, response, AttemptFailure::MayHaveRun),
     }
 }
 
 /// Notes what the endpoint says of itself.
-fn note_signals(metadata: &ResponseMetadata, guard: &RunGuard) {
+fn record_signals(metadata: &ResponseMetadata, guard: &RunGuard) {
     if metadata.signals.is_draining {
         // Lists may call it ready for as long as the store is away.
         guard.endpoint_drains();
@@ -87,7 +89,7 @@
     }
 }
 
-fn ran(
+fn handle_run(
     context: &GatewayContext,
     admitted: &Admitted,
     mut response: EndpointResponse,
@@ -105,7 +107,7 @@
     AttemptEnd::Responded(Box::new(response))
 }
 
-fn refused(
+fn handle_refusal(
     context: &Rc<GatewayContext>,
     response: EndpointResponse,
     failure: AttemptFailure,
@@ -113,12 +115,12 @@
     let EndpointResponse { response, metadata, connection, mut guard, .. } = response;
     guard.endpoint_refused(metadata.signals.backoff);
     guard.finish(AttemptResult::Neutral);
-    drain(context, response, connection, metadata);
+    drain_body(context, response, connection, metadata);
     AttemptEnd::Failed(failure)
 }
 
 /// The response is of another endpoint, or to another request.
-fn not_its_own(
+fn discard_mismatched(
     context: &GatewayContext,
     response: EndpointResponse,
     failure: AttemptFailure,
--- a/src/gateway/request/drain.rs
+++ b/src/gateway/request/body_drain.rs
@@ -15,7 +15,7 @@
 
 /// Reads the rest in a task of its own. If that fails or takes too long the connection is
 /// dropped, and the next attempt opens a new one.
-pub fn drain(
+pub fn drain_body(
     context: &Rc<GatewayContext>,
     response: Response<Incoming>,
     connection: EndpointConnection,
--- a/src/gateway/request/client_stream.rs
+++ b/src/gateway/request/client_stream.rs
@@ -1,7 +1,7 @@
 //! A client's connection that notices its close while the HTTP library does not read.
 //!
 //! The library reads no further while bytes of a next request are unread, and a close stands
-//! behind those bytes. What is read here meanwhile is kept for the library.
+//! behind those bytes. What is read here meanwhile is buffered for the library.
 
 use std::{
     cell::RefCell,
@@ -17,15 +17,15 @@
     net::TcpStream,
 };
 
-/// Most bytes that are kept for the library; beyond them a close is not noticed. A few requests
+/// Most bytes that are buffered for the library; beyond them a close is not noticed. A few requests
 /// without a body.
-const MAX_KEPT: usize = 16 * 1024;
+const MAX_BUFFERED: usize = 16 * 1024;
 /// Bytes read at once: a request's head.
 const READ_SIZE: usize = 1_024;
 
 struct StreamState {
     stream: TcpStream,
-    kept: BytesMut,
+    buffered: BytesMut,
     is_closed: bool,
 }
 
@@ -38,20 +38,20 @@
 impl ClientStream {
     /// Takes over an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
-        let state = StreamState { stream, kept: BytesMut::new(), is_closed: false };
+        let state = StreamState { stream, buffered: BytesMut::new(), is_closed: false };
         Self { state: Rc::new(RefCell::new(state)) }
     }
 
     /// Ready when the client has closed its side.
     pub fn poll_closed(&self, task: &mut Context<'_>) -> Poll<()> {
         let mut state = self.state.borrow_mut();
-        while !state.is_closed && state.kept.len() < MAX_KEPT {
+        while !state.is_closed && state.buffered.len() < MAX_BUFFERED {
             let mut bytes = [0; READ_SIZE];
             let mut buffer = ReadBuf::new(&mut bytes);
             let read = ready!(Pin::new(&mut state.stream).poll_read(task, &mut buffer));
             // An error is a close too: the library meets it when it reads or writes.
             state.is_closed = read.is_err() || buffer.filled().is_empty();
-            state.kept.extend_from_slice(buffer.filled());
+            state.buffered.extend_from_slice(buffer.filled());
             // The library may wait for what was read here.
             task.waker().wake_by_ref();
         }
@@ -69,10 +69,10 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let mut state = self.state.borrow_mut();
-        if !state.kept.is_empty() {
-            let length = state.kept.len().min(buffer.remaining());
-            buffer.put_slice(&state.kept[..length]);
-            state.kept.advance(length);
+        if !state.buffered.is_empty() {
+            let length = state.buffered.len().min(buffer.remaining());
+            buffer.put_slice(&state.buffered[..length]);
+            state.buffered.advance(length);
             return Poll::Ready(Ok(()));
         }
         if state.is_closed {
--- a/src/gateway/request/connection_pool.rs
+++ b/src/gateway/request/connection_pool.rs
@@ -44,7 +44,7 @@
 /// dropped the connection silently, or send a surplus response late.
 const IDLE_LIMIT_RUN_ONCE: Duration = Duration::from_millis(250);
 /// Idle connections kept for each endpoint.
-const KEPT_LIMIT: usize = 16;
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 /// Longest wait until a connection that was just given back is ready: the library needs a turn of
 /// its own task for it.
 const READY_LIMIT: Duration = Duration::from_millis(5);
@@ -229,7 +229,7 @@
         let now = true_time::now();
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(connection.endpoint).or_default();
-        if list.len() < KEPT_LIMIT {
+        if list.len() < MAX_IDLE_PER_ENDPOINT {
             let sender = connection.sender;
             list.push(IdleConnection { sender, since: now, until: now + usable_for });
         }
--- a/src/gateway/request/crash_watch.rs
+++ b/src/gateway/request/crash_watch.rs
@@ -56,7 +56,7 @@
 /// Whether the request may be run now.
 pub fn decide_run(context: &GatewayContext, admitted: &Admitted) -> RunVerdict {
     let mut ledger = context.crashes.borrow_mut();
-    if !is_on_record(&ledger, admitted) {
+    if !may_be_recorded(&ledger, admitted) {
         return RunVerdict::Allowed;
     }
     let request = admitted.fingerprint();
@@ -78,7 +78,7 @@
 /// Clears a request to which an endpoint has given a whole response.
 pub fn request_served(context: &GatewayContext, admitted: &Admitted) {
     let mut ledger = context.crashes.borrow_mut();
-    if !is_on_record(&ledger, admitted) {
+    if !may_be_recorded(&ledger, admitted) {
         return;
     }
     let request = admitted.fingerprint();
@@ -89,7 +89,7 @@
 
 /// Whether the ledger may hold the request. Mostly it is empty, and nothing is hashed; otherwise
 /// it holds few heads, and only few bodies are read.
-fn is_on_record(ledger: &CrashLedger, admitted: &Admitted) -> bool {
+fn may_be_recorded(ledger: &CrashLedger, admitted: &Admitted) -> bool {
     !ledger.is_empty() && ledger.has_head(admitted.fingerprint_head())
 }
 
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -10,7 +10,7 @@
     attempt::{
         AttemptEnd, Attempts, attempt,
         endpoint_response::{BodyStart, EndpointResponse},
-        has_another, may_try_again, note_broken_run, wait_for_room,
+        has_another, may_try_again, record_broken_run, wait_for_room,
     },
     refusal_response::refusal_response,
     relay,
@@ -31,7 +31,7 @@
 };
 
 /// Error that closes the connection of a client whose request did not arrive whole.
-const CLIENT_BROKE_OFF: &str = "client broke off";
+const INCOMPLETE_BODY: &str = "client broke off";
 
 /// Responds to a client's request; an error closes the connection without a response.
 pub async fn respond(
@@ -69,7 +69,7 @@
     match admit(context, head, body, received, &mut trace).await {
         Err(Refusal::BodyBroken) => {
             trace.refused(&Refusal::BodyBroken);
-            Err(std::io::Error::other(CLIENT_BROKE_OFF))
+            Err(std::io::Error::other(INCOMPLETE_BODY))
         }
         Err(refusal) => {
             trace.refused(&refusal);
@@ -150,10 +150,10 @@
     if response.response.status().is_server_error() {
         return Some(response);
     }
-    trace.has_no_body();
+    trace.missing_body();
     if response.body_start == BodyStart::Broken {
         let (endpoint, begun) = (response.guard.record(), response.guard.begun());
-        note_broken_run(context, admitted, endpoint, begun, trace);
+        record_broken_run(context, admitted, endpoint, begun, trace);
     }
     response.guard.finish(AttemptResult::Failed);
     None
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -20,7 +20,7 @@
     admission::Admitted,
     attempt::{
         AttemptEnd, Attempts, attempt, endpoint_response::EndpointResponse, may_try_again,
-        note_broken_run,
+        record_broken_run,
     },
     crash_watch::request_served,
     event_cutter::EventCutter,
@@ -135,7 +135,7 @@
                 NextPiece::Broken(error) => error,
             };
             if error == RelayError::OutOfTime {
-                self.note_silence();
+                self.handle_timeout();
             }
             if error == RelayError::OutOfTime || !self.resume().await {
                 self.ended = true;
@@ -165,8 +165,8 @@
             }
             BodyPiece::Silent => return NextPiece::Broken(RelayError::BrokenOff),
             BodyPiece::Broken => {
-                let (endpoint, since) = (upstream.guard.record(), upstream.since);
-                note_broken_run(&self.context, &self.admitted, endpoint, since, &mut self.trace);
+                let (endpoint, begun) = (upstream.guard.record(), upstream.head_received);
+                record_broken_run(&self.context, &self.admitted, endpoint, begun, &mut self.trace);
                 return NextPiece::Broken(RelayError::BrokenOff);
             }
         };
@@ -204,7 +204,7 @@
 
     /// The time is over. An endpoint of whose body nothing has come has failed; one that was at work
     /// has not.
-    fn note_silence(&mut self) {
+    fn handle_timeout(&mut self) {
         if let Some(upstream) = self.upstream.take_if(|upstream| !upstream.has_body) {
             upstream.guard.finish(AttemptResult::Failed);
         }
--- a/src/gateway/request/relay/upstream.rs
+++ b/src/gateway/request/relay/upstream.rs
@@ -32,7 +32,7 @@
     /// The run at the endpoint.
     pub guard: RunGuard,
     /// When its head came: the endpoint runs the request since then, or a little longer.
-    pub since: Instant,
+    pub head_received: Instant,
     /// Whether anything has come of the body.
     pub has_body: bool,
 }
@@ -54,8 +54,11 @@
     pub fn of(response: EndpointResponse) -> (Response<()>, Self) {
         let EndpointResponse { response, body_start, metadata, connection, guard, .. } = response;
         let (head, body) = ingress::client_response(response);
-        let since = true_time::now();
-        (head, Self { body_start, body, metadata, connection, guard, since, has_body: false })
+        let head_received = true_time::now();
+        (
+            head,
+            Self { body_start, body, metadata, connection, guard, head_received, has_body: false },
+        )
     }
 
     /// Bytes that are left of the body, if the endpoint has said how many there are.
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -89,7 +89,7 @@
     }
 
     /// A response has a head only, and another attempt follows.
-    pub fn has_no_body(&mut self) {
+    pub fn missing_body(&mut self) {
         let after = true_time::since(self.begun).as_millis();
         // Writing to a string cannot fail.
         let _ = write!(self.steps, " no body after {after};");
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -32,7 +32,7 @@
     is_sent: bool,
     /// Whether no other prompt was known to wait at the endpoint, so that the time to the first
     /// event shows the prefill rate.
-    alone: bool,
+    was_idle: bool,
     /// Whether the endpoint has failed the request, which is then known already.
     has_failed: bool,
     result: AttemptResult,
@@ -48,7 +48,7 @@
     ) -> Self {
         let begun = true_time::now();
         let mut endpoints = context.endpoints.borrow_mut();
-        let alone = endpoints.is_idle(&endpoint.id, begun);
+        let was_idle = endpoints.is_idle(&endpoint.id, begun);
         let tickets = endpoints.begin(&endpoint.id, parts, load, begun);
         drop(endpoints);
         Self {
@@ -58,7 +58,7 @@
             begun,
             tickets,
             is_sent: false,
-            alone,
+            was_idle,
             has_failed: false,
             result: AttemptResult::Neutral,
         }
@@ -66,7 +66,7 @@
 
     /// Whether the request may be sent, which it then is. Since it was chosen its endpoint may have said
     /// that it drains, wants a back-off or takes fewer requests, or a list that it goes.
-    pub fn try_send(&mut self) -> bool {
+    pub fn try_mark_sent(&mut self) -> bool {
         let now = true_time::now();
         let mut endpoints = self.context.endpoints.borrow_mut();
         if !endpoints.may_be_sent(&self.endpoint, now) {
@@ -118,7 +118,7 @@
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
             let found = endpoints.record_failure(&self.endpoint.id, self.begun, true_time::now());
-            note_failing(&self.context, &self.endpoint, found);
+            report_failing(&self.context, &self.endpoint, found);
         }
     }
 
@@ -173,7 +173,7 @@
                 &self.endpoint.id,
                 uncached,
                 true_time::since(self.begun),
-                self.alone,
+                self.was_idle,
             );
         }
     }
@@ -187,7 +187,11 @@
 }
 
 /// Logs that an endpoint is found to fail more often than others.
-fn note_failing(context: &GatewayContext, endpoint: &EndpointRecord, found: Option<FoundFailing>) {
+fn report_failing(
+    context: &GatewayContext,
+    endpoint: &EndpointRecord,
+    found: Option<FoundFailing>,
+) {
     let Some(FoundFailing { fraction }) = found else { return };
     context.metrics.count("endpoints_found_failing", 1);
     spdlog::warn!("endpoint fails", kv: { endpoint: = endpoint.id, fraction });
@@ -206,6 +210,6 @@
         let ticket = self.tickets.probe.take();
         endpoints.record_intake(&self.endpoint.id, ticket, RequestIntake::Unknown, now);
         let found = endpoints.end(&self.endpoint.id, self.load, self.result, self.begun, now);
-        note_failing(&self.context, &self.endpoint, found);
+        report_failing(&self.context, &self.endpoint, found);
     }
 }
