--- a/src/gateway/policy/request.rs
+++ b/src/gateway/policy/request.rs
@@ -1,6 +1,7 @@
-//! Rules of one request. It meets `admission`, `key_freshness`, `quota`, `time_limits`,
-//! `endpoint_priority`, `retries` and `retry_budget` in this order; `refusal` lists how it may be
-//! refused, `retry_after` when the client may try again.
+//! Rules for a single request, applied in this order: `admission`, `key_freshness`, `quota`,
+//! `time_limits`, `endpoint_priority`, `retries` and `retry_budget`. `refusal` lists the reasons
+//! for which a request may be refused, and `retry_after` sets the time after which the client may
+//! retry.
 
 pub mod admission;
 pub mod configuration_doubt;
--- a/src/gateway/policy/request/crash_checks.rs
+++ b/src/gateway/policy/request/crash_checks.rs
@@ -1,5 +1,5 @@
-//! Runs that broke, while the endpoints at which they broke are checked (`request::crash_watch`):
-//! one check serves for all runs that broke at an endpoint since it began.
+//! Broken runs that wait for the check of their endpoint (`request::crash_watch`). One check covers
+//! all runs that break at an endpoint until the check has finished.
 
 use std::{cell::RefCell, collections::HashMap};
 
@@ -8,25 +8,26 @@
 use super::fingerprint::RequestFingerprint;
 use crate::ids::SharedName;
 
-/// A run that broke without a whole response.
+/// A run whose connection broke before the response was complete.
 #[derive(Clone, Copy, Debug)]
 pub struct BrokenRun {
     /// The request.
     pub request: RequestFingerprint,
-    /// When it was sent, or when the head of its response came.
+    /// When the attempt began, or when the head of its response arrived.
     pub begun: Instant,
     /// When it broke.
     pub broken: Instant,
 }
 
-/// Runs that broke at endpoints that are being checked.
+/// Broken runs by endpoint, for the endpoints that are being checked.
 #[derive(Debug, Default)]
 pub struct CrashChecks {
     pending: RefCell<HashMap<SharedName, Vec<BrokenRun>>>,
 }
 
 impl CrashChecks {
-    /// Adds a run; whether it is the first one, so that a check of its endpoint has to begin.
+    /// Adds a run. Returns whether it is the endpoint's first one, so that a check has to be
+    /// started.
     pub fn add(&self, endpoint: &SharedName, run: BrokenRun) -> bool {
         let mut pending = self.pending.borrow_mut();
         let runs = pending.entry(endpoint.clone()).or_default();
@@ -34,7 +35,7 @@
         runs.len() == 1
     }
 
-    /// Takes the runs that broke at an endpoint, whose check is over.
+    /// Removes and returns the runs of an endpoint whose check has finished.
     pub fn take(&self, endpoint: &str) -> Vec<BrokenRun> {
         self.pending.borrow_mut().remove(endpoint).into_iter().flatten().collect()
     }
--- a/src/gateway/policy/request/crash_ledger.rs
+++ b/src/gateway/policy/request/crash_ledger.rs
@@ -1,11 +1,11 @@
-//! Which requests may not be run because they crash the endpoints that run them.
+//! Decides which requests are refused because they crash the endpoints that run them.
 //!
-//! Inputs: runs of this daemon's requests under which an endpoint has ended, whole responses to
-//! requests that are on record, and the records of other daemons, which gossip brings within
-//! about a second. A request with enough evidence (`crash_record`) is quarantined: refused until
-//! a trial, a whole response or an operator clears it. Where several requests ran at the same
-//! crashes, the one with the most evidence has the blame. Without records from others a daemon
-//! goes by its own runs alone.
+//! Inputs are this daemon's runs during which an endpoint ended, complete responses to requests
+//! that have a record, and the records of other daemons, which arrive by gossip within about a
+//! second. A request with enough evidence (`crash_record`) is quarantined: it is refused until a
+//! trial, a complete response or an operator clears it. If several requests were running during the
+//! same crashes, the one with the most evidence is taken for the cause. Without records from other
+//! daemons, a daemon decides by its own runs alone.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,31 +17,33 @@
     fingerprint::RequestFingerprint,
 };
 
-/// Records that are retention: about 600 bytes each; a crash leaves as many as runs were at the
-/// endpoint.
+/// Most records that are kept, of about 600 bytes each. A crash adds one for each request that was
+/// running at the endpoint.
 pub const MAX_RECORDS: usize = 1_024;
-/// Records in one report to another daemon: below 10 KB, 20 times a second, and only after crashes.
+/// Most records in one report to another daemon: less than 10 KB, 20 times a second, and only after
+/// crashes.
 pub const MAX_REPORTED: usize = 64;
-/// Records that have changed within this time are reported before all others: some rounds of gossip
+/// Records that have changed within this time are reported before all others: several gossip rounds
 /// in a fleet of many groups.
 const FRESH_FOR: Duration = Duration::from_secs(5);
-/// After a change, other daemons than the usual ones are called for this long: five gossip
-/// intervals.
+/// After a change, gossip also calls daemons that it doesn't usually call for this long: five
+/// gossip intervals.
 const URGENT_FOR: Duration = Duration::from_millis(500);
-/// Shortest time that a client is told to wait: a trial that is due is made by one daemon only.
+/// Shortest retry-after of a refused client. Needed when a trial is due already: only one daemon
+/// makes it, and the others go on refusing.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Number in place of an endpoint's, for runs of which only the time is known.
+/// Endpoint number of restored runs, for which only the time of the crash is known.
 const UNKNOWN_ENDPOINT: u64 = 0;
 
 /// Whether a request may be run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunVerdict {
-    /// Yes.
+    /// It may be run.
     Allowed,
-    /// Yes, as the only one for now, to see whether it still crashes endpoints.
+    /// It may be run as the only trial for now, to find out whether it still crashes endpoints.
     Trial,
-    /// No; the next trial is due after this time.
+    /// It may not be run; the next trial is due after this time.
     Refused(Duration),
 }
 
@@ -55,12 +57,13 @@
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     entries: BTreeMap<RequestFingerprint, LedgerEntry>,
-    /// When this daemon last learnt something that others may not know.
+    /// When a record last changed in a way that other daemons may not know of.
     changed_at: Option<Instant>,
 }
 
 impl CrashLedger {
-    /// Whether a request with this head is on record; its body needs to be read only then.
+    /// Whether there is a record of a request with this head. Only then does its body have to be
+    /// read.
     pub fn has_head(&self, head: u64) -> bool {
         let all = RequestFingerprint { head, content: 0 }..=RequestFingerprint {
             head,
@@ -69,8 +72,8 @@
         self.entries.range(all).next().is_some()
     }
 
-    /// Whether a request may be run now. `makes_trial` says whether this daemon is the one to
-    /// make the trial of this number.
+    /// Decides whether a request may be run now, and records the trial if it is one. `makes_trial`
+    /// returns whether this daemon is the one that makes the trial of the given number.
     pub fn decide_run(
         &mut self,
         request: RequestFingerprint,
@@ -92,8 +95,8 @@
         RunVerdict::Trial
     }
 
-    /// Records that an endpoint has ended under a run; returns whether the request is quarantined
-    /// for it.
+    /// Records that an endpoint ended during a run. Returns whether this puts the request into
+    /// quarantine.
     pub fn record_crash(
         &mut self,
         request: RequestFingerprint,
@@ -109,12 +112,12 @@
         self.try_quarantine(request, now)
     }
 
-    /// Clears a request that is on record: an endpoint gave a whole response to it, or an
-    /// operator asks for it. Returns whether it was quarantined.
+    /// Clears a recorded request after a complete response, or on an operator's demand. Returns
+    /// whether it was quarantined.
     pub fn clear(&mut self, request: RequestFingerprint, now: Instant) -> bool {
         let Some(entry) = self.entries.get_mut(&request) else { return false };
         let was_quarantined = entry.record.is_quarantined;
-        // Popular requests are cleared many times a second; only the first one is news.
+        // Popular requests are cleared many times a second; only the first time is reported.
         let was_suspected = !entry.record.runs.is_empty();
         entry.record.clear(now);
         if was_suspected {
@@ -123,7 +126,7 @@
         was_quarantined
     }
 
-    /// Receives another daemon's record; returns whether the request is quarantined for it.
+    /// Merges another daemon's record. Returns whether this puts the request into quarantine.
     pub fn receive(
         &mut self,
         request: RequestFingerprint,
@@ -145,7 +148,8 @@
         is_adopted || self.try_quarantine(request, now)
     }
 
-    /// Quarantines a request that was refused before all daemons ended, if nothing is known of it.
+    /// Restores a quarantine from before all daemons ended, unless the request has a record
+    /// already.
     pub fn restore(
         &mut self,
         request: RequestFingerprint,
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Quarantines a request if there is enough evidence that no other one explains.
+    /// Quarantines a request if there is enough evidence that no other request explains.
     fn try_quarantine(&mut self, request: RequestFingerprint, now: Instant) -> bool {
         let Some(entry) = self.entries.get(&request) else { return false };
         let record = &entry.record;
@@ -185,7 +189,7 @@
         true
     }
 
-    /// Clears quarantined requests of which all runs are explained by others with more evidence.
+    /// Clears quarantined requests whose crashes are all explained by requests with more evidence.
     fn clear_explained(&mut self, now: Instant) {
         let is_explained = |record: &CrashRecord| {
             let evidence = record.evidence();
@@ -199,7 +203,7 @@
         }
     }
 
-    /// Quarantined requests that may have the blame for others' runs.
+    /// Quarantined requests that may be the cause of other requests' crashes.
     fn explaining_records(&self, may_explain: impl Fn(&CrashRecord) -> bool) -> Vec<&CrashRecord> {
         let records = self.quarantined().map(|(_, record)| record);
         records.filter(|record| may_explain(record)).collect()
@@ -212,13 +216,13 @@
         }
     }
 
-    /// Whether this daemon has learnt something a moment ago that all others should know soon.
+    /// Whether a record has just changed, so that all other daemons should get it soon.
     pub fn is_urgent(&self, now: Instant) -> bool {
         self.changed_at.is_some_and(|at| now.saturating_duration_since(at) < URGENT_FOR)
     }
 
-    /// Records for another daemon: those that have just changed, and of the quarantined ones as
-    /// many as there is room for, chosen at random.
+    /// Records to report to another daemon: those that have changed recently, then a random
+    /// selection of the quarantined ones up to `MAX_REPORTED`.
     pub fn report(
         &self,
         now: Instant,
@@ -248,12 +252,12 @@
         self.entries.len()
     }
 
-    /// Whether nothing is on record.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired records.
     pub fn forget_old(&mut self, now: Instant) {
         self.entries.retain(|_, entry| !entry.record.is_expired(now));
     }
--- a/src/gateway/policy/request/crash_record.rs
+++ b/src/gateway/policy/request/crash_record.rs
@@ -1,79 +1,79 @@
-//! What is known of one request whose runs have crashed endpoints, and whether it is to blame.
+//! The crashes recorded for one request, and whether they are enough evidence that it causes them.
 //!
-//! A crash takes down all that runs beside the request that causes it, and a popular request runs
-//! everywhere when a zone or a fleet goes. Runs count as evidence one after another only: each
-//! has to begin after the former one has crashed, so that any number of runs that break together
-//! count once. A whole response from any endpoint ends all suspicion. Times of other daemons'
-//! runs come as ages; what a message took to arrive makes them look younger, by less than
-//! `SAME_CRASH`.
+//! A crash breaks all other runs at the endpoint too, and a popular request is running everywhere
+//! when a zone or a fleet fails. So only consecutive runs count as evidence: each has to begin
+//! after the previous one crashed, and any number of runs that break together count once. A
+//! complete response from any endpoint clears the request. Other daemons report the times of their
+//! runs as ages; a message's transit time makes these look younger, by less than `SAME_CRASH`.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Runs one after another that have crashed their endpoints, after which a request is quarantined.
-/// With two, requests that crash nothing would be quarantined where two endpoints end in a row.
+/// Consecutive runs that have to crash their endpoints before a request is quarantined. With two,
+/// harmless requests would be quarantined whenever two endpoints end in a row.
 pub const RUNS_TO_QUARANTINE: usize = 3;
-/// Crashes of one endpoint that lie closer together than this are the same one, seen by several
-/// daemons, or by requests that arrived after it: above the time of a message between daemons,
-/// below the seconds that an endpoint takes to start.
+/// Reports of crashes of one endpoint that are closer together than this are taken for the same
+/// crash, seen by several daemons or by requests that arrived after it. Longer than a message
+/// between daemons takes, shorter than the seconds that an endpoint takes to start.
 const SAME_CRASH: Duration = Duration::from_secs(1);
-/// A run that begins so little before a crash counts as begun after it: a retry begins just after
-/// the crash that causes it, and reports of the two runs in different messages shift their times.
+/// A run that begins less than this before a crash counts as begun after it: a retry begins right
+/// after the crash that causes it, and the two runs' times may be shifted against each other when
+/// they are reported in different messages.
 const SEQUENCE_SLACK: Duration = Duration::from_millis(20);
-/// Runs that are remembered of a request, the newest: with many runs at a time, those that count
-/// one after another are among them.
+/// Number of newest runs that are kept for a request: enough to contain the consecutive ones even
+/// when many runs break at a time.
 const MAX_RUNS: usize = 12;
-/// A request that is not quarantined is forgotten this long after its newest crash: clients that
-/// come again do so within their deadlines.
+/// The record of a request that is not quarantined is removed this long after its newest crash:
+/// clients retry within their deadlines.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(60);
-/// A quarantined request is forgotten this long after its newest crash: after the second of the
-/// longest waits between trials.
+/// The record of a quarantined request is removed this long after its newest crash, that is after
+/// the second of the longest waits between trials.
 const QUARANTINE_RETENTION: Duration = Duration::from_secs(60 * 60);
-/// Time from a crash of a quarantined request to its first trial: a trial may cost an endpoint and
-/// all that runs there, so it is not made often; repaired software is seldom rolled out faster.
+/// Time from the newest crash of a quarantined request to its first trial. A trial may crash an
+/// endpoint and everything that runs there, so trials are rare; a fix is seldom rolled out faster.
 const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(30);
-/// Each further trial comes this many times later: three trials within ten minutes and a half.
+/// Factor by which the wait grows with each trial: three trials within ten and a half minutes.
 const TRIAL_BACKOFF: u32 = 4;
-/// Longest time between two trials.
+/// Longest wait between two trials.
 const MAX_TRIAL_WAIT: Duration = Duration::from_secs(30 * 60);
 
-/// A run under which its endpoint ended.
+/// A run that was in progress when its endpoint crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashedRun {
     /// Number of the endpoint (`endpoint_load::endpoint_number`).
     pub endpoint: u64,
-    /// When it began, or was sent where that is not known.
+    /// When it began, or when it was sent if that is not known.
     pub begun: Instant,
     /// When it broke.
     pub crashed: Instant,
 }
 
 impl CrashedRun {
-    /// Whether both ended with the same crash of the same endpoint.
+    /// Whether both runs broke in the same crash of the same endpoint.
     fn is_same_crash(&self, other: &Self) -> bool {
         let apart = self.crashed.max(other.crashed) - self.crashed.min(other.crashed);
         self.endpoint == other.endpoint && apart < SAME_CRASH
     }
 }
 
-/// What is known of one request.
+/// Crashes and trials of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// Runs since the newest whole response, in the order of their crashes.
+    /// Crashed runs since the request was last cleared, in the order of their crashes.
     pub runs: Vec<CrashedRun>,
-    /// When a whole response, or an operator, last ended all suspicion.
+    /// When a complete response or an operator last cleared the request.
     pub cleared_at: Option<Instant>,
-    /// Whether it is refused.
+    /// Whether the request is refused, except for trials.
     pub is_quarantined: bool,
-    /// Trials since it was quarantined.
+    /// Number of trials since it was quarantined.
     pub trials: u32,
-    /// When the newest of them began.
+    /// When the newest trial began.
     pub trial_at: Option<Instant>,
 }
 
 impl CrashRecord {
-    /// Adds a run; returns whether it was not known.
+    /// Adds a run. Returns whether it is a new crash, neither cleared nor already recorded.
     pub fn add(&mut self, run: CrashedRun) -> bool {
         if self.cleared_at.is_some_and(|at| run.crashed <= at) {
             return false;
@@ -90,7 +90,7 @@
         true
     }
 
-    /// Ends all suspicion that is older than `at`.
+    /// Removes the crashes up to `at`, and ends the quarantine if none are left.
     pub fn clear(&mut self, at: Instant) {
         self.cleared_at = self.cleared_at.max(Some(at));
         self.runs.retain(|run| run.crashed > at);
@@ -101,10 +101,11 @@
         }
     }
 
-    /// Takes over what another daemon knows.
+    /// Merges another daemon's record of the same request.
     ///
-    /// Its times look younger by what its message took, and are returned to it in the same way: a
-    /// time that is hardly newer is the same one, which would otherwise grow with each message.
+    /// Received times look younger by the message's transit time, and the other daemon gets them
+    /// back with the same error. A clearance that is only slightly newer than the own one is
+    /// therefore taken for the same one; otherwise its time would advance with each message.
     pub fn merge(&mut self, received: &Self) {
         if let Some(at) = received.cleared_at.filter(|at| self.is_new_clearance(*at)) {
             self.clear(at);
@@ -128,7 +129,7 @@
         is_later || (ends_suspicion && self.cleared_at < Some(at))
     }
 
-    /// Whether another daemon still holds runs against the request that are cleared here.
+    /// Whether another daemon's record still contains runs that have been cleared here.
     pub fn has_cleared_runs_of(&self, received: &Self) -> bool {
         let is_cleared = |run: &CrashedRun| self.cleared_at.is_some_and(|at| run.crashed <= at);
         received.runs.iter().any(is_cleared)
@@ -139,12 +140,12 @@
         self.runs.last().map(|run| run.crashed)
     }
 
-    /// Runs that crashed one after another.
+    /// Number of consecutive crashed runs.
     pub fn evidence(&self) -> usize {
         count_in_sequence(self.runs.iter())
     }
 
-    /// The same without the runs that crashed together with one of `others`.
+    /// Like `evidence`, without the runs that broke in the same crash as a run of `others`.
     pub fn unexplained_evidence(&self, others: &[&Self]) -> usize {
         let is_explained = |run: &CrashedRun| {
             let mut runs = others.iter().flat_map(|other| &other.runs);
@@ -153,12 +154,13 @@
         count_in_sequence(self.runs.iter().filter(|run| !is_explained(run)))
     }
 
-    /// Importance: quarantined ones first, then by evidence, then the newest.
+    /// Sort key for importance: whether it is quarantined, then the evidence, then the newest
+    /// event.
     pub fn rank(&self) -> (bool, usize, Option<Instant>) {
         (self.is_quarantined, self.evidence(), self.last_crash().max(self.cleared_at))
     }
 
-    /// Whether it is too old to matter.
+    /// Whether the record may be removed.
     pub fn is_expired(&self, now: Instant) -> bool {
         let retention = if self.is_quarantined { QUARANTINE_RETENTION } else { SUSPECT_RETENTION };
         let newest = self.last_crash().max(self.cleared_at);
@@ -175,8 +177,8 @@
     }
 }
 
-/// Most runs of which each begins when the one before has crashed; `runs` are in the order of
-/// their crashes.
+/// Length of the longest chain of runs in which each begins after the previous one has crashed.
+/// `runs` are in the order of their crashes.
 fn count_in_sequence<'a>(runs: impl Iterator<Item = &'a CrashedRun>) -> usize {
     let mut count = 0;
     let mut last_crash = None;
