--- a/src/gateway/policy/request/quota.rs
+++ b/src/gateway/policy/request/quota.rs
@@ -1,29 +1,29 @@
-//! Decides whether a request is within its account's quota, which holds over all daemons.
+//! Decides whether a request is within its account's quota, which all daemons share.
 //!
-//! Inputs are the quota (units a second and a burst), the units of the request, how many
-//! daemons share the quotas and how old their reports are, and a random number. The decision
-//! is [`QuotaVerdict`]. The native path has a rule of its own (`native::decide::limits`): shares
-//! by demand, which are coarser than one large prompt of a small account.
+//! Inputs are the quota (units per second and a burst), the units of the request, how many daemons
+//! share the quotas, how old their reports are, and a random number. The decision is
+//! [`QuotaVerdict`]. The native path has its own rule (`native::decide::limits`), which divides a
+//! limit by demand; its shares are coarser than one large prompt of a small account.
 //!
 //! Every daemon keeps a token bucket for the whole quota of each account. Units that it admits
-//! leave the bucket at once; units that peers admit leave it when their reports arrive, a few
-//! hundred milliseconds later in a fleet of one gossip group. Until the next report a peer is
-//! assumed to go on at its last rate, for a second or as long as reports may be underway. If the
-//! account was overdrawn all the same, the level is negative, and nothing is admitted until it
-//! has been refilled.
+//! leave the bucket immediately; units that peers admit leave it when their reports arrive, a few
+//! hundred milliseconds later in a fleet of one gossip group. Until its next report, a peer is
+//! assumed to continue at its last rate, for one second or for the greatest age of reports if that
+//! is longer. If the account is overdrawn nevertheless, the level is negative, and nothing is
+//! admitted until the bucket has been refilled.
 //!
-//! A peer that has stopped reporting may still be admitting requests. Its even share of the
-//! rate is therefore reserved: the daemons that hear each other only admit up to their own
-//! shares. Without that a partitioned fleet would spend the quota once in each part.
+//! A peer that has stopped reporting may still be admitting requests. Its equal share of the rate
+//! is therefore reserved: daemons that receive each other's reports only admit up to their own
+//! shares. Otherwise a partitioned fleet would spend the quota once in each partition.
 //!
-//! In a large fleet reports are seconds old. With the bucket alone all daemons would admit
-//! everything until they hear of it, and then refuse everything. So daemons also report how
-//! many units were requested, and while that is more than the rate each admits the same
-//! fraction of its requests, chosen at random.
+//! In a large fleet reports are seconds old. With the bucket alone, all daemons would admit
+//! everything until the reports arrive and then refuse everything. So daemons also report how many
+//! units were requested. While that exceeds the rate, each daemon admits the same fraction of its
+//! requests, chosen at random.
 //!
-//! A daemon that has just started doesn't know what was spent before. Accounts that were
-//! throttled (from the lease record) start with a small part of the burst, divided by the
-//! number of daemons; while the lease record has not been read, that holds for all accounts.
+//! A daemon that has just started doesn't know how much was spent before. Accounts that were
+//! throttled according to the lease record start with a small part of the burst, divided by the
+//! number of daemons. Until the lease record has been read, this applies to all accounts.
 
 mod account_bucket;
 mod offered_load;
@@ -44,20 +44,20 @@
     ids::SharedName,
 };
 
-/// Fraction of the burst that all daemons that have just started may spend together of an account
-/// that was throttled before.
+/// Fraction of the burst that all newly started daemons together may spend of an account that was
+/// throttled before.
 const START_BURST_FRACTION: f64 = 0.25;
-/// Time over which the first report of a daemon that has just started is averaged: about the time
-/// until a new daemon is heard.
+/// Time over which the first report of a newly started daemon is averaged: about the time until its
+/// first report arrives.
 const FIRST_REPORT_PERIOD: Duration = Duration::from_millis(1_500);
-/// Old sources of reports are dropped when there are more than this: above the neighbours of a
-/// daemon in a fleet of 300.
+/// Old report sources are removed when there are more than this: more than a daemon has neighbours
+/// in a fleet of 300.
 const SOURCES_BEFORE_PRUNING: usize = 64;
-/// Retry-after of a refused client while hardly anything is admitted, in seconds.
+/// Retry-after of a refused client while almost nothing is admitted, in seconds.
 const THROTTLED_WAIT_S: f64 = 1.0;
 /// Shortest retry-after.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Longest retry-after: a larger debt is seldom, and the load may have gone by then.
+/// Longest retry-after: larger debts are rare, and the load may be over by then.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Units of one account since a daemon started.
@@ -93,22 +93,22 @@
 /// How many daemons share the quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaSharing {
-    /// Daemons that are known to run, this one included.
+    /// Daemons that are known to be running, including this one.
     pub known: usize,
-    /// Those of them whose reports are recent, this one included.
+    /// Those of them whose reports are recent, including this one.
     pub heard: usize,
-    /// How old reports of the others may be.
+    /// Greatest age that reports of other daemons may have.
     pub report_age: Duration,
 }
 
 impl QuotaSharing {
-    /// Share of a rate that the daemons that hear each other may spend.
+    /// Share of a rate that the daemons with recent reports may spend together.
     fn share(self) -> f64 {
         self.heard.max(1) as f64 / self.known.max(self.heard).max(1) as f64
     }
 }
 
-/// By how much a quota may be overdrawn over all daemons.
+/// By how much a quota may be exceeded over all daemons.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaTolerance {
     /// Fraction of the quota.
@@ -123,10 +123,10 @@
     accounts: HashMap<SharedName, AccountBucket>,
     /// When each source last reported.
     sources: HashMap<ReportSource, Instant>,
-    /// Number of sources above which old ones are dropped.
+    /// Number of sources above which old ones are removed.
     sources_pruned_at: usize,
     started_at: Instant,
-    /// Accounts that were throttled before this daemon started, once that is known.
+    /// Accounts that were throttled before this daemon started; `None` until they are known.
     throttled_before: Option<BTreeSet<SharedName>>,
     tolerance: QuotaTolerance,
 }
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Sets the accounts that were throttled shortly before this daemon started. All others
-    /// start with their whole burst. Only the first call counts.
+    /// Sets the accounts that were throttled shortly before this daemon started. All others start
+    /// with their full burst. Only the first call has an effect.
     pub fn set_throttled_before(&mut self, accounts: impl IntoIterator<Item = SharedName>) {
         self.throttled_before.get_or_insert_with(|| accounts.into_iter().collect());
     }
@@ -159,7 +159,7 @@
         names
     }
 
-    /// Decides on a request for `units` of an account, and spends them if it is admitted.
+    /// Decides whether a request for `units` of an account is admitted, and spends them if so.
     pub fn admit(
         &mut self,
         account: &SharedName,
@@ -191,7 +191,7 @@
         QuotaVerdict::Refused { retry_after: retry_after(refill_s, fraction), level }
     }
 
-    /// Level of an account's bucket when the daemon started.
+    /// Level of an account's bucket at the daemon's start.
     fn start_level(&self, account: &SharedName, burst: f64, sharing: QuotaSharing) -> f64 {
         let unthrottled =
             self.throttled_before.as_ref().is_some_and(|list| !list.contains(account));
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Receives the counters of a peer or of another group. A source that `just_started` has
-    /// spent all of a first report in the last moments.
+    /// Applies the counters reported by a peer or by another group. If the source has
+    /// `just_started`, all units of its first report count as spent within `FIRST_REPORT_PERIOD`.
     pub fn receive<'a>(
         &mut self,
         from: ReportSource,
@@ -235,19 +235,19 @@
         self.sources_pruned_at = (self.sources.len() * 2).max(SOURCES_BEFORE_PRUNING);
     }
 
-    /// Units of the own group by account, as far as reported.
+    /// Counters of this daemon's group by account, as far as reported.
     pub fn group_counters(&self) -> impl Iterator<Item = (SharedName, AccountCounters)> {
         self.accounts.iter().map(|(account, bucket)| (account.clone(), bucket.group_counters()))
     }
 
-    /// Units of this daemon since it started, by account.
+    /// Counters of this daemon since it started, by account.
     pub fn counters(&self) -> impl Iterator<Item = (&SharedName, AccountCounters)> {
         self.accounts.iter().map(|(account, bucket)| (account, bucket.own_counters()))
     }
 }
 
-/// Time until a refused request may be retried: until the bucket is refilled, and longer the
-/// smaller the admitted fraction is.
+/// Time after which a refused request may be retried: the time to refill the bucket, or a time that
+/// grows as the admitted fraction falls if that is longer.
 fn retry_after(refill_s: f64, admitted_fraction: f64) -> Duration {
     let wait_s = refill_s.max(THROTTLED_WAIT_S * (1.0 - admitted_fraction));
     let wait = Duration::from_secs_f64(wait_s.clamp(0.0, MAX_RETRY_AFTER.as_secs_f64()));
--- a/src/gateway/policy/request/quota/account_bucket.rs
+++ b/src/gateway/policy/request/quota/account_bucket.rs
@@ -1,4 +1,4 @@
-//! Token bucket of one account at one daemon, corrected by what peers report.
+//! Token bucket of one account at one daemon, adjusted by the reports of its peers.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,39 +12,38 @@
 /// Smallest burst, in seconds of the rate: one gossip interval, so that a quota without a burst
 /// still admits single requests.
 const MIN_BURST_S: f64 = 0.1;
-/// Fraction of the allowed overdraft that is added to rate and burst, so that requests within a
-/// quota are not refused because a peer's spending was overestimated. The rest of it covers
+/// Fraction of the quota's tolerance that is added to rate and burst, so that requests within a
+/// quota are not refused when the spending of peers is overestimated. The rest covers
 /// underestimates.
 const USED_TOLERANCE_FRACTION: f64 = 0.3;
-/// While reports of peers are younger than this, the bucket alone decides: its level hardly swings,
-/// and requests are served in order of arrival. Beyond it a bucket alone would swing between
-/// admitting all and nothing.
+/// While peers' reports are younger than this, the bucket alone decides: its level hardly
+/// oscillates, and requests are served in order of arrival. With older reports, the bucket alone
+/// would oscillate between admitting everything and nothing.
 const FRESH_REPORT_AGE: Duration = Duration::from_millis(900);
 /// Fraction of the burst above which everything is admitted, and below which an account counts as
 /// throttled: well above `TARGET_LEVEL`.
 const UNTHROTTLED_LEVEL: f64 = 0.6;
 /// Fraction of the burst at which the level is held while more is requested than the rate.
 const TARGET_LEVEL: f64 = 0.2;
-/// Time in which the level is brought back to `TARGET_LEVEL`, as a multiple of the age of reports:
-/// a faster correction would overshoot before its effect is reported.
+/// Time in which the level is corrected to `TARGET_LEVEL`, as a multiple of the age of reports: a
+/// faster correction would overshoot before its effect is reported.
 const CORRECTION_AGES: f64 = 1.5;
-/// Shortest such time, in seconds.
+/// Shortest time for the correction, in seconds.
 const MIN_CORRECTION_S: f64 = 1.0;
-/// Reports of a peer that are older than this are dropped: three times the 20 s after which a
-/// silent peer is forgotten.
+/// Reports older than this are removed: three times the 20 s after which a silent peer is removed.
 pub const REPORT_RETENTION: Duration = Duration::from_secs(60);
 
-/// Rate and burst that a bucket applies.
+/// Rate and burst of a bucket.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BucketLimits {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
     /// Units.
     pub burst: f64,
 }
 
 impl BucketLimits {
-    /// Limits of a whole quota, with the used fraction of its tolerance.
+    /// Limits for a whole quota, with `USED_TOLERANCE_FRACTION` of its tolerance added.
     pub fn new(rate: f64, burst: f64, tolerance: QuotaTolerance) -> Self {
         let rate = rate * (1.0 + tolerance.overage * USED_TOLERANCE_FRACTION);
         let burst = burst.max(rate * MIN_BURST_S) + tolerance.slack * USED_TOLERANCE_FRACTION;
@@ -55,34 +54,35 @@
 /// Bucket of one account.
 #[derive(Debug, Default)]
 pub struct AccountBucket {
-    /// Units left after what this daemon admitted and what peers reported; negative when the
+    /// Units left after those that this daemon admitted and that peers reported; negative if the
     /// account is overdrawn.
     level: f64,
     /// Limits at the last request.
     limits: BucketLimits,
-    /// Last time the bucket was filled; none before the first request.
+    /// When the bucket was last filled; `None` before the first request.
     filled_at: Option<Instant>,
     own: AccountCounters,
     own_load: OfferedLoad,
-    // An ordered map, so that sums over it are rounded the same way every time.
+    // Ordered, so that floating-point sums over it are always rounded the same way.
     peers: BTreeMap<ReportSource, PeerSpending>,
-    /// What others of the own group have reported.
+    /// Sum of the reports of the other daemons in this daemon's group.
     group_reported: AccountCounters,
 }
 
 impl AccountBucket {
-    /// Whether no request has filled the bucket yet.
+    /// Whether there has been no request yet.
     pub fn is_new(&self) -> bool {
         self.filled_at.is_none()
     }
 
-    /// Sets the level that a new bucket had when the daemon started; it has filled since.
+    /// Sets the level that a new bucket had when the daemon started; it has been filling since
+    /// then.
     pub fn start(&mut self, level: f64, started_at: Instant) {
         self.level += level;
         self.filled_at = Some(started_at);
     }
 
-    /// Fills the bucket up to `now` under these limits.
+    /// Adds the units accrued up to `now` under these limits.
     pub fn fill(&mut self, limits: BucketLimits, now: Instant) {
         self.limits = limits;
         let filled_at = self.filled_at.replace(now).unwrap_or(now);
@@ -90,7 +90,7 @@
         self.level = (self.level + elapsed_s * limits.rate).min(limits.burst);
     }
 
-    /// Counts units that are requested now, admitted or not.
+    /// Counts requested units, whether they are admitted or not.
     pub fn count_requested(&mut self, units: u64, now: Instant) {
         self.own.requested += units;
         self.own_load.add(units, now);
@@ -109,22 +109,22 @@
         self.own.spent -= units;
     }
 
-    /// Units left, less what peers have probably admitted since their last reports, which may
-    /// be `report_age` old.
+    /// Units left, minus the estimate of what peers have admitted since their last reports, which
+    /// may be `report_age` old.
     pub fn estimated_level(&self, report_age: Duration, now: Instant) -> f64 {
         let extrapolated = self.peers.values().map(|peer| peer.extrapolated(report_age, now));
         self.level - extrapolated.sum::<f64>()
     }
 
-    /// Fraction of the requested units to admit at the estimated `level`; the same at all
-    /// daemons, whatever the size of a request.
+    /// Fraction of the requested units to admit at the estimated `level`. It is the same at all
+    /// daemons and doesn't depend on the size of a request.
     pub fn admitted_fraction(&self, level: f64, report_age: Duration, now: Instant) -> f64 {
         let BucketLimits { rate, burst } = self.limits;
         if report_age < FRESH_REPORT_AGE || level >= burst * UNTHROTTLED_LEVEL {
             return 1.0;
         }
         if self.peers.is_empty() {
-            // A daemon alone knows its bucket exactly.
+            // Without peers the level is exact.
             return 1.0;
         }
         let correction_s = (report_age.as_secs_f64() * CORRECTION_AGES).max(MIN_CORRECTION_S);
@@ -142,9 +142,9 @@
         level < self.limits.burst * UNTHROTTLED_LEVEL
     }
 
-    /// Applies the counters that a peer or group reports. `spent_since` is the earliest time at
-    /// which the units of a first report were spent; without one they are ignored, since they
-    /// may have been refilled long ago.
+    /// Applies the counters reported by a peer or group. `spent_since` is the earliest time at
+    /// which the units of a source's first report may have been spent; without it they are not
+    /// subtracted, since they may have been refilled long ago.
     pub fn receive(
         &mut self,
         from: ReportSource,
@@ -174,12 +174,12 @@
             .retain(|_, peer| now.saturating_duration_since(peer.reported_at()) < REPORT_RETENTION);
     }
 
-    /// Units of this daemon since it started.
+    /// Counters of this daemon since it started.
     pub fn own_counters(&self) -> AccountCounters {
         self.own
     }
 
-    /// Units of the own group, as far as reported.
+    /// Counters of this daemon's group, as far as reported.
     pub fn group_counters(&self) -> AccountCounters {
         let mut counters = self.own;
         counters += self.group_reported;
--- a/src/gateway/policy/request/quota/peer_spending.rs
+++ b/src/gateway/policy/request/quota/peer_spending.rs
@@ -1,5 +1,5 @@
-//! What one peer, or one other gossip group, has reported of an account, and what it has
-//! probably admitted since that report.
+//! Counters that one peer or one other gossip group has reported for an account, and an estimate of
+//! what it has admitted since that report.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 
 use super::AccountCounters;
 
-/// A peer is assumed to go on admitting at its last rate for this long, or for the age that reports
-/// may have where that is more: reports of a large fleet are up to a second old.
+/// A peer is assumed to continue at its last rate for this long, or for the greatest age of reports
+/// if that is longer: reports in a large fleet are up to a second old.
 const MIN_EXTRAPOLATION: Duration = Duration::from_millis(1_000);
-/// The offered load of a peer counts for this long after its last report: longer than two gossip
-/// rounds of a fleet of 87 (1.8 s).
+/// A peer's offered load counts for this long after its last report: longer than two gossip rounds
+/// in a fleet of 87 daemons (1.8 s).
 const OFFERED_LOAD_RETENTION: Duration = Duration::from_secs(3);
-/// Weight of the newest report in a peer's averaged rates: halves the noise of a single report.
+/// Weight of the newest report in a peer's average rates: halves the noise of a single report.
 const NEWEST_RATE_WEIGHT: f64 = 0.5;
-/// Shortest time between two reports that a rate is computed over, in seconds: one gossip interval.
+/// Shortest interval over which a rate is computed, in seconds: one gossip interval.
 const MIN_REPORT_INTERVAL_S: f64 = 0.1;
 
-/// Counters of an account at one peer as of its last report, and rates taken from them.
+/// Counters of an account in a peer's last report, and the rates derived from its reports.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerSpending {
     counters: AccountCounters,
     reported_at: Instant,
-    /// Units admitted in a second.
+    /// Units admitted per second.
     admitted_rate: f64,
-    /// Units requested in a second.
+    /// Units requested per second.
     requested_rate: f64,
 }
 
-/// What a report adds to the one before.
+/// Difference between a report and the previous one.
 #[derive(Clone, Copy, Debug)]
 pub struct SpendingChange {
-    /// Units admitted since; negative where units of requests that never ran were returned.
+    /// Change of the admitted units; negative if units of requests that never ran were returned.
     pub admitted: f64,
-    /// The same for sums, which only rise.
+    /// Increase of the counters, 0 where they fell; for sums, which must never fall.
     pub rise: AccountCounters,
 }
 
 impl PeerSpending {
-    /// First report of a peer: no rates are known yet.
+    /// State after a peer's first report: its rates are not known yet.
     pub fn new(counters: AccountCounters, reported_at: Instant) -> Self {
         Self { counters, reported_at, admitted_rate: 0.0, requested_rate: 0.0 }
     }
@@ -49,7 +49,7 @@
         self.reported_at
     }
 
-    /// Units that the peer has probably admitted since its last report, where reports may be
+    /// Estimate of the units that the peer has admitted since its last report, where reports may be
     /// `report_age` old.
     pub fn extrapolated(&self, report_age: Duration, now: Instant) -> f64 {
         let limit = report_age.max(MIN_EXTRAPOLATION);
@@ -57,13 +57,13 @@
         self.admitted_rate * elapsed.as_secs_f64()
     }
 
-    /// Units requested at the peer in a second; 0 once its report is too old to count.
+    /// Units requested at the peer per second; 0 once its report is too old to count.
     pub fn offered_load(&self, now: Instant) -> f64 {
         let elapsed = now.saturating_duration_since(self.reported_at);
         if elapsed < OFFERED_LOAD_RETENTION { self.requested_rate } else { 0.0 }
     }
 
-    /// What newer `counters` add.
+    /// Difference between newer `counters` and those of the last report.
     pub fn change(&self, counters: AccountCounters) -> SpendingChange {
         SpendingChange {
             admitted: counters.spent as f64 - self.counters.spent as f64,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// State after a newer report; rates are averaged with those before if `has_rates`.
+    /// State after a newer report. Its rates are averaged with the previous ones if `has_rates`.
     pub fn updated(&self, counters: AccountCounters, has_rates: bool, now: Instant) -> Self {
         let change = self.change(counters);
         let elapsed_s = now
