--- a/src/gateway/policy/request/refusal.rs
+++ b/src/gateway/policy/request/refusal.rs
@@ -1,9 +1,8 @@
-//! Why the gateway answers a request itself: the reason, its status, and what the client is
-//! told about retrying.
+//! Reasons for which the gateway refuses a request, with the status and the `Retry-After` of the
+//! response. The reason's text is the response's body.
 //!
-//! Statuses 429 and 503 promise that the request has not run and never will. A request that
-//! may have run gets 502 or 504, whatever else was wrong. The texts go out as the bodies of
-//! the responses.
+//! Statuses 429 and 503 promise that the request has not run and never will. A request that may
+//! have run gets 502 or 504, whatever else went wrong.
 
 use std::time::Duration;
 
@@ -13,7 +12,7 @@
 use super::{configuration_doubt::ConfigurationDoubt, retry_after};
 use crate::{gateway::call::HeadError, ids::SharedName};
 
-/// Reason for which the gateway answers a request itself.
+/// Why the gateway refuses a request.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum Refusal {
     /// The head cannot be used.
@@ -22,7 +21,7 @@
     /// The body is longer than the configuration allows.
     #[display("body too long")]
     BodyTooLong,
-    /// The body did not arrive whole.
+    /// The body did not arrive completely.
     #[display("body not whole")]
     BodyBroken,
     /// No configuration is known yet.
@@ -31,17 +30,17 @@
     /// The number of daemons that share the quotas is not known yet.
     #[display("number of daemons not known yet")]
     FleetUnknown,
-    /// The daemon has just started, or its process stood still: which requests crash endpoints is
-    /// not known yet.
+    /// The daemon has just started, or its process was suspended, so that it doesn't know yet which
+    /// requests crash endpoints.
     #[display("no contact with other daemons yet")]
     NoPeerContact,
-    /// The daemon is stopping; another one takes the request.
+    /// The daemon is stopping; another one will accept the request.
     #[display("daemon is leaving")]
     Leaving,
     /// The configuration may be out of date, so keys cannot be checked.
     #[display("configuration not known to be current")]
     NotFresh,
-    /// No route matches, or the key is unknown, and a newer configuration may have it.
+    /// No route matches, or the key is unknown, but a newer configuration may contain it.
     #[display("route or key not known yet: {_0}")]
     NotYetKnown(ConfigurationDoubt),
     /// No route matches.
@@ -53,59 +52,59 @@
     /// The account's quota is spent.
     #[display("quota spent")]
     QuotaSpent(SpentQuota),
-    /// All endpoints are full; the request has not run. Holds the time to retry after.
+    /// All endpoints are full; the request has not run. Holds the retry-after.
     #[display("all endpoints full")]
     Full(Duration),
-    /// All endpoints want no requests for a while, by back-offs or limits; the request has not run. Holds
-    /// the time to retry after.
+    /// All endpoints refuse requests for a while because of back-offs or limits; the request has
+    /// not run. Holds the retry-after.
     #[display("all endpoints back off or are at their limits")]
     RoomLater(Duration),
-    /// An endpoint was sent the request and has not run it, and no other may be tried. Holds the
-    /// time to retry after.
+    /// No endpoint that was sent the request has run it, and no other may be tried. Holds the
+    /// retry-after.
     #[display("no endpoint took it")]
     NotTaken(Duration),
-    /// Its deadline passed before an endpoint was chosen; it has not run. Holds the time to retry
-    /// after.
+    /// The deadline passed before an endpoint was chosen; the request has not run. Holds the
+    /// retry-after.
     #[display("deadline over before an attempt")]
     DeadlineOver(Duration),
-    /// There is no endpoint to send it to; it has not run. Holds the time to retry after.
+    /// There is no endpoint to send the request to; it has not run. Holds the retry-after.
     #[display("no endpoint")]
     NoEndpoint(Duration),
-    /// Runs of the same request have crashed their endpoints; this one has not run. Holds the
-    /// time to the next trial.
+    /// Previous runs of the same request have crashed their endpoints; this one has not run. Holds
+    /// the time until the next trial.
     #[display("the same request has crashed endpoints")]
     Quarantined(Duration),
-    /// It may have run and must not be retried, or all attempts have failed.
+    /// The request may have run and must not be retried, or all attempts have failed.
     #[display("outcome unknown")]
     Unknown,
-    /// Its deadline has passed; it may have run.
+    /// The deadline has passed; the request may have run.
     #[display("out of time")]
     OutOfTime,
 }
 
-/// Inputs of the decision that a quota is spent.
+/// Inputs of the decision that an account's quota is spent.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display(
-    "{account} requested {units}, {level:.0} left at {rate:.0} a second, {heard} of {known} daemons heard"
+    "{account} requested {units} units, {level:.0} left, {rate:.0} allowed per second, recent reports from {heard} of {known} daemons"
 )]
 pub struct SpentQuota {
     /// Account.
     pub account: SharedName,
-    /// Units that the request takes.
+    /// Units that the request needs.
     pub units: u64,
     /// Units that were left.
     pub level: f64,
-    /// Units a second that the quota allows.
+    /// Units per second that the quota allows.
     pub rate: f64,
-    /// Daemons that have reported recently, this one included.
+    /// Daemons that have reported recently, including this one.
     pub heard: usize,
-    /// Daemons that are known, this one included.
+    /// Daemons that are known, including this one.
     pub known: usize,
-    /// Time until there will be room.
+    /// Time until enough units are expected to be available.
     pub retry_after: Duration,
 }
 
-/// Whether clients take a status for a promise that the request has not run and never will.
+/// Whether clients understand the status as a promise that the request has not run and never will.
 pub fn status_promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -141,12 +140,12 @@
         }
     }
 
-    /// Whether the response promises that the request has not run: all that may be retried do.
+    /// Whether the response promises that the request has not run, as all with a `Retry-After` do.
     pub fn promises_not_run(&self) -> bool {
         self.retry_after().is_some()
     }
 
-    /// Time after which the client may retry; only for requests that have not run.
+    /// Value of `Retry-After`; only for requests that have not run.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::QuotaSpent(spent) => Some(spent.retry_after),
--- a/src/gateway/policy/request/retry_after.rs
+++ b/src/gateway/policy/request/retry_after.rs
@@ -1,8 +1,8 @@
-//! When a client may retry that got 429 or 503: the times sent in `Retry-After`.
+//! Values of the `Retry-After` header in responses with status 429 or 503.
 //!
-//! Quotas compute their own time, from the bucket's level (`quota`). All other times are
-//! here. Where no endpoint has taken a request, the time is that until one will have room, as far
-//! as that is known; otherwise a fraction of the route's target.
+//! Quotas compute their own value from the bucket's level (`quota`); all others are here. If no
+//! endpoint accepted a request, the value is the time until one is expected to have capacity, or a
+//! fraction of the route's target if that is not known.
 
 use std::time::Duration;
 
@@ -11,31 +11,32 @@
 
 use crate::gateway::policy::endpoint::room_forecast::RoomForecast;
 
-/// No endpoint of the service takes requests, or the deadline passed before one was chosen: quicker
-/// retries would load the daemon and find the same list.
+/// No endpoint of the service accepts requests, or the deadline passed before one was chosen.
+/// Earlier retries would load the daemon and find the list of endpoints unchanged.
 pub const NO_ENDPOINT: Duration = Duration::from_millis(400);
-/// The daemon has no configuration that is known to be current, or doesn't know how many others
-/// there are: keeps clients from loading a daemon that is still starting.
+/// The daemon has no configuration that is known to be current, or doesn't know how many daemons
+/// there are. Keeps clients from loading a daemon that is still starting.
 pub const DAEMON_STARTING: Duration = Duration::from_millis(500);
-/// A newer configuration has been reported, and is being fetched: the daemon that is asked next may
-/// have it later.
+/// A newer configuration has been reported and is being fetched. The daemon that gets the retry may
+/// receive it later than this one.
 pub const FETCHING_CONFIGURATION: Duration = Duration::from_millis(300);
-/// The daemon has not heard its peers since it started or stood still: it calls two of them every
-/// 0.1 s.
+/// The daemon has not had contact with its peers since it started or its process was suspended. It
+/// calls two of them every 0.1 s.
 pub const AWAITING_PEERS: Duration = Duration::from_millis(200);
-/// The daemon is stopping, and the balancer sends the retry to another one; or endpoints have room
-/// that this request was not allowed to try. Neither has need of a pause.
+/// The daemon is stopping, and the load balancer sends the retry to another one; or some endpoints
+/// have capacity but this request was not allowed to try them. Neither case needs a pause.
 pub const AT_ONCE: Duration = Duration::from_millis(20);
-/// Fraction of the route's target after which a client that found all endpoints full may retry: a
-/// retry after half the target can still be in time.
+/// Fraction of the route's target after which a client may retry if all endpoints were full: a
+/// retry after half the target can still meet it.
 const FULL_TARGET_FRACTION: f64 = 0.5;
-/// Time over which clients are spread at least that wait for endpoints that back off: an endpoint
-/// is sent one request at first, and with 32 slots is in full use after five times its response
-/// time.
+/// Shortest time over which the retries of clients that wait for backed-off endpoints are spread.
+/// An endpoint gets a single request at first, and with 32 slots is fully used after five times its
+/// response time.
 const MIN_SPREAD: Duration = Duration::from_millis(500);
 
-/// Time to retry after when no endpoint has taken a request. Clients that wait for endpoints that
-/// back off come one after another, not all to the first that is back.
+/// Retry-after when no endpoint accepted a request. The retries of clients that wait for backed-off
+/// endpoints are spread over time, so that they don't all reach the first endpoint that is
+/// available.
 pub fn by_forecast(
     forecast: RoomForecast,
     target: Duration,
@@ -52,8 +53,8 @@
     }
 }
 
-/// Time to retry after when all endpoints are full; `target` is the route's target for the
-/// first part of a response.
+/// Retry-after when all endpoints are full. `target` is the route's target time for the first part
+/// of a response.
 pub fn all_full(target: Duration) -> Duration {
     target.mul_f64(FULL_TARGET_FRACTION)
 }
