--- a/src/gateway/policy/request/retries.rs
+++ b/src/gateway/policy/request/retries.rs
@@ -1,5 +1,5 @@
-//! What follows an attempt: its response is passed on, another endpoint is tried, or the
-//! client gets a refusal. Also, whether a stream that breaks is resumed.
+//! Decides what follows an attempt: its response is passed on, another endpoint is tried, or the
+//! request is refused. Also decides whether a broken stream is resumed.
 //!
 //! | the attempt | idempotent | resumable stream | at most once, other streams |
 //! |---|---|---|---|
@@ -10,16 +10,16 @@
 //! | got any other response | pass on | pass on | pass on |
 //! | began a stream that broke | - | resume, or break off | break off |
 //!
-//! A retry needs an attempt left on the route, time left before the deadline, and one unit of
-//! the service's retry budget; the budget is charged last, and only where the table allows a
-//! retry at all. The next endpoint after an unsent attempt is free, since no endpoint has
-//! seen the request.
+//! A retry requires that the route allows another attempt, that the deadline has not passed, and
+//! one unit of the service's retry budget. The budget is charged last, and only where the table
+//! allows a retry at all. Trying the next endpoint after an attempt that was not sent is free,
+//! since no endpoint has seen the request.
 //!
-//! A retry always goes over a new connection. An idle one may hold a surplus response that its
-//! endpoint sends late, which spoils the attempt; two attempts spoiled that way would fail a
-//! request although both endpoints work.
+//! A retry always uses a new connection. On an idle one the endpoint may still send a late, surplus
+//! response, which makes the attempt fail; with two such failures a request would fail although
+//! both endpoints work.
 //!
-//! Once an attempt may have run, every refusal has a status that promises nothing (502, 504).
+//! Once an attempt may have run, every refusal has a status that makes no promise (502, 504).
 
 use std::time::Duration;
 
@@ -44,32 +44,32 @@
 pub enum FailureStep {
     /// Another endpoint is tried, without charging the retry budget.
     TryNext,
-    /// Another endpoint is tried if attempts, deadline and budget allow it; otherwise the
-    /// client gets the refusal for this reason.
+    /// Another endpoint is tried if attempts, deadline and budget allow it; otherwise the request
+    /// is refused for this reason.
     RetryOr(GiveUpReason),
-    /// The client gets the refusal for this reason.
+    /// The request is refused for this reason.
     GiveUp(GiveUpReason),
 }
 
 /// Why no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// No attempt has run it.
+    /// No attempt has run the request.
     NotRun,
-    /// The last attempt has not run it, but an earlier one may have.
+    /// The last attempt has not run the request, but an earlier one may have.
     EarlierMayHaveRun,
-    /// The last attempt may have run it.
+    /// The last attempt may have run the request.
     LastMayHaveRun,
 }
 
 /// Which idle connections an attempt may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// Any that is open.
+    /// Any open connection.
     Any,
-    /// One that was in use a moment ago.
+    /// Only one that was in use a moment ago.
     Recent,
-    /// None: a new connection is made.
+    /// None: a new connection is opened.
     Never,
 }
 
@@ -83,19 +83,20 @@
     }
 }
 
-/// Whether a response of an endpoint that has run the request may be dropped for a retry;
-/// otherwise it is passed on. Nothing has come of a stream whose head is an error.
+/// Whether a response of an endpoint that has run the request may be dropped for a retry; otherwise
+/// it is passed on. A stream whose head is an error has sent no events yet.
 pub fn may_retry_response(kind: RouteKind, is_server_error: bool) -> bool {
     is_server_error && kind.may_run_again()
 }
 
-/// Whether a response with this status, by an endpoint that has run the request, is a failure of the
-/// endpoint. A time-out is not: the client's time may have been short.
+/// Whether a response with this status, from an endpoint that has run the request, counts as a
+/// failure of the endpoint. A time-out doesn't: the client's time limit may have been too short.
 pub fn is_endpoint_failure(status: StatusCode) -> bool {
     status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT
 }
 
-/// What follows a failed attempt; `may_have_run` says whether an earlier one may have run.
+/// Decides what follows a failed attempt. `may_have_run`: an earlier attempt may have run the
+/// request.
 pub fn after_failure(failure: AttemptFailure, kind: RouteKind, may_have_run: bool) -> FailureStep {
     match failure {
         AttemptFailure::NotSent => FailureStep::TryNext,
@@ -111,7 +112,7 @@
 }
 
 impl GiveUpReason {
-    /// The refusal; `wait` is the time until an endpoint will have room, as far as known.
+    /// The refusal for this reason; `wait` is the expected time until an endpoint has capacity.
     pub fn refusal(self, is_deadline_over: bool, wait: Duration) -> Refusal {
         match self {
             Self::NotRun => Refusal::NotTaken(wait),
@@ -127,21 +128,22 @@
 pub enum NoAttempt {
     /// The deadline has passed.
     DeadlineOver,
-    /// All endpoints that were not tried are full.
+    /// All endpoints that have not been tried are full.
     AllFull,
-    /// All endpoints want no requests for a while, by back-offs or limits: the client may retry after this time.
+    /// All endpoints refuse requests for a while because of back-offs or limits: the client may
+    /// retry after this time.
     RoomLater(Duration),
-    /// There is no endpoint that was not tried.
+    /// All endpoints have been tried, or there are none.
     NoEndpoint,
-    /// Which requests crash endpoints is not known yet.
+    /// The daemon doesn't know yet which requests crash endpoints.
     NoPeerContact,
-    /// Runs of the same request have crashed their endpoints; the next trial is due after this
-    /// time.
+    /// Previous runs of the same request have crashed their endpoints; the next trial is due after
+    /// this time.
     Quarantined(Duration),
 }
 
 impl NoAttempt {
-    /// The refusal; `may_have_run` says whether an earlier attempt may have run.
+    /// The refusal for this reason. `may_have_run`: an earlier attempt may have run the request.
     pub fn refusal(self, may_have_run: bool, target: Duration) -> Refusal {
         match (self, may_have_run) {
             (Self::DeadlineOver, true) => Refusal::OutOfTime,
@@ -156,8 +158,8 @@
     }
 }
 
-/// Whether a broken response may be resumed at another endpoint: only a stream of events on a
-/// route that allows it. `is_event_stream` says that the response is being cut into events.
+/// Whether a broken response may be resumed at another endpoint: only if it is a stream of events
+/// and its route allows it. `is_event_stream`: the response is being split into events.
 pub fn may_resume(kind: RouteKind, is_event_stream: bool) -> bool {
     is_event_stream && kind.may_run_again()
 }
--- a/src/gateway/policy/request/retry_budget.rs
+++ b/src/gateway/policy/request/retry_budget.rs
@@ -1,12 +1,12 @@
-//! Budgets of retries: how many requests of a service one daemon may retry.
+//! Retry budgets: how many requests of a service one daemon may retry.
 //!
-//! A daemon may retry a share of the service's requests that it received within a sliding
-//! window, and besides an even part of a reserve that all daemons have together, so that a
-//! quiet service can retry at all. Both come from the deployment's settings. Only what this
-//! daemon has counted itself enters; a daemon that has just started has its reserve alone.
+//! A daemon may retry a share of the service's requests that it received within a sliding window,
+//! plus its equal part of a reserve that all daemons share, so that a service with few requests can
+//! retry at all. Both are set for the deployment. A daemon counts only its own requests; one that
+//! has just started has nothing but its part of the reserve.
 //!
-//! The native path has a rule of its own (`native::decide::retries`): no deployment promises it
-//! a window, so a token bucket without a clock is enough there.
+//! The native path has its own rule (`native::decide::retries`): its deployments promise no window,
+//! so a token bucket without a clock is enough there.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -17,11 +17,11 @@
 
 use crate::ids::SharedName;
 
-/// Fraction of the promised share and reserve that is used; the rest covers retries that the
-/// endpoints count into another window than this daemon does.
+/// Fraction of the promised share and reserve that is used. The rest covers retries that endpoints
+/// count in a different window than this daemon does.
 const USED_FRACTION: f64 = 0.8;
 
-/// Budget of one service.
+/// Retry budget of one service.
 #[derive(Debug)]
 pub struct RetryBudget {
     window: Duration,
@@ -30,7 +30,7 @@
 }
 
 impl RetryBudget {
-    /// Budget over windows of this length.
+    /// Creates a budget with a window of this length.
     pub fn new(window: Duration) -> Self {
         Self { window, requests: VecDeque::new(), retries: VecDeque::new() }
     }
@@ -41,8 +41,8 @@
         self.requests.push_back(now);
     }
 
-    /// Withdraws one retry, if there is one: `share` of the window's requests and `reserve`
-    /// more, both for this daemon alone.
+    /// Withdraws one retry if the budget allows it: `share` times the requests in the window, plus
+    /// `reserve`, both for this daemon alone.
     pub fn try_withdraw(&mut self, share: f64, reserve: f64, now: Instant) -> bool {
         let is_allowed = self.has_retry(share, reserve, now);
         if is_allowed {
@@ -51,7 +51,7 @@
         is_allowed
     }
 
-    /// Whether there is one to withdraw.
+    /// Whether the budget allows a retry.
     pub fn has_retry(&mut self, share: f64, reserve: f64, now: Instant) -> bool {
         self.drop_expired(now);
         let allowed = (self.requests.len() as f64 * share + reserve) * USED_FRACTION;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Budgets of all services.
+/// Retry budgets of all services.
 #[derive(Debug)]
 pub struct RetryBudgets {
     window: Duration,
@@ -79,8 +79,8 @@
 }
 
 impl RetryBudgets {
-    /// Budgets that allow `share` of the requests of a window, and over all daemons
-    /// `total_reserve` retries more.
+    /// Creates budgets that allow `share` times the requests in a window, plus `total_reserve`
+    /// retries over all daemons.
     pub fn new(window: Duration, share: f64, total_reserve: f64) -> Self {
         Self { window, share, total_reserve, by_service: HashMap::new() }
     }
@@ -90,13 +90,13 @@
         self.budget_of(service).record_request(now);
     }
 
-    /// Withdraws one retry of a service at one of `daemons` daemons, if there is one.
+    /// Withdraws one retry of a service if the budget of one of `daemons` daemons allows it.
     pub fn try_withdraw(&mut self, service: &SharedName, daemons: usize, now: Instant) -> bool {
         let (share, reserve) = (self.share, self.total_reserve / daemons as f64);
         self.budget_of(service).try_withdraw(share, reserve, now)
     }
 
-    /// Whether one of `daemons` daemons has a retry of a service to withdraw.
+    /// Whether the budget of one of `daemons` daemons allows a retry of a service.
     pub fn has_retry(&mut self, service: &SharedName, daemons: usize, now: Instant) -> bool {
         let (share, reserve) = (self.share, self.total_reserve / daemons as f64);
         self.budget_of(service).has_retry(share, reserve, now)
