--- a/src/gateway/policy/request/time_limits.rs
+++ b/src/gateway/policy/request/time_limits.rs
@@ -1,10 +1,9 @@
-//! How long the gateway waits: for a whole request, for the head of an attempt's response,
-//! and for the next event of a stream.
+//! Time limits for a whole request, for the head of an attempt's response, and for the next event
+//! of a stream.
 //!
-//! Inputs are the route of the newest configuration and the time that the client gave; a
-//! route or client that names no time gets the defaults below. Attempts are cut short of the
-//! request's deadline only where another endpoint may then be tried: cutting the last attempt
-//! short would turn a late response into none.
+//! Inputs are the route in the newest configuration and the client's time limit; the defaults below
+//! apply if neither is set. An attempt ends before the request's deadline only if another endpoint
+//! may be tried afterwards: ending the last attempt early would turn a late response into none.
 
 use std::time::Duration;
 
@@ -12,33 +11,33 @@
 
 use crate::gateway::configuration::Route;
 
-/// Time for a request that has a time limit neither from its client nor from its route: bounds how
-/// long a request can hold its resources.
+/// Time limit of a request if neither its client nor its route sets one: bounds how long a request
+/// can hold resources.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// An idempotent request is retried elsewhere after this multiple of its route's target: a multiple
 /// near 1 would retry every request whenever all endpoints are slow together.
 const PLAIN_TARGET_MULTIPLE: f64 = 3.0;
 /// A resumable stream is retried elsewhere after this multiple of its route's target: lower than
-/// for plain requests, since the next endpoint still has to read the prompt before its first event.
+/// for other requests, since the next endpoint has to process the prompt before its first event.
 const STREAM_TARGET_MULTIPLE: f64 = 1.6;
-/// A resumable stream is resumed elsewhere after a silence of this multiple of the route's target
-/// for its first event, or of the allowed gap between later ones: after one gap the stream is only
-/// late; resuming it costs another endpoint a prompt.
+/// A resumable stream is resumed elsewhere if nothing arrives for this multiple of the route's
+/// target (first event) or of the allowed gap (later events). After a single gap the stream is only
+/// late, and to resume it another endpoint has to process the prompt.
 const SILENCE_MULTIPLE: f64 = 2.0;
-/// Longest silence between events where the route names no allowed gap: high, since nothing says
-/// how fast such a stream is.
+/// Longest time between events if the route sets no allowed gap: high, since the usual speed of
+/// such a stream is not known.
 const DEFAULT_SILENCE: Duration = Duration::from_secs(2);
 
-/// When a request that came at `received` has to be over: the shorter of the client's and the
-/// route's time.
+/// Deadline of a request that arrived at `received`, from the shorter of the client's and the
+/// route's time limits.
 pub fn request_deadline(received: Instant, client: Option<Duration>, route: &Route) -> Instant {
     let shortest = [client, route.timeout].into_iter().flatten().min();
     received + shortest.unwrap_or(DEFAULT_TIMEOUT)
 }
 
-/// Until when the head of a response is awaited, for an attempt sent at `now` after
-/// `sent_before` others. The `expected_wait` is added: another endpoint would have to read a
-/// long prompt from its beginning again.
+/// Until when to wait for the head of a response, for an attempt sent at `now` after `sent_before`
+/// others. Includes the `expected_wait`, since another endpoint would have to process a long prompt
+/// from the beginning.
 pub fn attempt_deadline(
     route: &Route,
     sent_before: u32,
@@ -56,8 +55,8 @@
     now.checked_add(timeout).map_or(deadline, |until| until.min(deadline))
 }
 
-/// Until when the next piece of a stream is awaited, after `sent` attempts and `events`
-/// passed on.
+/// Until when to wait for the next piece of a stream, after `sent` attempts and `events` passed on
+/// to the client.
 pub fn event_deadline(
     route: &Route,
     sent: u32,
