--- a/src/gateway/policy/request/admission.rs
+++ b/src/gateway/policy/request/admission.rs
@@ -1,11 +1,10 @@
-//! Whether a request is admitted, for which account and to which service.
+//! Decides whether a request is admitted, for which account and to which service.
 //!
-//! Checked in this order: the daemon takes requests; a configuration is known; a route
-//! matches; the key is known, unless the route is public. The request's body is read between
-//! these checks and the rest: a service is drawn, and the quota is charged (`quota`). All
-//! inputs come from the newest configuration held; whether it is recent enough to check keys is
-//! decided by `key_freshness`, and whether a newer one may hold what it lacks by
-//! `configuration_doubt`.
+//! Checked in this order: the daemon accepts requests; a configuration is known; a route matches;
+//! the key is known, unless the route is public. Then the request's body is read, a service is
+//! chosen at random, and the quota is charged (`quota`). All inputs come from this daemon's newest
+//! configuration. `key_freshness` decides whether it is recent enough to check keys, and
+//! `configuration_doubt` whether a newer one may contain a missing route or key.
 
 use std::rc::Rc;
 
@@ -17,12 +16,12 @@
     configuration::{Account, AccountQuota, Configuration, Route, ServiceWeight},
 };
 
-/// What a request's head has been matched to.
+/// Route and account that match a request's head.
 #[derive(Clone, Debug)]
 pub struct MatchedHead {
     /// Route.
     pub route: Rc<Route>,
-    /// Account; none for public routes, and where the configuration has no accounts.
+    /// Account; `None` for public routes, and if the configuration has no accounts.
     pub account: Option<Rc<Account>>,
 }
 
@@ -42,7 +41,7 @@
     Ok(MatchedHead { route, account })
 }
 
-/// A client is not told that something doesn't exist while there is doubt.
+/// Refusal for an unknown route or key: final only if the configuration is certainly current.
 fn refuse_unknown(refusal: Refusal, doubt: Option<ConfigurationDoubt>) -> Refusal {
     doubt.map_or(refusal, Refusal::NotYetKnown)
 }
@@ -61,12 +60,12 @@
     account.ok_or_else(|| refuse_unknown(Refusal::UnknownKey, doubt))
 }
 
-/// Sum of a route's weights; points for `service_at` are drawn below it.
+/// Sum of a route's weights: the upper bound of the random points for `service_at`.
 pub fn total_weight(services: &[ServiceWeight]) -> u32 {
     services.iter().map(|entry| entry.weight).sum()
 }
 
-/// The service whose part of the summed weights holds `point`; none if all weights are 0.
+/// The service whose range of the summed weights contains `point`; `None` if all weights are 0.
 pub fn service_at(services: &[ServiceWeight], mut point: u32) -> Option<&ServiceWeight> {
     for entry in services {
         if point < entry.weight {
@@ -77,7 +76,7 @@
     None
 }
 
-/// Units that a request takes of a quota: 1, or its tokens where the quota counts tokens.
+/// Units that a request uses of a quota: 1, or its tokens if the quota counts tokens.
 pub fn quota_units(quota: &AccountQuota, tokens: Option<TokenCounts>) -> u64 {
     if !quota.in_tokens {
         return 1;
--- a/src/gateway/policy/request/configuration_doubt.rs
+++ b/src/gateway/policy/request/configuration_doubt.rs
@@ -1,29 +1,29 @@
-//! Whether the configuration held may not be the newest, so that a route or key that it lacks may
+//! Whether this daemon's configuration may be outdated, so that a route or key that it lacks may
 //! exist.
 //!
-//! Decided from the freshness proof (see `key_freshness`) and from what peers have reported. Clients
-//! take 404 and 401 for final. They are sent only by a configuration that was the newest within the
-//! apply limit, and while no newer one is known; otherwise the client is told when to retry. Routes
-//! and keys that are known are served by it all the same, also while the store can't be reached.
+//! Decided by the freshness proof (see `key_freshness`) and by the versions that peers report.
+//! Clients treat 404 and 401 as final, so these are sent only if the configuration was the newest
+//! within the apply limit and no newer one is known. Otherwise the response tells the client when
+//! to retry. Known routes and keys are served regardless, even while the store can't be reached.
 
 use std::time::Duration;
 
 use derive_more::Display;
 use tokio::time::Instant;
 
-/// Why the configuration held may not be the newest.
+/// Why this daemon's configuration may be outdated.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ConfigurationDoubt {
-    /// A peer has reported a newer one.
+    /// A peer has reported a newer configuration.
     #[display("newer configuration reported")]
     NewerReported,
-    /// The freshness proof is older than the apply limit, or there is none.
+    /// The freshness proof is missing or older than the apply limit.
     #[display("no recent freshness proof")]
     NotProven,
 }
 
 impl ConfigurationDoubt {
-    /// Judges the newest proof, and whether a peer has reported a newer configuration.
+    /// Evaluates the newest proof. `is_lagging`: a peer has reported a newer configuration.
     pub fn evaluate(
         proof: Option<Instant>,
         is_lagging: bool,
--- a/src/gateway/policy/request/fingerprint.rs
+++ b/src/gateway/policy/request/fingerprint.rs
@@ -1,5 +1,6 @@
-//! Which requests are the same one: those of one account with the same method, host, path, query
-//! and body. Their ids and other headers differ from one attempt of a client to the next.
+//! Fingerprints that identify repeated requests: two requests are the same if account, method,
+//! host, path, query and body are equal. Request ids and other headers differ between a client's
+//! attempts.
 
 use std::{fmt, str::FromStr};
 
@@ -11,24 +12,25 @@
     ids::hash_parts,
 };
 
-/// Account in fingerprints of requests without one; accounts' names are not empty.
+/// Stands for the account in fingerprints of requests without one; account names are never empty.
 const NO_ACCOUNT: &str = "";
 
-/// Identifies a request by what its client asks for, in all attempts and at all daemons.
+/// Identifies a request by its content; the same for all attempts and at all daemons.
 ///
-/// The content's hash is a cryptographic one: nobody can make a request with the fingerprint of
-/// another account's. The head's hash is cheap and tells most requests apart without reading
-/// their bodies; it comes first in the order, so that all fingerprints of a head lie together.
+/// The content hash is cryptographic, so that nobody can construct a request with the fingerprint
+/// of another account's request. The head hash is cheap and distinguishes most requests without
+/// reading their bodies; it is compared first, so that fingerprints with the same head are
+/// adjacent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint {
-    /// Hash of all but the body.
+    /// Hash of everything but the body.
     pub head: u64,
-    /// First 128 bits of the SHA-256 hash of the whole.
+    /// First 128 bits of the SHA-256 hash of the whole request.
     pub content: u128,
 }
 
 impl RequestFingerprint {
-    /// Fingerprint of a whole request.
+    /// Computes a request's fingerprint.
     pub fn of(account: Option<&str>, call: &Call) -> Self {
         let parts = head_parts(account, &call.head);
         let mut hasher = Sha256::new();
@@ -42,7 +44,7 @@
         Self { head: hash_parts(&parts), content: u128::from_le_bytes(content) }
     }
 
-    /// The part `head` of a request's fingerprint.
+    /// Computes only the field `head` of a request's fingerprint.
     pub fn head_of(account: Option<&str>, head: &CallHead) -> u64 {
         hash_parts(&head_parts(account, head))
     }
@@ -54,12 +56,12 @@
     [account.as_bytes(), method.as_bytes(), head.host.as_bytes(), head.target.as_bytes()]
 }
 
-/// Hexadecimal digits of a fingerprint's head and content.
+/// Hexadecimal digits of a fingerprint's head.
 const HEAD_DIGITS: usize = 16;
 /// Hexadecimal digits of a whole fingerprint.
 const DIGITS: usize = HEAD_DIGITS + 32;
 
-/// A text that is no fingerprint.
+/// The text is not a fingerprint.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("not a fingerprint of {DIGITS} hexadecimal digits")]
 pub struct BadFingerprint;
@@ -72,7 +74,7 @@
             return Err(BadFingerprint);
         }
         let (head, content) = text.split_at(HEAD_DIGITS);
-        // Cannot fail: as many digits as the numbers have.
+        // Cannot fail: the number of digits was checked above.
         let head = u64::from_str_radix(head, 16).map_err(|_| BadFingerprint)?;
         let content = u128::from_str_radix(content, 16).map_err(|_| BadFingerprint)?;
         Ok(Self { head, content })
--- a/src/gateway/policy/request/key_freshness.rs
+++ b/src/gateway/policy/request/key_freshness.rs
@@ -1,33 +1,34 @@
 //! Whether the keys of the configuration may be used to admit requests.
 //!
-//! A key may have been revoked in a version that this daemon has not seen. Its configuration
-//! is known to be the newest as of a freshness proof: the moment at which the store was asked,
-//! by this daemon or by a peer, before it answered with the revision held. A proof older than
-//! the deployment allows, or none at all, makes the keys unusable until a newer one comes.
+//! A key may have been revoked in a configuration version that this daemon has not seen. The
+//! freshness proof is the time at which this daemon or a peer sent the newest query to the store
+//! that returned the revision held here: at that time the configuration was the newest. While the
+//! proof is missing or older than the deployment allows, the keys must not be used.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Part of the allowed age that is not used, so that a request admitted just in time is also
-/// dispatched in time: covers the way from this check to the endpoint.
+/// Subtracted from the allowed age: covers the time from this check until the request reaches the
+/// endpoint, so that a request admitted at the last moment is still dispatched in time.
 const SAFETY_MARGIN: Duration = Duration::from_millis(300);
 
-/// Whether keys may be used, and why.
+/// Whether the configuration is recent enough for its keys to be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyFreshness {
     /// The deployment allows keys of any age.
     NotRequired,
-    /// The proof is young enough.
+    /// The proof is recent enough.
     Fresh,
     /// The proof is too old.
     Stale,
-    /// There has been no proof since the start.
+    /// The daemon has had no proof since it started.
     Unproven,
 }
 
 impl KeyFreshness {
-    /// Judges a proof by the greatest age that the deployment allows, none for any age.
+    /// Compares a proof's age with the greatest age that the deployment allows; `None` allows any
+    /// age.
     pub fn evaluate(proof: Option<Instant>, max_age: Option<Duration>, now: Instant) -> Self {
         let Some(max_age) = max_age else { return Self::NotRequired };
         let max_age = max_age.saturating_sub(SAFETY_MARGIN);
