--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -1,7 +1,7 @@
-//! The request log: one structured line for each request with its outcome and the steps that
-//! led to it, and the metrics of the same events.
+//! The request log: one structured line per request with its outcome and the steps that led to it.
+//! Also updates the metrics of the same events.
 //!
-//! The number of lines a second is bounded; dropped lines are counted and reported.
+//! The number of lines per second is limited; dropped lines are counted and logged.
 
 use std::{fmt::Write, rc::Rc, time::Duration};
 
@@ -21,23 +21,23 @@
     true_time,
 };
 
-/// Trace of one request; writes its line when it ends, at the latest when it is dropped.
+/// Trace of one request. Writes the log line when the request ends, or when the trace is dropped.
 pub struct RequestTrace {
     context: Rc<GatewayContext>,
     id: Option<SharedName>,
     route: Option<SharedName>,
     account: Option<SharedName>,
-    /// Steps of the attempts, in order.
+    /// Description of all attempts, in order.
     steps: String,
     begun: Instant,
     first_after: Option<Duration>,
-    /// Known only of requests of which a run broke.
+    /// Set only for requests with a broken run.
     fingerprint: Option<RequestFingerprint>,
     ended: bool,
 }
 
 impl RequestTrace {
-    /// Trace of a request that was just read.
+    /// Trace of a request that has just been read.
     pub fn new(context: &Rc<GatewayContext>, id: Option<SharedName>) -> Self {
         Self {
             context: context.clone(),
@@ -52,13 +52,13 @@
         }
     }
 
-    /// The request's head was matched to a route and an account.
+    /// Records the route and the account of the request.
     pub fn matched(&mut self, matched: &MatchedHead) {
         self.route = Some(matched.route.name.clone());
         self.account = matched.account.as_ref().map(|account| account.name.clone());
     }
 
-    /// An endpoint was chosen.
+    /// Records that an endpoint was chosen.
     pub fn attempt(&mut self, choice: &EndpointChoice, prompt_tokens: u64) {
         let (endpoint, uncached) = (&choice.endpoint.id, choice.uncached_tokens);
         let wait = choice.estimated_wait_ms;
@@ -68,13 +68,13 @@
         self.context.metrics.count("attempts", 1);
     }
 
-    /// No endpoint could be chosen.
+    /// Records that no endpoint could be chosen.
     pub fn found_no_endpoint(&mut self, room: &ServiceRoom) {
         // Writing to a string cannot fail.
         let _ = write!(self.steps, " {room};");
     }
 
-    /// An attempt failed.
+    /// Records that an attempt failed.
     pub fn failed(&mut self, failure: &SendFailure) {
         let after = true_time::since(self.begun).as_millis();
         // Writing to a string cannot fail.
@@ -82,13 +82,14 @@
         self.context.metrics.count("attempts_failed", 1);
     }
 
-    /// The endpoint wanted no more requests when its connection had come up.
+    /// Records that nothing was sent: the endpoint stopped accepting requests while its connection
+    /// was being opened.
     pub fn not_sent(&mut self) {
-        self.steps.push_str(" chosen anew;");
+        self.steps.push_str(" not sent, choosing again;");
         self.context.metrics.count("attempts_chosen_anew", 1);
     }
 
-    /// A response has a head only, and another attempt follows.
+    /// Records that no body followed a response's head, and that another attempt follows.
     pub fn missing_body(&mut self) {
         let after = true_time::since(self.begun).as_millis();
         // Writing to a string cannot fail.
@@ -96,12 +97,12 @@
         self.context.metrics.count("attempts_failed", 1);
     }
 
-    /// A run of it broke. Its fingerprint shows which other requests asked for the same.
+    /// Records that a run broke. The fingerprint identifies repetitions of the same request.
     pub fn run_broke(&mut self, request: RequestFingerprint) {
         self.fingerprint = Some(request);
     }
 
-    /// An endpoint responded.
+    /// Records the head of an endpoint's response.
     pub fn responded(&mut self, status: StatusCode, metadata: &ResponseMetadata) {
         let after = true_time::since(self.begun).as_millis();
         let (status, meaning) = (status.as_u16(), metadata.meaning);
@@ -109,14 +110,14 @@
         let _ = write!(self.steps, " {status} {meaning:?}{} after {after};", metadata.signals);
     }
 
-    /// The first event of a stream was passed on.
+    /// Records that the first event of a stream was passed on.
     pub fn first_event(&mut self) {
         let after = true_time::since(self.begun);
         self.first_after = Some(after);
         self.context.metrics.duration("first_event", after);
     }
 
-    /// The request was refused.
+    /// Ends the trace of a refused request.
     pub fn refused(&mut self, refusal: &Refusal) {
         let status = refusal.status().as_str().to_owned();
         self.context.metrics.count_labelled("refused", "status", &status);
@@ -128,14 +129,14 @@
         self.end(&refusal.to_string(), 0);
     }
 
-    /// The response was passed on whole.
+    /// Ends the trace of a request whose response was passed on completely.
     pub fn finished(&mut self, events: u64) {
         self.context.metrics.count("answered", 1);
         self.context.metrics.duration("answer", true_time::since(self.begun));
         self.end("answered", events);
     }
 
-    /// The response was broken off.
+    /// Ends the trace of a request whose response was broken off.
     pub fn broken_off(&mut self, reason: String, events: u64) {
         self.context.metrics.count("broken_off", 1);
         self.end(&reason, events);
