--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -1,8 +1,7 @@
-//! One attempt at a request: an endpoint is chosen, connected to and sent the request.
+//! One attempt at a request: chooses an endpoint, connects to it and sends it the request.
 //!
-//! The choice is made by `policy::endpoint::endpoint_choice`, the wait for a response is limited by
-//! `policy::request::time_limits`. What follows the attempt is not decided here but in
-//! `policy::request::retries`.
+//! `policy::endpoint::endpoint_choice` chooses the endpoint, `policy::request::time_limits` limits
+//! the wait for a response, and `policy::request::retries` decides what follows the attempt.
 
 mod choice;
 pub mod endpoint_response;
@@ -52,18 +51,18 @@
 /// State of the attempts at one request.
 #[derive(Default)]
 pub struct Attempts {
-    /// Endpoints that were tried.
+    /// Endpoints that have been tried.
     pub tried: Vec<SharedName>,
-    /// Attempts that reached an endpoint.
+    /// Number of attempts that reached an endpoint.
     pub sent: u32,
     /// Whether the request may have run in one of them.
     pub may_have_run: bool,
-    /// Whether they are the trial of a quarantined request; one of them may reach an endpoint.
+    /// Whether this is the trial of a quarantined request; only one attempt may reach an endpoint.
     is_trial: bool,
 }
 
-/// Whether a retry is possible: attempts and time are left, and the service's retry budget
-/// has one, which is withdrawn.
+/// Whether the request may be retried: attempts and time are left, and the service's retry budget
+/// allows it. Withdraws the retry from the budget if so.
 pub fn may_try_again(context: &GatewayContext, admitted: &Admitted, attempts: &Attempts) -> bool {
     let now = true_time::now();
     attempts.sent < admitted.route.attempts
@@ -73,14 +72,15 @@
 
 /// How one attempt ended.
 pub enum AttemptEnd {
-    /// An endpoint has run the request and responds.
+    /// An endpoint has run the request and responded.
     Responded(Box<EndpointResponse>),
     /// There is no usable response.
     Failed(AttemptFailure),
 }
 
-/// Makes one attempt: chooses an endpoint, connects, sends, and reads the head of the
-/// response. `resume_after` is the last event that the client has of a stream that broke.
+/// Makes one attempt: chooses an endpoint, connects, sends the request, and reads the head of the
+/// response. `resume_after` is the id of the last event that the client received of a broken
+/// stream.
 pub async fn attempt(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
@@ -125,7 +125,8 @@
     AttemptEnd::Failed(AttemptFailure::NotSent)
 }
 
-/// While the connection came up its endpoint has come to want no more requests: nothing is sent.
+/// Returns the connection unused: its endpoint stopped accepting requests while it was being
+/// opened.
 fn return_unsent(
     context: &GatewayContext,
     connection: EndpointConnection,
@@ -173,7 +174,8 @@
         false => {
             attempts.sent += 1;
             context.connections.discard_connections(guard.endpoint());
-            // An endpoint that has not run a request says so: most of these have run.
+            // Endpoints report requests that they do not run, so most requests without a response
+            // have run.
             admitted.count_run(context);
             AttemptFailure::MayHaveRun
         }
@@ -182,8 +184,8 @@
         record_broken_run(context, admitted, guard.record(), guard.begun(), trace);
     }
     match failure {
-        // That an endpoint has closed an idle connection says nothing of its health: it may
-        // be chosen again.
+        // A closed idle connection says nothing about the endpoint's health, so the endpoint may be
+        // chosen again.
         SendFailure::ClosedBefore => {
             guard.finish(AttemptResult::Neutral);
             attempts.tried.pop();
@@ -193,7 +195,7 @@
     ended
 }
 
-/// Notes that a run has broken, and has its endpoint checked.
+/// Records that a run broke, and starts a check of its endpoint.
 pub fn record_broken_run(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
--- a/src/gateway/request/attempt/choice.rs
+++ b/src/gateway/request/attempt/choice.rs
@@ -1,5 +1,5 @@
-//! Whether an attempt may be made, and at which endpoint. The rules are in `policy::endpoint` and
-//! `policy::request::crash_ledger`.
+//! Decides whether an attempt may be made, and at which endpoint, by the rules in
+//! `policy::endpoint` and `policy::request::crash_ledger`.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
     true_time,
 };
 
-/// Refuses a request that crashes endpoints, at its first attempt and at each retry. Otherwise one such
-/// request, sent again and again, ends an endpoint each time.
+/// Refuses a request that crashes endpoints, at its first attempt and at each retry. Otherwise a
+/// single such request would end another endpoint with each retry.
 pub fn check_quarantine(
     context: &GatewayContext,
     admitted: &Admitted,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Chooses an endpoint that was not tried.
+/// Chooses an endpoint that has not been tried.
 pub fn choose(
     context: &GatewayContext,
     admitted: &Admitted,
@@ -77,8 +77,8 @@
     Err(refusal(reason))
 }
 
-/// Whether there is an endpoint for another attempt. Only then may the response of the last one be
-/// dropped: otherwise the client would get an error of this daemon in its place.
+/// Whether there is an endpoint for another attempt. Only then may the last response be dropped:
+/// otherwise the client would get an error of this daemon instead of it.
 pub fn has_another(context: &GatewayContext, admitted: &Admitted, attempts: &Attempts) -> bool {
     let query = choice_query(context, admitted, attempts);
     let choice = context.endpoints.borrow().choose(&query, true_time::now(), &mut rand::rng());
@@ -107,14 +107,15 @@
     }
 }
 
-/// Whether the retry budget has one for a request that an endpoint refuses or fails. Otherwise the client
-/// would get what could be foreseen. Nobody has to ask while all endpoints serve.
+/// Whether the budget allows a retry if an endpoint refuses or fails the request. Without a retry,
+/// a failure that was to be expected of the endpoint would reach the client. The budget is not
+/// checked while all endpoints are healthy.
 fn may_afford_retry(context: &GatewayContext, service: &SharedName) -> bool {
     let now = true_time::now();
     !context.endpoints.borrow().any_risky(service, now) || context.has_retry(service, now)
 }
 
-/// Endpoints may be full for this request and have room for others.
+/// Why no endpoint was chosen. Endpoints may be full for this request and have capacity for others.
 fn why_full(endpoints: &EndpointTable, admitted: &Admitted, now: Instant) -> NoAttempt {
     match endpoints.forecast(&admitted.service.name, now) {
         forecast @ RoomForecast::Later { .. } => {
@@ -126,19 +127,19 @@
     }
 }
 
-/// Time after which a client may retry whose request no endpoint has taken.
+/// Retry-after of a request that no endpoint accepted.
 pub fn wait_for_room(context: &GatewayContext, admitted: &Admitted) -> Duration {
     let now = true_time::now();
     let forecast = context.endpoints.borrow().forecast(&admitted.service.name, now);
     retry_after::by_forecast(forecast, admitted.route.target, now, &mut rand::rng())
 }
 
-/// Tokens of the prompt; 0 if the client names none.
+/// Tokens of the prompt; 0 if the client doesn't send the number.
 pub fn prompt_tokens(head: &CallHead) -> u64 {
     head.tokens.map_or(0, |tokens| tokens.prompt)
 }
 
-/// Memory that a run may take, in tokens.
+/// Memory that a run may need, in tokens.
 pub fn memory_tokens(admitted: &Admitted) -> u64 {
     let head = &admitted.call.head;
     estimated_memory(head.tokens, head.expected_response)
--- a/src/gateway/request/attempt/endpoint_response.rs
+++ b/src/gateway/request/attempt/endpoint_response.rs
@@ -1,4 +1,4 @@
-//! A response of an endpoint between its attempt and its relay.
+//! An endpoint's response after the attempt, before it is relayed to the client.
 
 use http_body_util::BodyExt;
 use hyper::{
@@ -15,23 +15,23 @@
     true_time,
 };
 
-/// A response of an endpoint, with all that is needed to relay it.
+/// An endpoint's response, with everything that is needed to relay it.
 pub struct EndpointResponse {
     /// Head and body.
     pub response: Response<Incoming>,
-    /// What was read of the body already.
+    /// The part of the body that has been read already.
     pub body_start: BodyStart,
-    /// Until when the attempt may wait for the body, if another one could follow.
+    /// Until when to wait for the body if another attempt could follow.
     pub response_deadline: Instant,
-    /// What its head says.
+    /// Decoded head of the response.
     pub metadata: ResponseMetadata,
-    /// Connection that it comes over.
+    /// Connection on which it arrives.
     pub connection: EndpointConnection,
     /// The run at the endpoint.
     pub guard: RunGuard,
 }
 
-/// What was read of a body before it is relayed.
+/// The part of a body that has been read before it is relayed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum BodyStart {
     /// Nothing.
@@ -39,13 +39,13 @@
     Unread,
     /// Its first piece.
     Piece(Bytes),
-    /// It has broken before its first piece.
+    /// The connection broke before the first piece.
     Broken,
 }
 
 impl EndpointResponse {
-    /// Reads the first piece of the body. Whether there is none while another endpoint could still
-    /// serve the request, which ends at `deadline`.
+    /// Reads the first piece of the body. Returns whether there is none although another endpoint
+    /// could still serve the request before its `deadline`.
     pub async fn lacks_body(&mut self, deadline: Instant) -> bool {
         let body = self.response.body_mut();
         if self.response_deadline >= deadline || body.is_end_stream() {
@@ -55,7 +55,7 @@
             // Out of time.
             Err(_) => true,
             Ok(Some(Ok(frame))) => {
-                // Trailers end a body without a piece, and are not passed on.
+                // Trailers end a body without data; they are not passed on.
                 self.body_start = frame.into_data().map_or(BodyStart::Unread, BodyStart::Piece);
                 false
             }
--- a/src/gateway/request/attempt/response_evaluation.rs
+++ b/src/gateway/request/attempt/response_evaluation.rs
@@ -1,7 +1,7 @@
-//! What the head of a response means for its request, and what it says of its endpoint.
+//! Evaluates the head of a response: what it means for the request and for its endpoint.
 //!
-//! All responses come through here, whatever becomes of them: passed on, dropped for a retry, or
-//! abandoned. What endpoints may say is listed in `docs/design/endpoint-signals.md`.
+//! Every response is evaluated here, whether it is passed on, dropped for a retry, or abandoned.
+//! The signals of endpoints are listed in `docs/design/endpoint-signals.md`.
 
 use std::rc::Rc;
 
@@ -35,7 +35,7 @@
     platform::ingress,
 };
 
-/// Judges the head of a response.
+/// Evaluates the head of a response.
 pub fn evaluate_response(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
@@ -53,7 +53,7 @@
         EndpointResponse { response, body_start, response_deadline, metadata, connection, guard };
     match metadata.meaning {
         ResponseMeaning::Ran if status_promises_not_run(status) => {
-            // The client would take the status for a promise that the endpoint has not made.
+            // Clients would understand the status as a promise that the endpoint did not make.
             admitted.count_run(context);
             handle_refusal(context, response, AttemptFailure::MayHaveRun)
         }
@@ -69,13 +69,13 @@
     }
 }
 
-/// Notes what the endpoint says of itself.
+/// Records the signals of the endpoint in the response.
 fn record_signals(metadata: &ResponseMetadata, guard: &RunGuard) {
     if metadata.signals.is_draining {
-        // Lists may call it ready for as long as the store is away.
+        // While the store is unreachable, endpoint lists may still contain it as ready.
         guard.endpoint_drains();
     }
-    // An endpoint names a limit when it is in need: what it gets beyond is more than it can serve.
+    // An endpoint announces a limit when it is overloaded and can't serve more requests than that.
     match (metadata.meaning, metadata.signals.limit) {
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::PerSecond(limit)) => {
             guard.endpoint_limits(believed_limit(limit));
@@ -83,7 +83,7 @@
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::Absent) => {
             guard.endpoint_limits(None);
         }
-        // Nothing is known of the limit.
+        // The endpoint's limit is unknown.
         (ResponseMeaning::OtherEndpoint | ResponseMeaning::Foreign, _)
         | (_, LimitSignal::Unreadable) => {}
     }
@@ -97,8 +97,8 @@
     let status = response.response.status();
     let is_success = status.is_success();
     if !(admitted.route.kind.is_stream() && is_success) {
-        // An error is a run too, also if it is dropped for a retry. A stream's run begins with
-        // its first event.
+        // An error response counts as a run, even if it is dropped for a retry. A stream counts
+        // when its first event arrives.
         admitted.count_run(context);
     }
     if is_endpoint_failure(status) {
@@ -119,7 +119,7 @@
     AttemptEnd::Failed(failure)
 }
 
-/// The response is of another endpoint, or to another request.
+/// Handles a response from another endpoint, or to another request.
 fn discard_mismatched(
     context: &GatewayContext,
     response: EndpointResponse,
