--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -1,4 +1,4 @@
-//! One request at one endpoint, counted in this daemon's loads until it ends.
+//! A run of one request at one endpoint, counted in this daemon's loads until it ends.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,27 +19,28 @@
     true_time,
 };
 
-/// Counts a run at its endpoint. Dropping the guard ends the run and leaves the endpoint's
-/// health as it was: the daemon or the client has broken it off.
+/// Counts a run at its endpoint. Dropping the guard ends the run without affecting the endpoint's
+/// health, since then the daemon or the client has broken it off.
 pub struct RunGuard {
     context: Rc<GatewayContext>,
     endpoint: Rc<EndpointRecord>,
     load: RunLoad,
     begun: Instant,
-    /// Its probe is taken away when the endpoint responds.
+    /// The probe ticket is taken out when the endpoint responds.
     tickets: RunTickets,
     /// Whether the request has been sent, or may have been.
     is_sent: bool,
-    /// Whether no other prompt was known to wait at the endpoint, so that the time to the first
-    /// event shows the prefill rate.
+    /// Whether no other prompt was known to be waiting at the endpoint when the run began, so that
+    /// the prefill rate can be measured by the time to the first event.
     was_idle: bool,
-    /// Whether the endpoint has failed the request, which is then known already.
+    /// Whether a failure of the endpoint has been recorded already; then `finish` records no
+    /// result.
     has_failed: bool,
     result: AttemptResult,
 }
 
 impl RunGuard {
-    /// Begins a run.
+    /// Begins a run at an endpoint.
     pub fn begin(
         context: Rc<GatewayContext>,
         endpoint: &Rc<EndpointRecord>,
@@ -64,8 +65,9 @@
         }
     }
 
-    /// Whether the request may be sent, which it then is. Since it was chosen its endpoint may have said
-    /// that it drains, wants a back-off or takes fewer requests, or a list that it goes.
+    /// Marks the request as sent if it may still be sent; returns whether it may. Since the
+    /// endpoint was chosen, it may have announced a drain, a back-off or a lower limit, or a list
+    /// may have marked it as leaving.
     pub fn try_mark_sent(&mut self) -> bool {
         let now = true_time::now();
         let mut endpoints = self.context.endpoints.borrow_mut();
@@ -79,7 +81,7 @@
         self.is_sent
     }
 
-    /// The request has not been sent after all.
+    /// Reverts `try_mark_sent`: sending has failed.
     pub fn was_not_sent(&mut self) {
         self.is_sent = false;
     }
@@ -89,7 +91,8 @@
         &self.endpoint.id
     }
 
-    /// The endpoint has refused the request; `backoff` is the time for which it wants no others.
+    /// Records that the endpoint refused the request; `backoff` is the time for which it wants no
+    /// others.
     pub fn endpoint_refused(&mut self, backoff: Option<Duration>) {
         self.tickets.probe = None;
         let mut endpoints = self.context.endpoints.borrow_mut();
@@ -98,7 +101,8 @@
         }
     }
 
-    /// The endpoint has served the request, or the beginning of a stream; nothing if it has failed.
+    /// Records that the endpoint served the request or the beginning of a stream, unless it has
+    /// failed.
     pub fn endpoint_ran(&mut self) {
         if self.has_failed {
             return;
@@ -111,7 +115,7 @@
         }
     }
 
-    /// The endpoint has run the request and failed.
+    /// Records that the endpoint ran the request and failed.
     pub fn endpoint_failed(&mut self) {
         self.has_failed = true;
         self.tickets.probe = None;
@@ -122,7 +126,7 @@
         }
     }
 
-    /// The endpoint has said that it drains.
+    /// Records that the endpoint is draining.
     pub fn endpoint_drains(&self) {
         let mut endpoints = self.context.endpoints.borrow_mut();
         if !endpoints.knows_start(&self.endpoint) {
@@ -136,14 +140,15 @@
         }
     }
 
-    /// The endpoint has named a limit of so many requests a second, or none.
+    /// Records the limit announced by the endpoint, in requests per second, or that it has none.
     pub fn endpoint_limits(&self, limit: Option<f64>) {
         if self.context.endpoints.borrow().knows_start(&self.endpoint) {
             note_response(&self.context, &self.endpoint.id, limit, self.begun);
         }
     }
 
-    /// Another endpoint, or another start, has responded at its address.
+    /// Records that the endpoint has ended: another one, or a later start of it, responded at its
+    /// address.
     pub fn endpoint_ended(&self) {
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
@@ -161,7 +166,7 @@
         self.begun
     }
 
-    /// The first event has come, so the endpoint has read the prompt.
+    /// Records that the first event has arrived, so the endpoint has processed the prompt.
     pub fn prefill_done(&mut self) {
         let uncached = std::mem::take(&mut self.load.uncached_tokens);
         if uncached > 0 {
@@ -178,7 +183,7 @@
         }
     }
 
-    /// Ends the run with what it says of the endpoint's health.
+    /// Ends the run with its result for the endpoint's health.
     pub fn finish(mut self, result: AttemptResult) {
         if !self.has_failed {
             self.result = result;
@@ -186,7 +191,7 @@
     }
 }
 
-/// Logs that an endpoint is found to fail more often than others.
+/// Logs and counts an endpoint that was found to fail more often than others.
 fn report_failing(
     context: &GatewayContext,
     endpoint: &EndpointRecord,
