--- a/src/gateway/request/body_drain.rs
+++ b/src/gateway/request/body_drain.rs
@@ -1,4 +1,4 @@
-//! Reads the rest of a response that is not passed on, so that its connection can be reused.
+//! Reads the rest of a response body that is not passed on, so that its connection can be reused.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,12 +9,12 @@
 use super::{connection_pool::EndpointConnection, response_meaning::ResponseMetadata};
 use crate::gateway::context::GatewayContext;
 
-/// Longest wait for the rest of the response: such responses are short; a new connection costs less
-/// than a longer wait holds.
+/// Longest wait for the rest of the body. These responses are short, and a new connection costs
+/// less than the resources that a longer wait would hold.
 const DRAIN_LIMIT: Duration = Duration::from_millis(200);
 
-/// Reads the rest in a task of its own. If that fails or takes too long the connection is
-/// dropped, and the next attempt opens a new one.
+/// Reads the rest of the body in a separate task. If that fails or takes too long, the connection
+/// is closed and the next attempt opens a new one.
 pub fn drain_body(
     context: &Rc<GatewayContext>,
     response: Response<Incoming>,
--- a/src/gateway/request/refusal_response.rs
+++ b/src/gateway/request/refusal_response.rs
@@ -8,7 +8,7 @@
     platform::ingress,
 };
 
-/// Response to the request `id`, which is none where no id could be read.
+/// Builds the response to the request `id`; `None` if no id could be read.
 pub fn refusal_response(refusal: &Refusal, id: Option<&str>) -> Response<LocalBody> {
     let head = ingress::own_response(id, refusal.status(), refusal.retry_after());
     head.map(|()| Box::pin(whole_body(refusal.to_string())) as LocalBody)
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -1,9 +1,9 @@
-//! Passes an endpoint's response on to the client as it comes. Where the route allows it, a
-//! stream that breaks is resumed at another endpoint within the same response.
+//! Passes an endpoint's response on to the client as it arrives. If the route allows it, a broken
+//! stream is resumed at another endpoint within the same response.
 //!
-//! Streams are passed on by whole events, so that a resumed one continues cleanly after the
-//! last event. `policy::request::retries` decides whether to resume, `policy::request::time_limits` how long an
-//! endpoint may be silent.
+//! Streams are passed on in complete events, so that a resumed stream continues after the last one.
+//! `policy::request::retries` decides whether to resume, and `policy::request::time_limits` how
+//! long an endpoint may be silent.
 
 mod upstream;
 
@@ -47,17 +47,17 @@
     OutOfTime,
 }
 
-/// A response on its way to the client.
+/// A response that is being passed on to the client.
 struct Relay {
     context: Rc<GatewayContext>,
     admitted: Rc<Admitted>,
     attempts: Attempts,
     trace: RequestTrace,
-    /// None once the response has ended, and while it is being resumed.
+    /// `None` after the end of the response, and while it is being resumed.
     upstream: Option<Upstream>,
     /// Only for streams of events.
     cutter: Option<EventCutter>,
-    /// Last event that the client has.
+    /// Id of the last event that the client has received.
     last_event: Option<u64>,
     /// Events passed on.
     events: u64,
@@ -65,14 +65,14 @@
     _active: CountGuard,
 }
 
-/// What came next of a response.
+/// Next piece of a response.
 enum NextPiece {
     Bytes(Bytes),
     End,
     Broken(RelayError),
 }
 
-/// Passes `response` on; the relay goes on as the client reads the body.
+/// Passes `response` on; the body is relayed as the client reads it.
 pub fn pass_on(
     context: &Rc<GatewayContext>,
     admitted: Rc<Admitted>,
@@ -119,7 +119,7 @@
             let error = match piece {
                 NextPiece::Bytes(bytes) => {
                     if self.has_whole_plain_response() {
-                        // The server reads no further once the length is reached.
+                        // The HTTP library doesn't poll the body again once its length is reached.
                         self.finish_cleanly();
                     }
                     if bytes.is_empty() && !self.ended {
@@ -145,12 +145,12 @@
         }
     }
 
-    /// Whether a response that is no stream has arrived to its end.
+    /// Whether the response is not a stream and has been received completely.
     fn has_whole_plain_response(&self) -> bool {
         self.cutter.is_none() && self.upstream.as_ref().is_some_and(Upstream::is_at_end)
     }
 
-    /// The next piece from the endpoint; whole events only, where the response is a stream.
+    /// The next piece from the endpoint; only complete events if the response is a stream.
     async fn next_piece(&mut self) -> NextPiece {
         let until = self.wait_until();
         let deadline = self.admitted.deadline;
@@ -187,7 +187,7 @@
         NextPiece::Bytes(batch.bytes)
     }
 
-    /// Until when the next piece is awaited.
+    /// Until when to wait for the next piece.
     fn wait_until(&self) -> Instant {
         let (route, deadline) = (&self.admitted.route, self.admitted.deadline);
         match self.cutter {
@@ -202,15 +202,16 @@
         }
     }
 
-    /// The time is over. An endpoint of whose body nothing has come has failed; one that was at work
-    /// has not.
+    /// Records the result for the endpoint after the deadline: a failure if it sent nothing of the
+    /// body. If it sent a part, it was working.
     fn handle_timeout(&mut self) {
         if let Some(upstream) = self.upstream.take_if(|upstream| !upstream.has_body) {
             upstream.guard.finish(AttemptResult::Failed);
         }
     }
 
-    /// Resumes a broken stream at another endpoint, if it may.
+    /// Resumes a broken stream at another endpoint if that is allowed; returns whether it was
+    /// resumed.
     async fn resume(&mut self) -> bool {
         if let Some(upstream) = self.upstream.take() {
             self.context.connections.discard_connections(upstream.guard.endpoint());
@@ -223,8 +224,8 @@
             let (last, trace) = (self.last_event, &mut self.trace);
             let attempt = attempt(&self.context, &self.admitted, &mut self.attempts, last, trace);
             let resumed = match attempt.await {
-                // No endpoint is left, or no time: the refusal cannot be sent in a response
-                // that has begun, and the request log says that it broke off.
+                // No endpoint or no time is left. The response has begun, so the refusal cannot be
+                // sent; the request log reports the response as broken off.
                 Err(_) => return false,
                 Ok(AttemptEnd::Responded(resumed)) if resumed.response.status().is_success() => {
                     resumed
--- a/src/gateway/request/relay/upstream.rs
+++ b/src/gateway/request/relay/upstream.rs
@@ -1,4 +1,4 @@
-//! Where a response comes from that is being relayed.
+//! The endpoint's side of a response that is being relayed.
 
 use std::mem;
 
@@ -21,36 +21,36 @@
     true_time,
 };
 
-/// Body of a response, with all that belongs to it.
+/// Body of a response with its connection and its run.
 pub struct Upstream {
     body_start: BodyStart,
     body: Incoming,
-    /// What its head says.
+    /// Decoded head of the response.
     pub metadata: ResponseMetadata,
-    /// Connection that it comes over.
+    /// Connection on which it arrives.
     pub connection: EndpointConnection,
     /// The run at the endpoint.
     pub guard: RunGuard,
-    /// When its head came: the endpoint runs the request since then, or a little longer.
+    /// When its head arrived: at that time the endpoint was already running the request.
     pub head_received: Instant,
-    /// Whether anything has come of the body.
+    /// Whether any part of the body has arrived.
     pub has_body: bool,
 }
 
-/// What came next of a body.
+/// Next piece of a body.
 pub enum BodyPiece {
-    /// Bytes; none of trailers.
+    /// Data; empty for trailers.
     Bytes(Bytes),
     /// The end.
     End,
     /// The connection broke.
     Broken,
-    /// Nothing in time.
+    /// Nothing arrived in time.
     Silent,
 }
 
 impl Upstream {
-    /// Splits a response into its head, and body with all that belongs to it.
+    /// Splits a response into its head and its upstream.
     pub fn of(response: EndpointResponse) -> (Response<()>, Self) {
         let EndpointResponse { response, body_start, metadata, connection, guard, .. } = response;
         let (head, body) = ingress::client_response(response);
@@ -61,7 +61,7 @@
         )
     }
 
-    /// Bytes that are left of the body, if the endpoint has said how many there are.
+    /// Remaining length of the body in bytes, if the endpoint announced its length.
     pub fn length(&self) -> Option<u64> {
         let read = match &self.body_start {
             BodyStart::Piece(piece) => piece.len() as u64,
@@ -70,12 +70,12 @@
         self.body.size_hint().exact().map(|rest| read + rest)
     }
 
-    /// Whether the body has come to its end.
+    /// Whether the whole body has been read.
     pub fn is_at_end(&self) -> bool {
         self.body_start == BodyStart::Unread && self.body.is_end_stream()
     }
 
-    /// The next piece, awaited until then.
+    /// Waits for the next piece, at most until then.
     pub async fn next_piece(&mut self, until: Instant) -> BodyPiece {
         let piece = match mem::take(&mut self.body_start) {
             BodyStart::Piece(piece) => BodyPiece::Bytes(piece),
@@ -92,7 +92,7 @@
         match timeout_at(true_time::timer_at(until), self.body.frame()).await {
             Err(_) => BodyPiece::Silent, // Out of time.
             Ok(None) => BodyPiece::End,
-            // The error's details don't matter: the endpoint is left either way.
+            // The error's details don't matter: this endpoint is given up in any case.
             Ok(Some(Err(_))) => BodyPiece::Broken,
             // Trailers are not passed on.
             Ok(Some(Ok(frame))) => BodyPiece::Bytes(frame.into_data().unwrap_or_default()),
--- a/src/gateway/request/sized_body.rs
+++ b/src/gateway/request/sized_body.rs
@@ -1,5 +1,5 @@
-//! A streamed body whose length is known, so that the client gets it with the same
-//! Content-Length that the endpoint sent, and not in chunks.
+//! A streamed body of known length, so that the client gets it with the endpoint's Content-Length
+//! instead of chunked encoding.
 
 use std::{
     pin::Pin,
