--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,7 +1,7 @@
-//! The path of a client's request: from its connection to an endpoint's response and back.
+//! Handles a client's request from its connection to an endpoint and back.
 //!
-//! `client_listener` accepts connections, `dispatch` takes a request through `admission`,
-//! `attempt` and `relay`. The rules that they follow are in `policy`.
+//! `client_listener` accepts connections, and `dispatch` passes each request through `admission`,
+//! `attempt` and `relay`. Their rules are in `policy`.
 
 pub mod admission;
 pub mod attempt;
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -1,4 +1,4 @@
-//! Admits a client's request: reads its body and charges its quota, by the rules of
+//! Admits a client's request: reads its body and charges its quota, according to
 //! `policy::request::admission`, `policy::request::key_freshness` and `policy::request::quota`.
 
 use std::{
@@ -33,11 +33,11 @@
     pub call: Call,
     /// Its route.
     pub route: Rc<Route>,
-    /// Service drawn among those of the route.
+    /// Service, chosen at random by the route's weights.
     pub service: Rc<Service>,
-    /// Account; none for public routes.
+    /// Account; `None` for public routes, and if the configuration has no accounts.
     pub account: Option<Rc<Account>>,
-    /// When it has to be over.
+    /// Deadline of the request.
     pub deadline: Instant,
     /// Whether its run has been counted for the account.
     counted: Cell<bool>,
@@ -45,7 +45,7 @@
 }
 
 impl Admitted {
-    /// Counts a run for the account, once for each request.
+    /// Counts a run for the account, at most once per request.
     pub fn count_run(&self, context: &GatewayContext) {
         if let Some(account) = &self.account
             && !self.counted.replace(true)
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The request's fingerprint; made when it is first needed, since it reads the whole body.
+    /// The request's fingerprint; computed on first use, since it hashes the whole body.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| RequestFingerprint::of(self.account_name(), &self.call))
     }
 
-    /// The part of it that needs no body.
+    /// The part of the fingerprint that doesn't depend on the body.
     pub fn fingerprint_head(&self) -> u64 {
         RequestFingerprint::head_of(self.account_name(), &self.call.head)
     }
@@ -116,7 +116,7 @@
     match collecting.await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLong),
-        // The client broke off or was too slow; the refusal is logged with the request.
+        // The client disconnected or was too slow; the refusal is logged with the request.
         Ok(Err(_)) | Err(_) => Err(Refusal::BodyBroken),
     }
 }
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -1,5 +1,6 @@
-//! A client's request from its head to the response: admitted, run at an endpoint, passed on
-//! or refused. What follows each attempt is decided by `policy::request::retries`.
+//! Handles a client's request from its head to the response: admits it, runs it at an endpoint, and
+//! passes the response on or refuses the request. `policy::request::retries` decides what follows
+//! each attempt.
 
 use std::rc::Rc;
 
@@ -30,17 +31,17 @@
     true_time,
 };
 
-/// Error that closes the connection of a client whose request did not arrive whole.
-const INCOMPLETE_BODY: &str = "client broke off";
+/// Error that closes the connection of a client whose request did not arrive completely.
+const INCOMPLETE_BODY: &str = "request body incomplete";
 
 /// Responds to a client's request; an error closes the connection without a response.
 pub async fn respond(
     context: &Rc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, std::io::Error> {
-    // The HTTP library drops a Content-Length that comes with a chunked body, so the client
-    // may mean the body to end elsewhere. Closing the connection after the response keeps
-    // what follows from being read as another request.
+    // The HTTP library ignores a Content-Length sent with a chunked body, so the client may have
+    // meant the body to end elsewhere. Closing the connection after the response prevents the bytes
+    // that follow from being read as another request.
     let close = ingress::is_chunked(request.headers());
     let mut responded = respond_to(context, request).await;
     if let (true, Ok(response)) = (close, &mut responded) {
@@ -99,8 +100,8 @@
     }
 }
 
-/// Makes attempts until an endpoint gives a response to pass on. Where no attempt does better, the error
-/// that an endpoint has given is passed on, and not one of this daemon.
+/// Makes attempts until an endpoint gives a response to pass on. If no attempt succeeds, an
+/// endpoint's error response is passed on rather than a refusal of this daemon.
 async fn first_response(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
@@ -112,10 +113,10 @@
         match attempt(context, admitted, attempts, None, trace).await {
             Err(refusal) => break refusal,
             Ok(AttemptEnd::Responded(mut response)) => {
-                let may_follow = may_be_dropped(admitted, &mut response).await
+                let will_retry = may_be_dropped(admitted, &mut response).await
                     && has_another(context, admitted, attempts)
                     && may_try_again(context, admitted, attempts);
-                if !may_follow {
+                if !will_retry {
                     return Ok(*response);
                 }
                 attempts.may_have_run = true;
@@ -131,7 +132,8 @@
     error.ok_or(refusal)
 }
 
-/// Whether a response may be dropped for another attempt: an error, or a head without a body.
+/// Whether a response may be dropped for another attempt: if it is an error, or a head without a
+/// body.
 async fn may_be_dropped(admitted: &Admitted, response: &mut EndpointResponse) -> bool {
     let kind = admitted.route.kind;
     let is_server_error = response.response.status().is_server_error();
@@ -139,8 +141,9 @@
         || !kind.is_stream() && response.lacks_body(admitted.deadline).await
 }
 
-/// Drops a response for another attempt. An error is kept: its endpoint is done. One without a body ends
-/// with its connection, so that the endpoint works no more on what another one is sent.
+/// Drops a response for another attempt. An error response is returned, since its endpoint has
+/// finished the request. Otherwise the connection is closed, so that the endpoint stops working on
+/// a request that is sent to another one.
 fn drop_response(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
@@ -159,7 +162,7 @@
     None
 }
 
-/// The refusal after a failed attempt, unless another one follows.
+/// The refusal after a failed attempt; `None` if another attempt follows.
 fn refusal_after(
     context: &GatewayContext,
     admitted: &Admitted,
