--- a/src/gateway/request/crash_watch.rs
+++ b/src/gateway/request/crash_watch.rs
@@ -1,10 +1,10 @@
-//! Watches for requests that crash the endpoints that run them, and keeps them from running.
+//! Detects requests that crash the endpoints that run them, and stops running them.
 //!
-//! When a run breaks, its endpoint's address is tried: an endpoint whose process has ended refuses
-//! connections until it has started again. Of an endpoint that is known to be leaving nothing is
-//! checked: it ends as planned, and runs that it cuts off say nothing of their requests. A
-//! time-out or a silent connection is no sign of a crash. What follows is decided by
-//! `policy::request::crash_ledger`.
+//! When a run breaks, the daemon tries to connect to its endpoint: an endpoint whose process has
+//! ended refuses connections until it has restarted. Endpoints that are known to be leaving are not
+//! checked: they end as planned, and the runs that they break off are no evidence against their
+//! requests. A time-out or a silent connection is no evidence of a crash either.
+//! `policy::request::crash_ledger` decides what follows from a crash.
 
 use std::{io::ErrorKind, rc::Rc, time::Duration};
 
@@ -32,28 +32,29 @@
     true_time,
 };
 
-/// Time from a broken run to the check of its endpoint: a process that ends closes its connections
-/// and its listener within a few milliseconds, and endpoints take longer to start again.
+/// Delay between a broken run and the check of its endpoint. A process that ends closes its
+/// connections and its listener within a few milliseconds; an endpoint takes longer than this to
+/// restart.
 const CHECK_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for the connection of the check: several round trips, as for connections of
+/// Longest wait for the check's connection: several round trips, as for the connections of
 /// requests.
 const CHECK_LIMIT: Duration = Duration::from_millis(400);
 
-/// What the check of an endpoint has found.
+/// Result of the check of an endpoint.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 enum CheckOutcome {
     /// Its address refuses connections.
     #[display("ended")]
     Ended,
-    /// It accepts connections.
+    /// Its address accepts connections.
     #[display("accepts connections")]
     Accepts,
-    /// No connection in time, or another error: nothing is known.
+    /// No connection in time, or another error: it is not known whether the endpoint has ended.
     #[display("not reached")]
     NotReached,
 }
 
-/// Whether the request may be run now.
+/// Decides whether the request may be run now.
 pub fn decide_run(context: &GatewayContext, admitted: &Admitted) -> RunVerdict {
     let mut ledger = context.crashes.borrow_mut();
     if !may_be_recorded(&ledger, admitted) {
@@ -75,7 +76,7 @@
     verdict
 }
 
-/// Clears a request to which an endpoint has given a whole response.
+/// Clears a request that got a complete response from an endpoint.
 pub fn request_served(context: &GatewayContext, admitted: &Admitted) {
     let mut ledger = context.crashes.borrow_mut();
     if !may_be_recorded(&ledger, admitted) {
@@ -87,14 +88,14 @@
     }
 }
 
-/// Whether the ledger may hold the request. Mostly it is empty, and nothing is hashed; otherwise
-/// it holds few heads, and only few bodies are read.
+/// Whether the ledger may contain the request. Usually the ledger is empty and nothing is hashed;
+/// otherwise it contains few heads, and few bodies have to be read.
 fn may_be_recorded(ledger: &CrashLedger, admitted: &Admitted) -> bool {
     !ledger.is_empty() && ledger.has_head(admitted.fingerprint_head())
 }
 
-/// Notes that a run has broken: checks its endpoint, unless a check is under way that serves for
-/// this run too.
+/// Records a broken run, and starts a check of its endpoint unless one is in progress already,
+/// which then covers this run too.
 pub fn run_broke(context: &Rc<GatewayContext>, endpoint: &Rc<EndpointRecord>, run: BrokenRun) {
     context.metrics.count("runs_broken", 1);
     if !context.endpoints.borrow().is_ready(&endpoint.id) {
@@ -111,12 +112,12 @@
     let outcome = match connecting {
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => CheckOutcome::Ended,
         Ok(Ok(_)) => CheckOutcome::Accepts,
-        // What kept the connection from coming up makes no difference.
+        // The cause of the failure makes no difference.
         Ok(Err(_)) | Err(_) => CheckOutcome::NotReached,
     };
     let runs = context.crash_checks.take(&endpoint.id);
     context.metrics.count_labelled("crash_checks", "outcome", &outcome.to_string());
-    // Endpoints that only lose connections may do so many times a second: they are counted.
+    // Endpoints that only lose connections may do so many times a second, so that is only counted.
     if outcome == CheckOutcome::Ended {
         spdlog::info!("endpoint ended", kv: {
             endpoint: = endpoint.id, address: = endpoint.address, broken_runs = runs.len()
@@ -132,12 +133,12 @@
     for BrokenRun { request, begun, broken } in runs.iter().copied() {
         let run = CrashedRun { endpoint, begun, crashed: broken };
         if ledger.record_crash(request, run, now) {
-            log_quarantine(context, request, "crashed endpoints here");
+            log_quarantine(context, request, "endpoints crashed during runs of this daemon");
         }
     }
 }
 
-/// Logs that a request is refused from now on, and who found that.
+/// Logs and counts that a request is refused from now on; `reason` says which daemon detected it.
 pub fn log_quarantine(context: &GatewayContext, request: RequestFingerprint, reason: &str) {
     spdlog::warn!("request quarantined", kv: { fingerprint: = request, reason });
     context.metrics.count("requests_quarantined", 1);
--- a/src/gateway/request/response_meaning.rs
+++ b/src/gateway/request/response_meaning.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's response says about the request, as the platform's adapter decodes it.
+//! Meaning of an endpoint's response for the request, as decoded by the platform's adapter.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -12,34 +12,34 @@
     Ran,
     /// The endpoint has not run the request and never will.
     NotRun,
-    /// Another endpoint is at this address now; the request has not run.
+    /// Another endpoint has this address now; the request has not run.
     OtherEndpoint,
     /// The response belongs to another request; this one may have run.
     Foreign,
 }
 
-/// What a response says of the requests that its endpoint takes from all daemons together.
+/// Limit in a response for the requests that its endpoint accepts from all daemons together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitSignal {
-    /// It names no limit.
+    /// The response has no limit.
     #[default]
     Absent,
-    /// It names one that can't be read.
+    /// The limit can't be parsed.
     Unreadable,
-    /// So many requests a second, 0 or more.
+    /// Requests per second, 0 or more.
     PerSecond(f64),
 }
 
-/// What an endpoint says of itself in a response.
+/// Signals in a response about the endpoint itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointSignals {
-    /// Whether it drains and wants no more requests.
+    /// Whether it is draining and wants no more requests.
     pub is_draining: bool,
-    /// Time from now for which it wants no requests from this daemon.
+    /// Time from now during which it wants no requests from this daemon.
     pub backoff: Option<Duration>,
-    /// How many requests it takes.
+    /// How many requests it accepts.
     pub limit: LimitSignal,
-    /// Whether it says any of this in a way that can't be read.
+    /// Whether any of these signals can't be parsed.
     pub is_unreadable: bool,
 }
 
@@ -55,20 +55,20 @@
             write!(formatter, " limit {limit} a second")?;
         }
         if self.is_unreadable {
-            formatter.write_str(" signals not read")?;
+            formatter.write_str(" signals unreadable")?;
         }
         Ok(())
     }
 }
 
-/// What the head of a response says.
+/// Decoded head of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseMetadata {
     /// Meaning for the request.
     pub meaning: ResponseMeaning,
-    /// What the endpoint says of itself; nothing where another one has responded.
+    /// Signals of the endpoint; the default if another endpoint has responded.
     pub signals: EndpointSignals,
-    /// Time for which the endpoint keeps the connection open, if it says so.
+    /// Time for which the endpoint keeps the idle connection open, if the response contains it.
     pub keep: Option<Duration>,
     /// Whether the endpoint closes the connection after this response.
     pub closes: bool,
