--- a/src/gateway/request/client_listener.rs
+++ b/src/gateway/request/client_listener.rs
@@ -1,8 +1,8 @@
-//! The clients' port: accepts connections, serves their requests one after the other, and
+//! Listener for clients: accepts connections, serves the requests of each one after the other, and
 //! closes connections that have been idle for too long.
 //!
-//! A stopping daemon serves one request on each new connection; see `daemon` for the order of
-//! a stop.
+//! A stopping daemon serves one request on each new connection; `daemon` describes the steps of a
+//! stop.
 
 use std::{
     cell::Cell,
@@ -41,23 +41,22 @@
 
 /// Name of the service.
 pub const NAME: &str = "client-edge";
-/// A connection is closed this much later than the configured idle time, so that a request sent
-/// just in time doesn't meet the close: far above a round trip.
+/// A connection is closed this much later than the configured idle time, so that a request sent at
+/// the last moment still arrives before the close: far longer than a round trip.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
-/// Longest life of a connection accepted by a stopping daemon: the daemon's stop ends it earlier;
-/// only a bound.
+/// Upper bound for the lifetime of a connection accepted by a stopping daemon; normally the process
+/// exits earlier.
 const STOPPING_LIMIT: Duration = Duration::from_secs(30);
-/// Smallest buffer for a head, in bytes, that the HTTP library accepts: the library panics below
-/// it.
+/// Smallest buffer for a head that the HTTP library accepts, in bytes: the library panics below it.
 const MIN_BUFFER: usize = 8 * 1024;
-/// Pause before accepting again at the connection limit, or after an error of accepting: short for
-/// clients, long enough not to spin.
+/// Pause before accepting again at the connection limit or after a failed accept: short for
+/// clients, long enough to avoid a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a connection is doing.
+/// Whether a connection is in use, and since when it is idle.
 #[derive(Debug)]
 struct ConnectionUse {
-    /// Whether a request is being handled or its response passed on.
+    /// Whether a request is being handled or its response is being passed on.
     is_busy: Cell<bool>,
     /// When the last response ended, or the connection began.
     idle_since: Cell<Instant>,
@@ -78,7 +77,7 @@
     }
 }
 
-/// Ends a request when it is dropped: with the response's body, or before there is one.
+/// When dropped, marks the connection as idle: with the response's body, or before there is one.
 struct RequestEnd(Rc<ConnectionUse>);
 
 impl Drop for RequestEnd {
@@ -87,7 +86,7 @@
     }
 }
 
-/// Body of a response that ends its request when it has been passed on.
+/// Body of a response that marks its connection as idle after it has been passed on.
 struct RequestBody {
     body: LocalBody,
     _end: RequestEnd,
@@ -127,7 +126,7 @@
             return std::future::pending().await;
         }
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors, mostly; accepting again at once would spin.
+            // Usually out of file descriptors; accepting again at once would be a busy loop.
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
@@ -140,13 +139,13 @@
     }
 }
 
-/// Bounds of the newest configuration; the defaults until there is one.
+/// Client limits of the newest configuration; the defaults until there is one.
 fn client_limits(context: &GatewayContext) -> ClientLimits {
     context.configuration().map_or_else(ClientLimits::default, |current| current.limits)
 }
 
 async fn serve_connection(stream: TcpStream, context: Rc<GatewayContext>) {
-    // Fails only on a socket that is already broken, which the first read reports.
+    // Fails only on a socket that is already broken, which the first read will report.
     let _ = stream.set_nodelay(true);
     let usage = Rc::new(ConnectionUse::new());
     let service = service_fn({
@@ -158,13 +157,13 @@
     let connection = http1_builder(&context).serve_connection(io, service);
     tokio::pin!(connection);
     if context.is_leaving() {
-        // It ends by itself after one response; closing it now would lose its request.
-        // Errors are the client's: its requests are logged by themselves.
+        // The connection ends after one response; closing it now would lose its request.
+        // Errors are caused by the client; requests have their own log lines.
         let _ = timeout(STOPPING_LIMIT, connection).await;
         return;
     }
     let mut phase = context.kernel.phase();
-    // The connection reads first: what it reads needs not be kept for it.
+    // The connection is polled first: bytes that it reads itself don't have to be buffered for it.
     tokio::select! {
         biased;
         _ = connection.as_mut() => return,
@@ -181,9 +180,10 @@
     }
 }
 
-/// Waits until the client has closed its connection during a request. Dropping the connection
-/// then ends the endpoint's work at once; with another request unread behind it, endpoints
-/// worked on until the deadline (2.95 s of 3 s, test `client_gone`).
+/// Waits until the client closes its connection during a request. Dropping the connection then
+/// cancels the endpoint's work immediately. Without this, if the client had sent another request
+/// that was still unread, endpoints worked on until the deadline (2.95 s of 3 s, test
+/// `client_gone`).
 async fn until_client_left(stream: &ClientStream, usage: &ConnectionUse) {
     poll_fn(|task| match usage.is_busy.get() {
         true => stream.poll_closed(task),
@@ -192,7 +192,7 @@
     .await;
 }
 
-/// Responds to one request; it ends with the response's body.
+/// Responds to one request. The connection counts as busy until the response's body is dropped.
 async fn respond(
     context: Rc<GatewayContext>,
     usage: Rc<ConnectionUse>,
@@ -225,8 +225,9 @@
         }
         let close_at = usage.idle_since.get() + idle_timeout + IDLE_MARGIN;
         sleep_until(true_time::timer_at(close_at)).await;
-        // A request may have begun meanwhile. A connection closed behind its response loses the
-        // client's next request: each time in the test that sends the first one after 100 ms.
+        // A request may have begun in the meantime. If the connection were closed after its
+        // response, the client's next request would be lost: each time in the test whose first
+        // request comes after 100 ms.
         let has_passed = usage.idle_since.get() + idle_timeout + IDLE_MARGIN <= true_time::now();
         if has_passed && !usage.is_busy.get() {
             return;
--- a/src/gateway/request/client_stream.rs
+++ b/src/gateway/request/client_stream.rs
@@ -1,7 +1,8 @@
-//! A client's connection that notices its close while the HTTP library does not read.
+//! A client's connection that detects its close while the HTTP library is not reading.
 //!
-//! The library reads no further while bytes of a next request are unread, and a close stands
-//! behind those bytes. What is read here meanwhile is buffered for the library.
+//! The library stops reading while it has unparsed bytes of the next request, and so does not
+//! detect a close after these bytes. Bytes that are read here in the meantime are buffered for the
+//! library.
 
 use std::{
     cell::RefCell,
@@ -17,10 +18,10 @@
     net::TcpStream,
 };
 
-/// Most bytes that are buffered for the library; beyond them a close is not noticed. A few requests
-/// without a body.
+/// Most bytes that are buffered for the library; a close after more than these is not detected.
+/// Enough for a few requests without a body.
 const MAX_BUFFERED: usize = 16 * 1024;
-/// Bytes read at once: a request's head.
+/// Size of a single read: the head of a request.
 const READ_SIZE: usize = 1_024;
 
 struct StreamState {
@@ -36,23 +37,23 @@
 }
 
 impl ClientStream {
-    /// Takes over an accepted connection.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         let state = StreamState { stream, buffered: BytesMut::new(), is_closed: false };
         Self { state: Rc::new(RefCell::new(state)) }
     }
 
-    /// Ready when the client has closed its side.
+    /// Ready once the client has closed its side of the connection.
     pub fn poll_closed(&self, task: &mut Context<'_>) -> Poll<()> {
         let mut state = self.state.borrow_mut();
         while !state.is_closed && state.buffered.len() < MAX_BUFFERED {
             let mut bytes = [0; READ_SIZE];
             let mut buffer = ReadBuf::new(&mut bytes);
             let read = ready!(Pin::new(&mut state.stream).poll_read(task, &mut buffer));
-            // An error is a close too: the library meets it when it reads or writes.
+            // An error counts as a close; the library will get it when it reads or writes.
             state.is_closed = read.is_err() || buffer.filled().is_empty();
             state.buffered.extend_from_slice(buffer.filled());
-            // The library may wait for what was read here.
+            // The library may be waiting for the bytes that were read here.
             task.waker().wake_by_ref();
         }
         match state.is_closed {
