--- a/src/gateway/request/connection_pool.rs
+++ b/src/gateway/request/connection_pool.rs
@@ -1,8 +1,8 @@
-//! Connections to endpoints, kept idle for further requests after a clean exchange.
+//! Pool of connections to endpoints, which are reused for further requests after a clean exchange.
 //!
-//! An exchange is clean when its response was read to the end and belonged to the request. An
-//! endpoint whose exchange was not clean loses its idle connections, since a late response on
-//! one of them could be mistaken for the next request's.
+//! An exchange is clean if its response was read to the end and belonged to the request. After an
+//! exchange that was not clean, all idle connections of the endpoint are closed, since a late
+//! response on one of them could be taken for the response to the next request.
 
 use std::{
     cell::{Cell, RefCell},
@@ -32,24 +32,24 @@
     true_time,
 };
 
-/// Longest wait for a new connection: several round trips; another endpoint is tried after it.
+/// Longest wait for a new connection: several round trips. After it another endpoint is tried.
 const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Longest idle time of a connection whose endpoint doesn't say how long it keeps it: short, since
-/// nothing says when the endpoint closes it.
+/// Longest idle time of a connection whose endpoint doesn't announce how long it keeps it open:
+/// short, since the endpoint may close it at any time.
 const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// A connection is not reused within this time before its endpoint closes it: the request would
-/// meet the close.
+/// A connection is not reused within this time before its endpoint closes it: the request might
+/// arrive after the close.
 const IDLE_MARGIN: Duration = Duration::from_millis(900);
-/// Longest idle time of a connection for a request that must not run twice: its endpoint may have
-/// dropped the connection silently, or send a surplus response late.
+/// Longest idle time of a connection for a request that must not run twice: the endpoint may have
+/// dropped the connection silently, or may still send a late, surplus response.
 const IDLE_LIMIT_RUN_ONCE: Duration = Duration::from_millis(250);
-/// Idle connections kept for each endpoint.
+/// Most idle connections per endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
-/// Longest wait until a connection that was just given back is ready: the library needs a turn of
-/// its own task for it.
+/// Longest wait until a connection that was just given back is ready: the HTTP library's task has
+/// to run first.
 const READY_LIMIT: Duration = Duration::from_millis(5);
-/// Time between removals of connections that were idle for too long: they cost only memory until
-/// then.
+/// Interval at which connections that were idle for too long are removed: until then they cost only
+/// memory.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Why an attempt has no response.
@@ -58,16 +58,16 @@
     /// The endpoint's address refuses connections.
     #[display("connection refused")]
     Refused,
-    /// No connection came up in time; nothing was sent.
+    /// No connection could be opened in time; nothing was sent.
     #[display("no connection in time")]
     NoConnection,
     /// The connection was closed before anything was sent.
     #[display("connection closed before sending")]
     ClosedBefore,
-    /// The connection broke after the request was begun: it may have run.
+    /// The connection broke after sending had begun: the request may have run.
     #[display("connection broke: {_0}")]
     Broken(String),
-    /// No response in time: the request may have run.
+    /// No response arrived in time: the request may have run.
     #[display("no response in time")]
     NoResponse,
 }
@@ -81,7 +81,7 @@
 
 type RequestSender = SendRequest<Full<Bytes>>;
 
-/// One start of an endpoint: a later one at the same address gets connections of its own.
+/// One start of an endpoint's process; a later start at the same address gets its own connections.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct EndpointStart {
     id: SharedName,
@@ -159,8 +159,7 @@
         Self { idle: Rc::default(), pruned_at, metrics }
     }
 
-    /// A connection to the endpoint: an idle one, or a new one where none is usable.
-    /// `reuse` says which idle ones the attempt may use.
+    /// Returns a connection to the endpoint: an idle one that `reuse` allows, or a new one.
     pub async fn take(
         &self,
         endpoint: &EndpointRecord,
@@ -194,22 +193,22 @@
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
                 return Err(SendFailure::Refused);
             }
-            // Unreachable, or no connection in time: the same for the request.
+            // Unreachable or not connected in time: this makes no difference to the request.
             Ok(Err(_)) | Err(_) => return Err(SendFailure::NoConnection),
         };
-        // Fails only on a socket that is already broken, which sending reports.
+        // Fails only on a socket that is already broken, which sending will report.
         let _ = stream.set_nodelay(true);
         self.metrics.count("replica_connections", 1);
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|_| SendFailure::ClosedBefore)?;
         tokio::task::spawn_local(async move {
-            // The request that uses the connection gets its errors.
+            // Errors are returned to the request that uses the connection.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// The connection that was idle for the shortest time, if it is usable.
+    /// Takes the most recently used idle connection, if `reuse` allows it.
     fn take_idle(&self, endpoint: &EndpointStart, reuse: ConnectionReuse) -> Option<RequestSender> {
         let now = true_time::now();
         let mut idle = self.idle.borrow_mut();
@@ -219,8 +218,8 @@
         newest.map(|connection| connection.sender)
     }
 
-    /// Keeps a connection whose exchange was clean; `keep` is the time for which its endpoint
-    /// keeps it open.
+    /// Returns a connection to the pool after a clean exchange; `keep` is the time for which its
+    /// endpoint keeps it open.
     pub fn give_back(&self, connection: EndpointConnection, keep: Option<Duration>) {
         let usable_for = keep.map_or(IDLE_LIMIT, |keep| keep.saturating_sub(IDLE_MARGIN));
         if usable_for.is_zero() {
@@ -242,7 +241,7 @@
         }
     }
 
-    /// Drops the idle connections of an endpoint whose exchange was not clean.
+    /// Closes the idle connections of an endpoint after an exchange that was not clean.
     pub fn discard_connections(&self, endpoint: &str) {
         self.idle.borrow_mut().retain(|start, _| &*start.id != endpoint);
     }
