--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,16 +1,16 @@
-//! The path of a client's request: from its connection to an endpoint's response and back.
+//! Handles a client's request from its connection to an endpoint and back.
 //!
-//! `client_listener` accepts connections, `dispatch` takes a request through `admission`,
-//! `attempt` and `relay`. The rules that they follow are in `policy`.
+//! `client_listener` accepts connections, and `dispatch` passes each request through `admission`,
+//! `attempt` and `relay`. Their rules are in `policy`.
 
 pub mod admission;
 pub mod attempt;
+pub mod body_drain;
 pub mod client_listener;
 mod client_stream;
 pub mod connection_pool;
 pub mod crash_watch;
 pub mod dispatch;
-pub mod drain;
 pub mod event_cutter;
 pub mod refusal_response;
 pub mod relay;
--- a/src/gateway/request/attempt/endpoint_response.rs
+++ b/src/gateway/request/attempt/endpoint_response.rs
@@ -1,4 +1,4 @@
-//! A response of an endpoint between its attempt and its relay.
+//! An endpoint's response after the attempt, before it is relayed to the client.
 
 use http_body_util::BodyExt;
 use hyper::{
@@ -9,28 +9,29 @@
 
 use crate::{
     gateway::request::{
-        connection_pool::EndpointConnection, response_meaning::ResponseSigns, run_guard::RunGuard,
+        connection_pool::EndpointConnection, response_meaning::ResponseMetadata,
+        run_guard::RunGuard,
     },
     true_time,
 };
 
-/// A response of an endpoint, with all that is needed to relay it.
+/// An endpoint's response, with everything that is needed to relay it.
 pub struct EndpointResponse {
     /// Head and body.
     pub response: Response<Incoming>,
-    /// What was read of the body already.
+    /// The part of the body that has been read already.
     pub body_start: BodyStart,
-    /// Until when the attempt may wait for the body, if another one could follow.
-    pub awaited_until: Instant,
-    /// What its head says.
-    pub signs: ResponseSigns,
-    /// Connection that it comes over.
+    /// Until when to wait for the body if another attempt could follow.
+    pub response_deadline: Instant,
+    /// Decoded head of the response.
+    pub metadata: ResponseMetadata,
+    /// Connection on which it arrives.
     pub connection: EndpointConnection,
     /// The run at the endpoint.
     pub guard: RunGuard,
 }
 
-/// What was read of a body before it is relayed.
+/// The part of a body that has been read before it is relayed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum BodyStart {
     /// Nothing.
@@ -38,23 +39,23 @@
     Unread,
     /// Its first piece.
     Piece(Bytes),
-    /// It has broken before its first piece.
+    /// The connection broke before the first piece.
     Broken,
 }
 
 impl EndpointResponse {
-    /// Reads the first piece of the body. Whether there is none while another endpoint could still
-    /// serve the request, which ends at `deadline`.
+    /// Reads the first piece of the body. Returns whether there is none although another endpoint
+    /// could still serve the request before its `deadline`.
     pub async fn lacks_body(&mut self, deadline: Instant) -> bool {
         let body = self.response.body_mut();
-        if self.awaited_until >= deadline || body.is_end_stream() {
+        if self.response_deadline >= deadline || body.is_end_stream() {
             return false;
         }
-        match timeout_at(true_time::timer_at(self.awaited_until), body.frame()).await {
+        match timeout_at(true_time::timer_at(self.response_deadline), body.frame()).await {
             // Out of time.
             Err(_) => true,
             Ok(Some(Ok(frame))) => {
-                // Trailers end a body without a piece, and are not passed on.
+                // Trailers end a body without data; they are not passed on.
                 self.body_start = frame.into_data().map_or(BodyStart::Unread, BodyStart::Piece);
                 false
             }
--- a/src/gateway/request/attempt/judge.rs
+++ b/src/gateway/request/attempt/response_evaluation.rs
@@ -1,7 +1,7 @@
-//! What the head of a response means for its request, and what it says of its endpoint.
+//! Evaluates the head of a response: what it means for the request and for its endpoint.
 //!
-//! All responses come through here, whatever becomes of them: passed on, dropped for a retry, or
-//! abandoned. What endpoints may say is listed in `docs/design/endpoint-signals.md`.
+//! Every response is evaluated here, whether it is passed on, dropped for a retry, or abandoned.
+//! The signals of endpoints are listed in `docs/design/endpoint-signals.md`.
 
 use std::rc::Rc;
 
@@ -19,75 +19,77 @@
         policy::{
             endpoint::request_limit::believed_limit,
             request::{
-                refusal::promises_no_run,
+                refusal::status_promises_not_run,
                 retries::{AttemptFailure, is_endpoint_failure},
             },
         },
         request::{
             admission::Admitted,
+            body_drain::drain_body,
             connection_pool::EndpointConnection,
-            drain::drain,
             request_log::RequestTrace,
-            response_meaning::{LimitSignal, ResponseMeaning, ResponseSigns},
+            response_meaning::{LimitSignal, ResponseMeaning, ResponseMetadata},
             run_guard::RunGuard,
         },
     },
     platform::ingress,
 };
 
-/// Judges the head of a response.
-pub fn judge(
+/// Evaluates the head of a response.
+pub fn evaluate_response(
     context: &Rc<GatewayContext>,
     admitted: &Admitted,
     response: Response<Incoming>,
-    awaited_until: Instant,
+    response_deadline: Instant,
     connection: EndpointConnection,
     guard: RunGuard,
     trace: &mut RequestTrace,
 ) -> AttemptEnd {
-    let signs = ingress::read_response(&admitted.call.head.id, &response);
-    trace.responded(response.status(), &signs);
-    note_signals(&signs, &guard);
+    let metadata = ingress::read_response(&admitted.call.head.id, &response);
+    trace.responded(response.status(), &metadata);
+    record_signals(&metadata, &guard);
     let (status, body_start) = (response.status(), BodyStart::Unread);
     let response =
-        EndpointResponse { response, body_start, awaited_until, signs, connection, guard };
-    match signs.meaning {
-        ResponseMeaning::Ran if promises_no_run(status) => {
-            // The client would take the status for a promise that the endpoint has not made.
+        EndpointResponse { response, body_start, response_deadline, metadata, connection, guard };
+    match metadata.meaning {
+        ResponseMeaning::Ran if status_promises_not_run(status) => {
+            // Clients would understand the status as a promise that the endpoint did not make.
             admitted.count_run(context);
-            refused(context, response, AttemptFailure::MayHaveRun)
+            handle_refusal(context, response, AttemptFailure::MayHaveRun)
         }
-        ResponseMeaning::Ran => ran(context, admitted, response),
-        ResponseMeaning::NotRun => refused(context, response, AttemptFailure::NotRun),
+        ResponseMeaning::Ran => handle_run(context, admitted, response),
+        ResponseMeaning::NotRun => handle_refusal(context, response, AttemptFailure::NotRun),
         ResponseMeaning::OtherEndpoint => {
             response.guard.endpoint_ended();
-            not_its_own(context, response, AttemptFailure::NotRun)
+            discard_mismatched(context, response, AttemptFailure::NotRun)
+        }
+        ResponseMeaning::Foreign => {
+            discard_mismatched(context, response, AttemptFailure::MayHaveRun)
         }
-        ResponseMeaning::Foreign => not_its_own(context, response, AttemptFailure::MayHaveRun),
     }
 }
 
-/// Notes what the endpoint says of itself.
-fn note_signals(signs: &ResponseSigns, guard: &RunGuard) {
-    if signs.signals.is_draining {
-        // Lists may call it ready for as long as the store is away.
+/// Records the signals of the endpoint in the response.
+fn record_signals(metadata: &ResponseMetadata, guard: &RunGuard) {
+    if metadata.signals.is_draining {
+        // While the store is unreachable, endpoint lists may still contain it as ready.
         guard.endpoint_drains();
     }
-    // An endpoint names a limit when it is in need: what it gets beyond is more than it can serve.
-    match (signs.meaning, signs.signals.limit) {
+    // An endpoint announces a limit when it is overloaded and can't serve more requests than that.
+    match (metadata.meaning, metadata.signals.limit) {
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::PerSecond(limit)) => {
             guard.endpoint_limits(believed_limit(limit));
         }
-        (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::NotSaid) => {
+        (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::Absent) => {
             guard.endpoint_limits(None);
         }
-        // Nothing is known of the limit.
+        // The endpoint's limit is unknown.
         (ResponseMeaning::OtherEndpoint | ResponseMeaning::Foreign, _)
         | (_, LimitSignal::Unreadable) => {}
     }
 }
 
-fn ran(
+fn handle_run(
     context: &GatewayContext,
     admitted: &Admitted,
     mut response: EndpointResponse,
@@ -95,8 +97,8 @@
     let status = response.response.status();
     let is_success = status.is_success();
     if !(admitted.route.kind.is_stream() && is_success) {
-        // An error is a run too, also if it is dropped for a retry. A stream's run begins with
-        // its first event.
+        // An error response counts as a run, even if it is dropped for a retry. A stream counts
+        // when its first event arrives.
         admitted.count_run(context);
     }
     if is_endpoint_failure(status) {
@@ -105,20 +107,20 @@
     AttemptEnd::Responded(Box::new(response))
 }
 
-fn refused(
+fn handle_refusal(
     context: &Rc<GatewayContext>,
     response: EndpointResponse,
     failure: AttemptFailure,
 ) -> AttemptEnd {
-    let EndpointResponse { response, signs, connection, mut guard, .. } = response;
-    guard.endpoint_refused(signs.signals.backoff);
+    let EndpointResponse { response, metadata, connection, mut guard, .. } = response;
+    guard.endpoint_refused(metadata.signals.backoff);
     guard.finish(AttemptResult::Neutral);
-    drain(context, response, connection, signs);
+    drain_body(context, response, connection, metadata);
     AttemptEnd::Failed(failure)
 }
 
-/// The response is of another endpoint, or to another request.
-fn not_its_own(
+/// Handles a response from another endpoint, or to another request.
+fn discard_mismatched(
     context: &GatewayContext,
     response: EndpointResponse,
     failure: AttemptFailure,
