--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -180,7 +180,7 @@
             if !is_starting {
                 context.peer_contact.borrow_mut().receive_response(called_at);
             }
-            FetchOutcomes::judge(sent, held_versions(context))
+            FetchOutcomes::of_response(sent, held_versions(context))
         }
         // Counted, not logged: calls to a daemon that is gone fail twice a second.
         Ok(Err(_)) | Err(_) => {
--- a/src/gateway/policy/daemon/text_fetches.rs
+++ b/src/gateway/policy/daemon/text_fetches.rs
@@ -39,7 +39,7 @@
 impl FetchOutcome {
     /// Of a response that held a text of version `sent`, or none, after which this daemon holds
     /// `held`.
-    fn judge<V: Ord>(sent: Option<V>, held: V) -> Self {
+    fn of_response<V: Ord>(sent: Option<V>, held: V) -> Self {
         match sent {
             None => Self::Withheld,
             Some(sent) if sent <= held => Self::Received,
@@ -82,10 +82,10 @@
         Self { configuration: FetchOutcome::Failed, endpoints: FetchOutcome::Failed };
 
     /// Of a response that held the texts `sent`, after which this daemon holds `held`.
-    pub fn judge(sent: SentVersions, held: HeldVersions) -> Self {
+    pub fn of_response(sent: SentVersions, held: HeldVersions) -> Self {
         Self {
-            configuration: FetchOutcome::judge(sent.configuration, held.configuration),
-            endpoints: FetchOutcome::judge(sent.endpoints, held.endpoints),
+            configuration: FetchOutcome::of_response(sent.configuration, held.configuration),
+            endpoints: FetchOutcome::of_response(sent.endpoints, held.endpoints),
         }
     }
 }
--- a/tests/gateway/catch_up.rs
+++ b/tests/gateway/catch_up.rs
@@ -105,7 +105,7 @@
 fn a_response_is_judged_by_what_it_brought() {
     let judge = |configuration, held| {
         let sent = SentVersions { configuration, endpoints: None };
-        FetchOutcomes::judge(sent, holding(held)).configuration
+        FetchOutcomes::of_response(sent, holding(held)).configuration
     };
     expect_that!(judge(None, 8), eq(FetchOutcome::Withheld));
     expect_that!(judge(Some(9), 9), eq(FetchOutcome::Received));
