--- a/src/gateway/policy/daemon/catch_up.rs
+++ b/src/gateway/policy/daemon/catch_up.rs
@@ -1,16 +1,18 @@
 //! Decides when to fetch a newer configuration or endpoint list, and from which daemon.
 //!
-//! Inputs are the versions that peers report with each gossip message, those that this daemon holds,
-//! and how long it waits for the store to deliver a change first. Each text is
-//! requested from one daemon at a time. Any daemon that holds a newer text than this one will do:
-//! the newest is asked first, but not one that has just refused while others are left. A
-//! request ends with its response; one that is not answered in `FETCH_TIMEOUT`, or with a text
-//! that can't be read, holds up the next for that time. Without reports nothing is fetched.
+//! Inputs are the versions that peers report in gossip messages, the versions that this daemon
+//! holds, and how long it first waits for the store to deliver a change. Each text is requested
+//! from one daemon at a time. Any daemon with a newer text than this one is a candidate: those that
+//! have not refused come first, then those that refused longest ago, and among equals the one with
+//! the newest text. A request ends with its response. A request without a response, or whose
+//! response can't be read, blocks the next one for `FETCH_TIMEOUT`. Without reports nothing is
+//! fetched.
 //!
-//! If each asked only the daemon that reported the newest revision, the few that hold it would be
-//! asked by all others at once and refuse most of them, the same ones each time: with a change
-//! every 0.2 s up to 6.0 s pass until all of 87 daemons hold it or a newer one, 1.0 s by this rule
-//! (model of tests/gateway/text_model.rs, 18 KB, seeds 1 to 8).
+//! If every daemon asked only the one that reported the newest revision, the few daemons that hold
+//! it would get the requests of all others at once and refuse most of them, the same ones each
+//! time. With a change every 0.2 s, it then takes up to 6.0 s until all of 87 daemons hold the
+//! change or a newer one; with this rule it takes 1.0 s (model in tests/gateway/text_model.rs,
+//! 18 KB, seeds 1 to 8).
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -23,28 +25,29 @@
 };
 use crate::store_position::StorePosition;
 
-/// Time after which a text that was requested and not received is requested again: three times what
-/// a long text takes on an idle link of 10 Mbit/s.
+/// Time after which a text that has not arrived is requested again: three times the transfer time
+/// of a long text on an idle 10 Mbit/s link.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time that a daemon that watches the store waits for a change from there before it requests the
-/// change from a peer.
-const STORE_HEAD_START: Duration = Duration::from_millis(300);
+/// Time for which a daemon that watches the store waits to read a change there before it requests
+/// the change from a peer.
+const STORE_WAIT: Duration = Duration::from_millis(300);
 
-/// How long a daemon was known to hold an older configuration, and what it tried meanwhile.
+/// How long the configuration of this daemon was known to be out of date, and the failed attempts
+/// to fetch a newer one in that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationLag {
     /// Milliseconds since a newer version was reported; 0 if none was.
     pub duration_ms: u64,
-    /// Requests for the text that were withheld.
+    /// Requests that the peer answered without the text.
     pub withheld: u32,
-    /// Requests for the text that failed or brought one that can't be read.
+    /// Requests that failed or returned an unreadable text.
     pub failed: u32,
 }
 
-/// Time for which a lagging daemon waits for the store before it asks peers.
+/// How long a daemon waits for the store before it requests a newer text from peers.
 pub fn wait_for_store(watches_store: bool, store_fails: bool) -> Duration {
     match watches_store && !store_fails {
-        true => STORE_HEAD_START,
+        true => STORE_WAIT,
         false => Duration::ZERO,
     }
 }
@@ -53,24 +56,24 @@
 #[derive(Clone, Copy, Debug)]
 struct TextHolder<V> {
     version: V,
-    /// When a request to it was last withheld or failed.
+    /// When it last withheld the text or a request to it failed.
     refused_at: Option<Instant>,
 }
 
-/// A request that has not ended.
+/// A request that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     to: SocketAddr,
     at: Instant,
 }
 
-/// What is known of newer texts of one thing.
+/// Which peers hold newer versions of one text, and the request for it.
 #[derive(Clone, Debug, Default)]
 struct TextCatchUp<V> {
     held: V,
     /// Since when a newer version than `held` is known.
     lagging_since: Option<Instant>,
-    /// Daemons that hold a newer one.
+    /// Daemons that hold a newer version.
     holders: BTreeMap<SocketAddr, TextHolder<V>>,
     request: Option<PendingRequest>,
     withheld: u32,
@@ -78,7 +81,8 @@
 }
 
 impl<V: Copy + Ord> TextCatchUp<V> {
-    /// Notes what this daemon holds now; what it has tried for an older text no longer counts.
+    /// Sets the version that this daemon holds, and drops the holders of versions that are not
+    /// newer. If newer ones are left, the lag begins again now.
     fn set_held(&mut self, held: V, now: Instant) {
         if held == self.held {
             return;
@@ -98,7 +102,8 @@
         self.lagging_since = self.lagging_since.or(Some(now));
     }
 
-    /// The daemon to request the text from now, if any; notes the request.
+    /// Picks the daemon to request the text from, if one should be requested now, and records the
+    /// request.
     fn start_fetch(
         &mut self,
         wait_for_store: Duration,
@@ -113,14 +118,15 @@
             if elapsed(request.at) < FETCH_TIMEOUT {
                 return None;
             }
-            self.note_refusal(request.to, now);
+            self.record_refusal(request.to, now);
         }
         let to = self.best_holder(rng)?;
         self.request = Some(PendingRequest { to, at: now });
         Some(to)
     }
 
-    /// Least recently refused, then newest, then any: those that hold the same are asked evenly.
+    /// Picks the holder that refused longest ago or never, then the one with the newest version.
+    /// The choice among equals is random, so that requests are spread evenly over them.
     fn best_holder(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
         let rank = |holder: &TextHolder<V>| (holder.refused_at, Reverse(holder.version));
         let best = self.holders.values().map(rank).min()?;
@@ -129,7 +135,8 @@
     }
 
     fn end_fetch(&mut self, from: SocketAddr, outcome: FetchOutcome, now: Instant) {
-        // A text that can't be read here is no better elsewhere: it is not requested again at once.
+        // A text that this daemon can't read from one peer is unreadable from others too. The
+        // request stays pending, so that the text is not requested again before `FETCH_TIMEOUT`.
         let is_over = outcome != FetchOutcome::Unreadable;
         if is_over && self.request.is_some_and(|request| request.to == from) {
             self.request = None;
@@ -139,17 +146,17 @@
             FetchOutcome::Withheld => self.withheld += 1,
             FetchOutcome::Failed | FetchOutcome::Unreadable => self.failed += 1,
         }
-        self.note_refusal(from, now);
+        self.record_refusal(from, now);
     }
 
-    fn note_refusal(&mut self, address: SocketAddr, now: Instant) {
+    fn record_refusal(&mut self, address: SocketAddr, now: Instant) {
         if let Some(holder) = self.holders.get_mut(&address) {
             holder.refused_at = Some(now);
         }
     }
 }
 
-/// Newer versions that peers have reported, and what was requested of them.
+/// Newer texts that peers have reported, and the requests for them.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUpState {
     configuration: TextCatchUp<u64>,
@@ -162,7 +169,7 @@
         self.endpoints.set_held(held.endpoints, now);
     }
 
-    /// Receives the versions that the daemon at `holder` has reported; this one holds `held`.
+    /// Records the versions that the daemon at `holder` has reported; this daemon holds `held`.
     pub fn receive(
         &mut self,
         holder: SocketAddr,
@@ -175,7 +182,7 @@
         self.endpoints.receive(holder, reported.endpoints, now);
     }
 
-    /// The daemons to request texts from now; the requests count as made.
+    /// Picks the daemons to request texts from now, and records these requests.
     pub fn start_fetches(
         &mut self,
         held: HeldVersions,
@@ -190,7 +197,7 @@
         }
     }
 
-    /// Notes how the requests of `fetches` to `from` ended.
+    /// Records how the requests of `fetches` to `from` ended.
     pub fn end_fetches(
         &mut self,
         from: SocketAddr,
@@ -206,12 +213,14 @@
         }
     }
 
-    /// How long a newer configuration than the one held has been known; none if there is none.
+    /// How long this daemon has known that a newer configuration exists; `None` if it holds the
+    /// newest that was reported.
     pub fn configuration_lag(&self, now: Instant) -> Option<Duration> {
         self.configuration.lagging_since.map(|since| now.saturating_duration_since(since))
     }
 
-    /// The lag that ends now, because a newer configuration is applied.
+    /// The lag that ends now because a newer configuration is applied. Resets its counts of
+    /// requests.
     pub fn take_configuration_lag(&mut self, now: Instant) -> ConfigurationLag {
         let catch_up = &mut self.configuration;
         let elapsed = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
--- a/src/gateway/policy/daemon/text_fetches.rs
+++ b/src/gateway/policy/daemon/text_fetches.rs
@@ -1,4 +1,4 @@
-//! Requests for texts to peers, and how they end.
+//! Requests to peers for newer texts, and their outcomes.
 
 use std::net::SocketAddr;
 
@@ -8,14 +8,14 @@
 /// Daemons to request texts from now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TextFetches {
-    /// For the configuration.
+    /// The daemon to request the configuration from.
     pub configuration: Option<SocketAddr>,
-    /// For the list of endpoints.
+    /// The daemon to request the list of endpoints from.
     pub endpoints: Option<SocketAddr>,
 }
 
 impl TextFetches {
-    /// The daemons, each once.
+    /// The daemons without duplicates.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> + use<> {
         let configuration = self.configuration;
         let endpoints = self.endpoints.filter(|one| Some(*one) != configuration);
@@ -23,22 +23,22 @@
     }
 }
 
-/// How a request for a text ended.
+/// Outcome of a request for a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchOutcome {
     /// The text has arrived.
     Received,
-    /// The daemon asked is sending it to another one first.
+    /// The peer responded without the text, because it is still sending one to another daemon.
     Withheld,
     /// No response in time, or the connection broke.
     Failed,
-    /// A text has arrived that this daemon can't read.
+    /// The text has arrived, but this daemon can't read it.
     Unreadable,
 }
 
 impl FetchOutcome {
-    /// Of a response that held a text of version `sent`, or none, after which this daemon holds
-    /// `held`.
+    /// Outcome of a call whose response held a text of version `sent`, if any; `held` is the
+    /// version that this daemon holds after applying the response.
     fn of_response<V: Ord>(sent: Option<V>, held: V) -> Self {
         match sent {
             None => Self::Withheld,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Name in metrics.
+    /// Value of the `outcome` label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Received => "received",
@@ -58,30 +58,31 @@
     }
 }
 
-/// Versions of the texts that a response holds.
+/// Versions of the texts in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentVersions {
-    /// Of the configuration, if it was sent.
+    /// Version of the configuration, if it was sent.
     pub configuration: Option<u64>,
-    /// Of the list of endpoints, if it was sent.
+    /// Store position of the list of endpoints, if it was sent.
     pub endpoints: Option<StorePosition>,
 }
 
-/// How the requests in one call ended; of those that were not made it says nothing.
+/// Outcomes of the requests in one call. The outcome of a request that was not made has no meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FetchOutcomes {
-    /// For the configuration.
+    /// Outcome of the request for the configuration.
     pub configuration: FetchOutcome,
-    /// For the list of endpoints.
+    /// Outcome of the request for the list of endpoints.
     pub endpoints: FetchOutcome,
 }
 
 impl FetchOutcomes {
-    /// Of a call that failed.
+    /// Outcomes of a call that failed.
     pub const FAILED: Self =
         Self { configuration: FetchOutcome::Failed, endpoints: FetchOutcome::Failed };
 
-    /// Of a response that held the texts `sent`, after which this daemon holds `held`.
+    /// Outcomes of a call whose response held the texts `sent`; `held` are the versions that this
+    /// daemon holds after applying the response.
     pub fn of_response(sent: SentVersions, held: HeldVersions) -> Self {
         Self {
             configuration: FetchOutcome::of_response(sent.configuration, held.configuration),
