--- a/src/gateway/policy/daemon/held_texts.rs
+++ b/src/gateway/policy/daemon/held_texts.rs
@@ -1,11 +1,12 @@
-//! Decides which texts of one thing a daemon keeps: the newest, and former ones from which a
-//! peer that still holds one of them can be sent the difference only.
+//! Decides which versions of a text a daemon keeps. A text is the serialized form of the
+//! configuration or of the endpoint list. Beside the newest version, former ones are kept: a peer
+//! that still has one of them is sent only the difference from it.
 //!
-//! Inputs are the texts in the order in which they were applied. Daemons skip texts, each
-//! others, so a peer names all that it keeps. Without a text in common the whole one is sent, and so
-//! it is after a difference that could not be applied. A text is named by its hash: the store may
-//! give a revision out twice, for different texts. Daemons of the last release name texts by
-//! revisions, and are sent whole ones.
+//! Inputs are the versions in the order in which they were applied. Not every daemon receives every
+//! version, so a peer names all those that it keeps. If the two daemons have none in common, or if
+//! a difference could not be applied, the whole text is sent. A version is identified by its hash,
+//! because the store may assign the same revision twice, to different texts. Daemons of the
+//! previous release identify texts by revision, and are sent whole texts.
 
 use std::collections::VecDeque;
 
@@ -13,32 +14,32 @@
 
 use crate::{ids::hash_parts, store_position::StorePosition};
 
-/// Most bytes of former texts that are kept: three texts of 1,400 routes.
+/// Maximum total size of the former versions in bytes: three configurations of 1,400 routes.
 const MAX_FORMER_BYTES: usize = 1_000_000;
-/// Most former texts that are kept, however short. Their names add 128 bytes to a request.
+/// Maximum number of former versions. Their hashes add 128 bytes to a request.
 const MAX_FORMER_TEXTS: usize = 16;
 
-/// Name of a text: its hash, the same at all daemons.
+/// Hash of a text, which identifies it at all daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TextId(pub u64);
 
 impl TextId {
-    /// In place of a base's name: the whole text is sent.
+    /// Stands for no base: the whole text is sent.
     pub const NO_BASE: Self = Self(0);
 
-    /// Name of `text`.
+    /// Hashes `text`.
     pub fn of(text: &[u8]) -> Self {
         Self(hash_parts(&[text]))
     }
 }
 
-/// What a daemon holds.
+/// Versions of the configuration and of the endpoint list that a daemon holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldVersions {
-    /// The operators' version of the configuration; 0 if there is none, or from a daemon of the last
-    /// release.
+    /// The version number that operators give the configuration; 0 if there is none, or if it is
+    /// reported by a daemon of the previous release.
     pub configuration: u64,
-    /// Where the store stood when it held the list of endpoints.
+    /// Store position at which the endpoint list was read.
     pub endpoints: StorePosition,
 }
 
@@ -48,19 +49,19 @@
     text: Bytes,
 }
 
-/// Texts of one thing, the newest and some former ones.
+/// The newest version of a text and some former ones.
 #[derive(Clone, Debug, Default)]
 pub struct HeldTexts {
     /// The newest first.
     texts: VecDeque<HeldText>,
     /// Whether a difference from one of them could not be applied.
-    are_rejected: bool,
+    bases_rejected: bool,
 }
 
 impl HeldTexts {
-    /// Keeps a text that is newer than all others, and drops the oldest ones beyond the limits.
+    /// Adds a text that is newer than all others, and drops the oldest ones beyond the limits.
     pub fn push(&mut self, text: Bytes) {
-        self.are_rejected = false;
+        self.bases_rejected = false;
         self.texts.push_front(HeldText { id: TextId::of(&text), text });
         while self.texts.len() > MAX_FORMER_TEXTS + 1 || self.former_bytes() > MAX_FORMER_BYTES {
             self.texts.pop_back();
@@ -76,7 +77,8 @@
         self.texts.front().map(|held| held.text.clone())
     }
 
-    /// The text that another was compressed against: empty for `NO_BASE`, none if it is not kept.
+    /// The text with this hash, as the base of a difference: empty for `NO_BASE`, `None` if the
+    /// text is not kept.
     pub fn base(&self, id: TextId) -> Option<Bytes> {
         if id == TextId::NO_BASE {
             return Some(Bytes::new());
@@ -89,21 +91,21 @@
         self.texts.iter().map(|held| held.id)
     }
 
-    /// The texts to name in a request, the newest first.
+    /// The bases to name in a request, the newest first.
     pub fn bases(&self) -> Vec<TextId> {
-        match self.are_rejected {
+        match self.bases_rejected {
             true => Vec::new(),
             false => self.ids().collect(),
         }
     }
 
-    /// Notes that a difference could not be applied: no bases are named until there is a newer
-    /// text.
+    /// Called after a difference could not be applied: until there is a newer text, requests name
+    /// no bases, so that the whole text is sent.
     pub fn reject_bases(&mut self) {
-        self.are_rejected = true;
+        self.bases_rejected = true;
     }
 
-    /// The newest text that is kept here and among the bases that a peer has named, or `NO_BASE`.
+    /// The newest text that both this daemon and a peer with these `bases` keep, or `NO_BASE`.
     pub fn newest_common(&self, bases: &[TextId]) -> TextId {
         self.ids().find(|id| bases.contains(id)).unwrap_or(TextId::NO_BASE)
     }
