--- a/src/gateway/policy/daemon/peer_contact.rs
+++ b/src/gateway/policy/daemon/peer_contact.rs
@@ -1,35 +1,38 @@
-//! Whether this daemon knows what the others know: which requests crash endpoints, which endpoints
-//! drain, and which configuration is the newest.
+//! Decides whether this daemon is up to date with its peers: which requests crash endpoints, which
+//! endpoints drain, and which configuration is the newest.
 //!
-//! A daemon that has just started, or whose process has stood still, may have missed a quarantine.
-//! Until a peer has responded to a call made since then, it runs no request. A daemon that
-//! reaches no peer goes on alone after a bounded time. What a daemon reads from the store as it starts
-//! may be of a copy: it then waits for a response to a call made since, and for the configuration
-//! that its peers hold, if that is newer. Without this wait, three daemons that were
-//! started again one after the other ended two more endpoints under a request that all refused.
+//! A daemon that has just started, or whose process was suspended, may have missed a quarantine.
+//! It runs no requests until a peer has responded to a call made after that. A daemon that reaches
+//! no peer continues alone after a limited time. What a daemon reads from the store as it starts
+//! may come from a restored, outdated copy. It therefore waits for a response to a call made after
+//! reading, and for the configuration of its peers if that is newer. Without this wait, three
+//! daemons that were restarted one after the other crashed two more endpoints with a request that
+//! all daemons had been refusing.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A process whose gossip did not run for this long has stood still: fifteen gossip intervals;
-/// processes that are only slow run it more often.
-const STANDSTILL: Duration = Duration::from_millis(1_500);
-/// A daemon that has heard no peer for this long goes on alone: six calls begin in it; longer,
-/// requests would be refused for it where most daemons are killed.
+/// A process whose gossip has not run for this long was suspended: fifteen gossip intervals. In a
+/// process that is only slow, gossip runs more often.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(1_500);
+/// A daemon that gets no response from a peer for this long continues alone. It starts six calls
+/// in that time; with a longer wait, requests would be refused where most daemons were killed.
 const MAX_WAIT: Duration = Duration::from_millis(300);
-/// Time after its start in which a daemon waits for a newer configuration that peers have reported:
-/// as long as a call that requests one may take.
+/// Time after its start for which a daemon waits for a newer configuration that peers have
+/// reported: the time limit of a call that requests one.
 const MAX_CATCH_UP: Duration = Duration::from_millis(2_500);
 
-/// Since when this daemon runs without a standstill, and whether it has heard a peer since.
+/// Whether a peer has responded since this daemon started or was last suspended, and whether the
+/// daemon has caught up with the configuration of its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerContact {
     running_since: Instant,
-    ran_at: Instant,
-    has_heard: bool,
+    last_interval_at: Instant,
+    response_received: bool,
     started_at: Instant,
-    /// Whether peers have reported a newer configuration since the start, and it was not yet held.
+    /// Whether the daemon has not caught up since its start: it has no configuration, or peers have
+    /// reported a newer one.
     is_lagging: bool,
     has_caught_up: bool,
 }
@@ -39,53 +42,54 @@
     pub fn new(now: Instant) -> Self {
         Self {
             running_since: now,
-            ran_at: now,
-            has_heard: false,
+            last_interval_at: now,
+            response_received: false,
             started_at: now,
             is_lagging: false,
             has_caught_up: false,
         }
     }
 
-    /// Notes that a gossip interval begins.
+    /// Called when a gossip interval begins.
     pub fn begin_interval(&mut self, now: Instant) {
-        if self.stood_still(now) {
+        if self.was_suspended(now) {
             self.running_since = now;
-            self.has_heard = false;
+            self.response_received = false;
         }
-        self.ran_at = now;
+        self.last_interval_at = now;
     }
 
-    /// Notes that what this daemon has read at `now` may be older than what its peers know.
+    /// Called when this daemon has read something at `now` that may be older than what its peers
+    /// know: it has to wait for a new response.
     pub fn expect_response(&mut self, now: Instant) {
         self.running_since = now;
-        self.has_heard = false;
+        self.response_received = false;
     }
 
-    /// Notes that a peer that knows what the others know has responded to a call made at `called_at`.
+    /// Called when an up-to-date peer has responded to a call made at `called_at`.
     pub fn receive_response(&mut self, called_at: Instant) {
-        self.has_heard |= called_at >= self.running_since;
+        self.response_received |= called_at >= self.running_since;
     }
 
-    /// Notes whether peers have reported a newer configuration than the one held, or none is held. After
-    /// a daemon has once caught up, it serves by what it has.
+    /// Records whether this daemon has no configuration or peers have reported a newer one. Once a
+    /// daemon has caught up, it no longer waits for newer configurations.
     pub fn observe_lag(&mut self, is_lagging: bool, now: Instant) {
-        self.has_caught_up |= !is_lagging && self.has_response(now);
+        self.has_caught_up |= !is_lagging && self.peer_wait_is_over(now);
         self.is_lagging = is_lagging && !self.has_caught_up;
     }
 
-    /// Whether the daemon knows what the others know.
+    /// Whether the daemon is up to date with its peers, or has waited long enough for them.
     pub fn is_current(&self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.started_at);
-        self.has_response(now) && (!self.is_lagging || age >= MAX_CATCH_UP)
+        self.peer_wait_is_over(now) && (!self.is_lagging || age >= MAX_CATCH_UP)
     }
 
-    fn has_response(&self, now: Instant) -> bool {
+    fn peer_wait_is_over(&self, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.running_since);
-        !self.stood_still(now) && (self.has_heard || waited >= MAX_WAIT)
+        !self.was_suspended(now) && (self.response_received || waited >= MAX_WAIT)
     }
 
-    fn stood_still(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.ran_at) >= STANDSTILL
+    fn was_suspended(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_interval_at) >= SUSPENSION_THRESHOLD
     }
 }
--- a/src/gateway/policy/daemon/readiness.rs
+++ b/src/gateway/policy/daemon/readiness.rs
@@ -1,12 +1,12 @@
-//! Whether the balancer should send new connections to this daemon.
+//! Decides whether the load balancer should send new connections to this daemon.
 //!
-//! Decided anew at each of the balancer's questions, from what the daemon holds at that
-//! moment. A daemon that lacks an input is not ready: requests would only be refused.
+//! Evaluated on each readiness check of the load balancer from the daemon's state at that moment. A
+//! daemon that lacks an input is not ready, because it would only refuse requests.
 
 use crate::gateway::policy::request::key_freshness::KeyFreshness;
 
-/// Most connections of clients open at once; more wait in the listen queue, and the daemon is not
-/// ready. Bounds the memory of a daemon under a flood of connections.
+/// Maximum number of open client connections. Further ones wait in the listen queue, and the daemon
+/// is not ready. Bounds the daemon's memory under a flood of connections.
 pub const MAX_CLIENT_CONNECTIONS: usize = 2_500;
 
 /// What readiness depends on.
@@ -20,18 +20,18 @@
     pub has_configuration: bool,
     /// The number of daemons is known.
     pub knows_daemon_count: bool,
-    /// Peers have told which requests crash endpoints.
+    /// The daemon is up to date with its peers (see `peer_contact`).
     pub has_peer_contact: bool,
-    /// New connections are accepted, and not left in the listen queue.
+    /// New connections are accepted rather than left in the listen queue.
     pub accepts_connections: bool,
-    /// State of the keys.
+    /// Freshness of the API keys.
     pub keys: KeyFreshness,
 }
 
-/// Whether a daemon takes new connections; otherwise the first reason why not.
+/// Whether a daemon is ready for new connections, or the first reason why it isn't.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It does.
+    /// The daemon is ready.
     Ready,
     /// It is stopping.
     Stopping,
@@ -41,16 +41,16 @@
     NoConfiguration,
     /// It doesn't know yet how many daemons share the quotas.
     DaemonCountUnknown,
-    /// It doesn't know yet which requests crash endpoints.
+    /// It is not up to date with its peers yet, and may lack quarantined requests.
     NoPeerContact,
-    /// Its keys may be out of date.
+    /// Its API keys may be out of date.
     KeysNotFresh,
-    /// It has as many connections as it accepts.
+    /// It has reached `MAX_CLIENT_CONNECTIONS`.
     ConnectionsFull,
 }
 
 impl Readiness {
-    /// Decides by the inputs.
+    /// Decides from the inputs.
     pub fn decide(inputs: ReadinessInputs) -> Self {
         match inputs {
             ReadinessInputs { is_stopping: true, .. } => Self::Stopping,
