--- a/src/gateway/policy/daemon.rs
+++ b/src/gateway/policy/daemon.rs
@@ -1,5 +1,5 @@
-//! Rules of a daemon beside its requests: ready or not, who asks the store, what is fetched
-//! from peers.
+//! Decisions of a daemon that do not concern single requests: its readiness, whether it watches
+//! the store, and which texts it fetches from peers.
 
 pub mod catch_up;
 pub mod daemon_count;
--- a/src/gateway/policy/daemon/daemon_count.rs
+++ b/src/gateway/policy/daemon/daemon_count.rs
@@ -1,34 +1,38 @@
-//! How many daemons share quotas and retry budgets, and since when that number is known.
+//! How many daemons share quotas and retry budgets, as a starting daemon estimates it.
 //!
-//! Shares given out for too few daemons overspend a quota: after all daemons of a large fleet
-//! were killed, each came up alone and spent as one of few. A
-//! starting daemon therefore assumes the number recorded with the leader lease, which it reads
-//! from the store or hears from a peer, until it has had time to meet the others. Until it has
-//! that number it gives out nothing of a quota, for a bounded time.
+//! If a daemon assumes too few others, its share is too large and the quota is overspent. This
+//! happened when all daemons of a large fleet were killed: each restarted alone and spent as if
+//! there were few. Until a starting daemon has had time to discover its peers, it therefore uses
+//! the number recorded with the leader lease, which it gets from the store or from a peer. Until
+//! it has that number, it admits no requests against quotas, for a limited time.
 
 use std::time::Duration;
 
 use crate::gateway::policy::request::quota::QuotaSharing;
 
-/// Time in which a starting daemon meets the others.
-const MEETING_TIME: Duration = Duration::from_millis(2_500);
-/// Daemons assumed while starting where no number is recorded. With too few a quota is overspent;
-/// with too many the first seconds admit less.
+/// Time in which a starting daemon discovers the others.
+const DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
+/// Number of daemons that a starting daemon assumes if none is recorded. Too few overspends quotas,
+/// too many admits less in the first seconds.
 const ASSUMED_DAEMONS: usize = 10;
-/// A daemon to which no recorded number has come after this time goes on without one: below the
-/// meeting time, so that the assumed number still applies when quotas are first given out.
-const MAX_UNKNOWN: Duration = Duration::from_millis(1_500);
+/// Time after which a daemon stops waiting for a recorded number. Shorter than `DISCOVERY_TIME`, so
+/// that `ASSUMED_DAEMONS` still applies when it begins to admit requests against quotas.
+const MAX_COUNT_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Corrects what the peers show, `age` after the start; `recorded` is the number of daemons
-/// recorded with the leader lease.
-pub fn sharing_at_start(met: QuotaSharing, recorded: Option<usize>, age: Duration) -> QuotaSharing {
-    if age >= MEETING_TIME {
-        return met;
+/// Corrects the sharing that follows from the discovered peers, `age` after the start. `recorded`
+/// is the number of daemons recorded with the leader lease.
+pub fn sharing_at_start(
+    discovered: QuotaSharing,
+    recorded: Option<usize>,
+    age: Duration,
+) -> QuotaSharing {
+    if age >= DISCOVERY_TIME {
+        return discovered;
     }
-    QuotaSharing { known: met.known.max(recorded.unwrap_or(ASSUMED_DAEMONS)), ..met }
+    QuotaSharing { known: discovered.known.max(recorded.unwrap_or(ASSUMED_DAEMONS)), ..discovered }
 }
 
-/// Whether the number of daemons is known well enough to give out shares of quotas.
+/// Whether the number of daemons is known well enough to admit requests against quotas.
 pub fn is_known(recorded: Option<usize>, age: Duration) -> bool {
-    recorded.is_some() || age >= MAX_UNKNOWN
+    recorded.is_some() || age >= MAX_COUNT_WAIT
 }
