--- a/src/gateway/gossip/endpoint_signals/limits.rs
+++ b/src/gateway/gossip/endpoint_signals/limits.rs
@@ -115,7 +115,12 @@
 }
 
 /// Notes what an endpoint has said of its limit in a response to a request that was sent at `sent`.
-pub fn note_response(context: &GatewayContext, endpoint: &str, limit: Option<f64>, sent: Instant) {
+pub fn apply_response_limit(
+    context: &GatewayContext,
+    endpoint: &str,
+    limit: Option<f64>,
+    sent: Instant,
+) {
     let now = true_time::now();
     let at = if limit.is_some() { now } else { sent };
     let word = LimitWord { limit, at };
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -10,7 +10,7 @@
         call::PromptPart,
         context::GatewayContext,
         endpoint::EndpointRecord,
-        gossip::endpoint_signals::limits::note_response,
+        gossip::endpoint_signals::limits::apply_response_limit,
         policy::endpoint::{
             endpoint_load::RunLoad,
             endpoint_table::attempt_results::{FoundFailing, RequestIntake, RunTickets},
@@ -139,7 +139,7 @@
     /// The endpoint has named a limit of so many requests a second, or none.
     pub fn endpoint_limits(&self, limit: Option<f64>) {
         if self.context.endpoints.borrow().knows_start(&self.endpoint) {
-            note_response(&self.context, &self.endpoint.id, limit, self.begun);
+            apply_response_limit(&self.context, &self.endpoint.id, limit, self.begun);
         }
     }
 
