--- a/src/gateway/gossip/endpoint_signals.rs
+++ b/src/gateway/gossip/endpoint_signals.rs
@@ -1,4 +1,5 @@
-//! What endpoints have said of themselves, sent to other daemons and received from them.
+//! Sends the warnings and request limits of endpoints to other daemons, and applies those that
+//! other daemons report.
 
 pub mod limits;
 pub mod warnings;
--- a/src/gateway/gossip/endpoint_signals/limits.rs
+++ b/src/gateway/gossip/endpoint_signals/limits.rs
@@ -1,5 +1,6 @@
-//! Limits that endpoints name: reported to other daemons and received from them as ages, since no clock of
-//! another daemon is compared with the own one, and divided among those that are known.
+//! Sends the request limits of endpoints to other daemons, applies those that they report, and
+//! divides each limit among the known daemons. Times are sent as ages, so that clocks of different
+//! daemons are never compared.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 
 use super::super::{
     messages::ReportedLimit,
-    peer_table::{PeerTable, PlaceAmongFirst},
+    peer_table::{PeerTable, RendezvousRank},
     report_source::ReportSource,
 };
 use crate::{
@@ -26,10 +27,10 @@
     true_time,
 };
 
-/// Time between two divisions of the limits.
+/// How often the limits are divided.
 pub const DIVIDE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Limits for another daemon.
+/// Limits to send to another daemon.
 pub fn own_limits(context: &GatewayContext, now: Instant) -> Vec<ReportedLimit> {
     let limits = context.endpoints.borrow().limits(now, &mut rand::rng()).into_iter();
     let report = |EndpointLimit { start, word }| ReportedLimit {
@@ -43,7 +44,7 @@
 /// Applies the limits that another daemon reports.
 pub fn apply_limits(context: &GatewayContext, reported: &[ReportedLimit], now: Instant) {
     let receive = |reported: &ReportedLimit| {
-        // What was said before the start of the clock will be said again.
+        // A limit from before the start of the clock will be repeated.
         let at = now.checked_sub(reported.age)?;
         let word = LimitWord { limit: reported.limit, at };
         let limit = EndpointLimit { start: reported.start, word };
@@ -51,12 +52,17 @@
     };
     let changes: Vec<LimitChange> = reported.iter().filter_map(receive).collect();
     if !changes.is_empty() {
-        note_changes(context, &changes, "peer", now);
+        handle_changes(context, &changes, "peer", now);
     }
 }
 
-/// Logs changes of limits, and divides these anew.
-pub fn note_changes(context: &GatewayContext, changes: &[LimitChange], source: &str, now: Instant) {
+/// Logs changes of limits, and divides the limits again.
+pub fn handle_changes(
+    context: &GatewayContext,
+    changes: &[LimitChange],
+    source: &str,
+    now: Instant,
+) {
     for LimitChange { endpoint, limit } in changes {
         match limit {
             Some(limit) => {
@@ -70,8 +76,8 @@
     divide(context, now);
 }
 
-/// Divides the limits once more, if it is time: other daemons may have come or gone, and demand
-/// may have moved.
+/// Divides the limits again if `DIVIDE_INTERVAL` has passed: daemons may have started or ended, and
+/// the demand may have changed.
 pub fn divide_if_due(context: &GatewayContext, now: Instant) {
     let divided_at = context.limits_divided_at.get();
     if divided_at.is_none_or(|at| now.saturating_duration_since(at) >= DIVIDE_INTERVAL) {
@@ -94,7 +100,7 @@
     }
 }
 
-/// This daemon's share of an endpoint's limit, if it holds one, where so many daemons run.
+/// This daemon's share of an endpoint's limit in a fleet of `daemons`; `None` if it holds no share.
 pub fn own_share(
     peers: &PeerTable,
     endpoints: &EndpointTable,
@@ -104,7 +110,7 @@
     let holders = holder_count(endpoint.limit, daemons);
     let NumberedStart { endpoint: number, born } = endpoint.start;
     let key = hash_parts(&[&number.to_le_bytes(), &born.to_le_bytes()]);
-    let PlaceAmongFirst { rank, others } = peers.place_among_first(key, holders)?;
+    let RendezvousRank { rank, others } = peers.rendezvous_rank(key, holders)?;
     let demand = |incarnation| {
         endpoints.reported_demand(ReportSource::Daemon(incarnation), &endpoint.service)
     };
@@ -114,7 +120,8 @@
     Some(HolderShare::of_rank(rank, holders, rate))
 }
 
-/// Notes what an endpoint has said of its limit in a response to a request that was sent at `sent`.
+/// Applies the limit that an endpoint has named, or not, in its response to a request sent at
+/// `sent`.
 pub fn apply_response_limit(
     context: &GatewayContext,
     endpoint: &str,
@@ -126,6 +133,6 @@
     let word = LimitWord { limit, at };
     let change = context.endpoints.borrow_mut().record_limit(endpoint, word, now);
     if let Some(change) = change {
-        note_changes(context, &[change], "response", now);
+        handle_changes(context, &[change], "response", now);
     }
 }
--- a/src/gateway/gossip/endpoint_signals/warnings.rs
+++ b/src/gateway/gossip/endpoint_signals/warnings.rs
@@ -1,5 +1,5 @@
-//! Warnings of endpoints, as ages for other daemons and back: no clock of another daemon is
-//! compared with the own one.
+//! Sends warnings of endpoints to other daemons, and applies theirs. Times are sent as ages, so
+//! that clocks of different daemons are never compared.
 
 use tokio::time::Instant;
 
@@ -9,7 +9,7 @@
     policy::endpoint::signal_ledger::{EndpointWarning, WarningKind},
 };
 
-/// Warnings for another daemon.
+/// Warnings to send to another daemon.
 pub fn own_warnings(context: &GatewayContext, now: Instant) -> Vec<ReportedWarning> {
     let warnings = context.endpoints.borrow().warnings(now).into_iter();
     let report = |EndpointWarning { start, kind, at }| {
@@ -19,15 +19,15 @@
     warnings.map(report).collect()
 }
 
-/// Applies the warnings of another daemon.
+/// Applies the warnings that another daemon reports.
 pub fn apply_warnings(context: &GatewayContext, reported: &[ReportedWarning], now: Instant) {
     let mut endpoints = context.endpoints.borrow_mut();
     for ReportedWarning { start, kind, age } in reported.iter().copied() {
-        // What was said before the start of the clock is over, or will be said again.
+        // A warning from before the start of the clock is over or will be repeated.
         let Some(at) = now.checked_sub(age) else { continue };
         let warning = EndpointWarning { start, kind, at };
-        let news = endpoints.receive_warning(warning, now, &mut rand::rng());
-        let Some(endpoint) = news else { continue };
+        let warned = endpoints.receive_warning(warning, now, &mut rand::rng());
+        let Some(endpoint) = warned else { continue };
         if kind == WarningKind::Draining {
             context.metrics.count("endpoints_draining", 1);
             spdlog::info!("endpoint drains", kv: { endpoint: = endpoint, source = "peer" });
--- a/src/gateway/gossip/peer_record.rs
+++ b/src/gateway/gossip/peer_record.rs
@@ -1,40 +1,41 @@
-//! What one daemon knows of another.
+//! What a daemon knows about another one.
 
 use tokio::time::Instant;
 
 use super::messages::DaemonState;
 use crate::ids::IncarnationId;
 
-/// What is known of one daemon.
+/// What is known about one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerRecord {
     /// Hash of its address.
     pub address_hash: u64,
-    /// This start of it.
+    /// Identifies this start of it.
     pub incarnation: IncarnationId,
-    /// Sequence of its newest own state; 0 if only others have reported it.
+    /// Sequence number of the newest state that it reported itself; 0 if it is only known from
+    /// summaries of others.
     pub sequence: u64,
-    /// When any daemon last heard it, as far as known.
+    /// When any daemon last received a message from it, as far as known.
     pub heard_at: Instant,
-    /// When this daemon last heard it.
-    pub met_at: Option<Instant>,
+    /// When this daemon last received a message from it.
+    pub heard_directly_at: Option<Instant>,
     /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// What a daemon reports of itself to the table.
+/// The part of a daemon's own report that the peer table needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerReport {
-    /// This start of it.
+    /// Identifies this start of the daemon.
     pub incarnation: IncarnationId,
-    /// Sequence of its state.
+    /// Sequence number of its state.
     pub sequence: u64,
     /// Whether it is shutting down.
     pub leaving: bool,
 }
 
 impl PeerReport {
-    /// The part of a state that the table needs.
+    /// Extracts the report from a state.
     pub fn of(state: &DaemonState) -> Self {
         let DaemonState { incarnation, sequence, leaving, .. } = *state;
         Self { incarnation, sequence, leaving }
--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -1,10 +1,10 @@
-//! Other daemons, as far as this one knows, and what follows from that: the neighbours, which
-//! daemons watch the store, and how many daemons share quotas and retry budgets.
+//! The other daemons that this one knows, and what follows from them: its neighbours, which daemons
+//! watch the store, and how many daemons share quotas and retry budgets.
 //!
-//! A daemon is known from its own messages or from summaries that others pass on; the newest
-//! incarnation and sequence win. It is forgotten when nobody has heard it for
-//! `FORGET_AFTER`. The native path knows its members by probes and suspicions
-//! (`native::cluster`); here the calls that carry reports show who lives.
+//! A daemon is known from its own messages or from summaries that others pass on; the highest
+//! incarnation and sequence number win. It is removed when no daemon has received a message from
+//! it for `PEER_EXPIRY`. The native path detects failed members by probes and suspicions
+//! (`native::cluster`); here, the gossip calls themselves show which daemons are alive.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +17,7 @@
 
 use super::{
     call_schedule::CallSchedule,
-    groups::{Neighbours, group_of, hash_of},
+    groups::{Neighbours, group_of, hash_address},
     messages::PeerSummary,
     peer_record::{PeerRecord, PeerReport},
 };
@@ -26,27 +26,28 @@
     ids::{IncarnationId, hash_parts},
 };
 
-/// A neighbour that was not heard for this long may not hear this daemon either: more than the 1.2
-/// s in which a fleet of one group is called once.
-const HEARD_WITHIN: Duration = Duration::from_millis(1_500);
-/// The same, as a multiple of the time in which all neighbours are called once: two calls may fail.
-const HEARD_WITHIN_ROUNDS: u32 = 3;
-/// A daemon that nobody has heard for this long is forgotten: until then its share of quotas is
-/// reserved, so short partitions must not end it.
-const FORGET_AFTER: Duration = Duration::from_secs(20);
-/// Random daemons called in an interval while there are urgent reports: with them a report reaches
-/// all daemons in half the time.
+/// A neighbour from which no message has arrived for this long may not receive this daemon's
+/// messages either. Longer than the 1.2 s that it takes to call all daemons of a one-group fleet.
+const HEARD_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The same timeout as a multiple of the time in which all neighbours are called once, so that two
+/// calls may fail. The longer of both applies.
+const HEARD_TIMEOUT_ROUNDS: u32 = 3;
+/// A daemon from which no daemon has received a message for this long is removed. Its share of
+/// quotas is reserved until then, and must stay reserved during short partitions.
+const PEER_EXPIRY: Duration = Duration::from_secs(20);
+/// Random daemons called additionally in each interval while there are urgent reports. They halve
+/// the time in which a report reaches all daemons.
 const URGENT_CALLS: usize = 2;
 /// Exchanges that a report passes in a fleet of several groups: to the representative, and from
 /// there to this daemon.
 const REPORT_HOPS: u32 = 2;
 
-/// Place of a daemon among the first by some order.
+/// Rank of a daemon among the first ones of a rendezvous hashing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceAmongFirst {
-    /// Daemons that come before it.
+pub struct RendezvousRank {
+    /// Number of daemons that come before it.
     pub rank: usize,
-    /// The others among the first.
+    /// The other daemons among the first ones.
     pub others: Vec<IncarnationId>,
 }
 
@@ -54,7 +55,7 @@
 #[derive(Debug)]
 pub struct PeerTable {
     own: SocketAddr,
-    // An ordered map, so that random picks from it repeat with the generator's seed.
+    // An ordered map, so that random choices from it are reproducible with the generator's seed.
     peers: BTreeMap<SocketAddr, PeerRecord>,
     schedule: CallSchedule,
     neighbours: Neighbours,
@@ -63,8 +64,8 @@
 }
 
 impl PeerTable {
-    /// Table of the daemon at `own` that knows only seeds, and calls `calls_per_interval`
-    /// daemons in every `gossip_interval`.
+    /// Creates the table of the daemon at `own`, which knows only `seeds` yet and calls
+    /// `calls_per_interval` daemons in every `gossip_interval`.
     pub fn new(
         own: SocketAddr,
         seeds: &[SocketAddr],
@@ -83,18 +84,18 @@
         }
     }
 
-    /// Neighbours among the daemons that are known.
+    /// Neighbours among the known daemons.
     pub fn neighbours(&self) -> &Neighbours {
         &self.neighbours
     }
 
-    /// Receives what another daemon passes on of a third one.
+    /// Applies a summary of a daemon that another one passes on.
     pub fn receive_summary(&mut self, summary: &PeerSummary, now: Instant) {
         let PeerSummary { address, incarnation, age } = *summary;
-        if address == self.own || age >= FORGET_AFTER {
+        if address == self.own || age >= PEER_EXPIRY {
             return;
         }
-        // Nothing was heard before the start of the clock: such an age is wrong.
+        // No message can have arrived before the start of the clock, so such an age is wrong.
         let Some(heard_at) = now.checked_sub(age) else { return };
         match self.peers.get_mut(&address) {
             Some(known) if known.incarnation > incarnation => {}
@@ -103,11 +104,11 @@
             }
             _ => {
                 let record = PeerRecord {
-                    address_hash: hash_of(&address),
+                    address_hash: hash_address(&address),
                     incarnation,
                     sequence: 0,
                     heard_at,
-                    met_at: None,
+                    heard_directly_at: None,
                     leaving: false,
                 };
                 self.insert(address, record);
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Receives a daemon's own report. Returns whether it is newer than the one known.
+    /// Applies a daemon's own report. Returns whether it is newer than the one known.
     pub fn receive_report(
         &mut self,
         address: SocketAddr,
@@ -131,11 +132,17 @@
         let is_newer =
             known.is_none_or(|known| (known.incarnation, known.sequence) < (incarnation, sequence));
         if is_newer {
-            let met_at = Some(now);
-            let address_hash = hash_of(&address);
+            let heard_directly_at = Some(now);
+            let address_hash = hash_address(&address);
             let heard_at = now;
-            let record =
-                PeerRecord { address_hash, incarnation, sequence, heard_at, met_at, leaving };
+            let record = PeerRecord {
+                address_hash,
+                incarnation,
+                sequence,
+                heard_at,
+                heard_directly_at,
+                leaving,
+            };
             self.insert(address, record);
         }
         is_newer
@@ -153,24 +160,24 @@
         self.neighbours = Neighbours::of(&self.own, &others);
     }
 
-    /// Notes that a call to this address failed.
+    /// Records that a call to this address failed.
     pub fn call_failed(&mut self, address: SocketAddr) {
         self.schedule.failed(address);
     }
 
     /// The addresses to call in this interval.
     pub fn next_calls(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        self.forget(now);
+        self.remove_expired(now);
         self.schedule.next(&self.neighbours, &self.peers, now, rng)
     }
 
-    /// Further addresses to call in an interval while there is an urgent report.
+    /// Random addresses to call additionally in an interval while there is an urgent report.
     pub fn urgent_calls(&self, rng: &mut impl Rng) -> Vec<SocketAddr> {
         self.peers.keys().copied().sample(rng, URGENT_CALLS)
     }
 
-    /// Whether this daemon comes first, by hashes with `key`, of all that are known and not
-    /// leaving. Daemons that know the same others agree on the first one.
+    /// Whether this daemon is the first of all known daemons that are not leaving, by rendezvous
+    /// hashing with `key`. Daemons that know the same others agree on the first one.
     pub fn is_first_for(&self, key: u64) -> bool {
         let rank = |address: &SocketAddr| {
             (hash_parts(&[&key.to_le_bytes(), address.to_string().as_bytes()]), *address)
@@ -180,11 +187,12 @@
         others.all(|(address, _)| own < rank(address))
     }
 
-    /// This daemon's place among the first `count`, by hashes with `key`, of all that are known and
-    /// not leaving; none if it is not among them. Daemons that know the same others agree.
-    pub fn place_among_first(&self, key: u64, count: usize) -> Option<PlaceAmongFirst> {
+    /// This daemon's rank among the first `count` of all known daemons that are not leaving, by
+    /// rendezvous hashing with `key`; `None` if it is not among them. Daemons that know the same
+    /// others agree on the ranks.
+    pub fn rendezvous_rank(&self, key: u64, count: usize) -> Option<RendezvousRank> {
         let rank = |hash: u64| hash_parts(&[&key.to_le_bytes(), &hash.to_le_bytes()]);
-        let own = rank(hash_of(&self.own));
+        let own = rank(hash_address(&self.own));
         let others = self.peers.values().filter(|peer| !peer.leaving);
         let mut ranked: Vec<(u64, IncarnationId)> =
             others.map(|peer| (rank(peer.address_hash), peer.incarnation)).collect();
@@ -195,19 +203,19 @@
         ranked.sort_unstable();
         ranked.truncate(count.saturating_sub(1));
         let others = ranked.into_iter().map(|(_, incarnation)| incarnation).collect();
-        Some(PlaceAmongFirst { rank: before, others })
+        Some(RendezvousRank { rank: before, others })
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         let before = self.peers.len();
-        self.peers.retain(|_, peer| now.saturating_duration_since(peer.heard_at) < FORGET_AFTER);
+        self.peers.retain(|_, peer| now.saturating_duration_since(peer.heard_at) < PEER_EXPIRY);
         self.schedule.prune(&self.peers);
         if self.peers.len() != before {
             self.regroup();
         }
     }
 
-    /// Summaries of up to `max` daemons, chosen at random, to be passed on.
+    /// Summaries of up to `max` randomly chosen daemons, to pass on to a peer.
     pub fn summaries(&self, max: usize, now: Instant, rng: &mut impl Rng) -> Vec<PeerSummary> {
         let chosen = self.peers.iter().filter(|(_, peer)| !peer.leaving).sample(rng, max);
         let summary = |(address, peer): (&SocketAddr, &PeerRecord)| PeerSummary {
@@ -224,30 +232,30 @@
     }
 
     /// How many daemons of the group come before this one as watchers of the store. In a fleet of
-    /// one group none does: all watch it.
+    /// one group the result is 0, because all daemons watch the store.
     pub fn watcher_rank(&self, now: Instant) -> usize {
         if self.is_single_group() {
             return 0;
         }
-        // By hashes, so that the watchers of all groups are not in one availability zone.
+        // Ordered by hash, so that the watchers of all groups are not in one availability zone.
         let own = watch_rank(&self.own);
         let is_before = |address: &&SocketAddr| watch_rank(address) < own;
-        let met = self.neighbours.group.iter().filter(|address| self.has_met(address, now));
-        met.filter(is_before).count()
+        let heard = self.neighbours.group.iter().filter(|address| self.hears(address, now));
+        heard.filter(is_before).count()
     }
 
     /// How many daemons share quotas and retry budgets. Daemons of another group count as heard
-    /// while their representative is.
+    /// while this daemon hears their representative.
     pub fn sharing(&self, now: Instant) -> QuotaSharing {
         let mut groups_heard = vec![false; self.neighbours.groups.max(1)];
         for (group, representative) in &self.neighbours.representatives {
-            groups_heard[*group] = self.has_met(representative, now);
+            groups_heard[*group] = self.hears(representative, now);
         }
         let (mut known, mut heard) = (1, 1);
         for (address, peer) in &self.peers {
             let group = group_of(address, self.neighbours.groups);
             let is_heard = match group == self.neighbours.own_group {
-                true => self.has_met(address, now),
+                true => self.hears(address, now),
                 false => groups_heard[group],
             };
             heard += usize::from(is_heard);
@@ -256,17 +264,17 @@
         QuotaSharing { known, heard, report_age: self.report_age() }
     }
 
-    /// How old reports of other daemons may be when they arrive.
+    /// Maximum age of other daemons' reports when they arrive.
     pub fn report_age(&self) -> Duration {
         let hops = if self.is_single_group() { 1 } else { REPORT_HOPS };
         self.round_time() * hops
     }
 
-    /// Whether this daemon has heard the one at `address` lately.
-    fn has_met(&self, address: &SocketAddr, now: Instant) -> bool {
-        let limit = HEARD_WITHIN.max(self.round_time() * HEARD_WITHIN_ROUNDS);
-        let met_at = self.peers.get(address).and_then(|peer| peer.met_at);
-        met_at.is_some_and(|at| now.saturating_duration_since(at) < limit)
+    /// Whether this daemon has recently received a message from the one at `address`.
+    fn hears(&self, address: &SocketAddr, now: Instant) -> bool {
+        let limit = HEARD_TIMEOUT.max(self.round_time() * HEARD_TIMEOUT_ROUNDS);
+        let heard_at = self.peers.get(address).and_then(|peer| peer.heard_directly_at);
+        heard_at.is_some_and(|at| now.saturating_duration_since(at) < limit)
     }
 
     /// Time in which every neighbour is called once.
