--- a/src/gateway/gossip/codec.rs
+++ b/src/gateway/gossip/codec.rs
@@ -1,6 +1,6 @@
-//! Gossip messages, written to and read from the schema.
+//! Converts gossip messages to and from their Cap'n Proto form (schema/exchange.capnp).
 //!
-//! A message that is malformed or whose lists are too long is an error.
+//! Malformed messages and messages with too long lists are errors.
 
 mod counters;
 mod crashes;
@@ -32,7 +32,7 @@
     store_position::StorePosition,
 };
 
-/// Writes a message.
+/// Encodes a message.
 pub fn write_message(mut target: gossip_message::Builder<'_>, source: &GossipMessage) {
     write_state(target.reborrow().init_state(), &source.state);
     let known = target.reborrow().init_known(source.known.len() as u32);
@@ -160,11 +160,11 @@
     target.set_next_window(source.next_window);
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// The message is malformed or one of its lists is too long.
+/// Fails if the message is malformed or one of its lists is too long.
 pub fn read_message(source: gossip_message::Reader<'_>) -> Result<GossipMessage, Error> {
     let known = source.get_known()?;
     check_length(known.len())?;
@@ -211,14 +211,14 @@
 }
 
 fn read_relayed_usage(source: gossip_message::Reader<'_>) -> Result<Vec<RelayedUsage>, Error> {
-    let uses = source.get_usage()?;
-    check_length(uses.len())?;
+    let usage = source.get_usage()?;
+    check_length(usage.len())?;
     let read = |entry: relayed_usage::Reader<'_>| -> Result<RelayedUsage, Error> {
         let names = counters::read_names(entry.get_accounts()?)?;
         let windows = counters::read_windows(&names, entry.get_windows()?)?;
         Ok(RelayedUsage { incarnation: IncarnationId(entry.get_incarnation()), windows })
     };
-    uses.iter().map(read).collect()
+    usage.iter().map(read).collect()
 }
 
 fn read_wants(source: gossip_message::Reader<'_>) -> Result<RequestedParts, Error> {
@@ -279,7 +279,7 @@
     })
 }
 
-/// Fences begin at 1; a fence of 0 means that no lease is known.
+/// Fencing tokens begin at 1; 0 means that no lease is known.
 fn read_lease(source: lease_summary::Reader<'_>) -> Result<Option<LeaseSummary>, Error> {
     match source.get_fence() {
         0 => Ok(None),
--- a/src/gateway/gossip/codec/counters.rs
+++ b/src/gateway/gossip/codec/counters.rs
@@ -1,7 +1,7 @@
-//! Counters of a daemon or a gossip group, written to and read from the schema.
+//! Encodes and decodes the counters of a daemon or a gossip group.
 //!
-//! The schema has the same fields in two structures (`DaemonState` and `GroupCounters`), whose
-//! generated types have nothing in common; the two macros at the end serve both.
+//! Two structures of the schema (`DaemonState` and `GroupCounters`) have the same fields, but their
+//! generated types share no trait. The two macros at the end work with both.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -21,7 +21,7 @@
     ids::SharedName,
 };
 
-/// Accounts of which anything is counted; lists of numbers by account are in this order.
+/// Accounts with any counters. Lists of numbers by account are in this order.
 pub fn account_names(counters: &DaemonCounters) -> Vec<&SharedName> {
     let mut names: Vec<&SharedName> = counters.accounts.keys().collect();
     names.extend(counters.windows.values().flat_map(BTreeMap::keys));
@@ -135,12 +135,12 @@
 pub fn read_loads(
     source: struct_list::Reader<'_, endpoint_load::Owned>,
 ) -> HashMap<u64, EndpointLoad> {
-    let load_sum = |load: endpoint_load::Reader<'_>| EndpointLoad {
+    let read_load = |load: endpoint_load::Reader<'_>| EndpointLoad {
         running: load.get_running(),
         uncached_tokens: u64::from(load.get_prompt_tokens()),
         memory_tokens: u64::from(load.get_memory_tokens()),
     };
-    source.iter().map(|load| (load.get_endpoint(), load_sum(load))).collect()
+    source.iter().map(|load| (load.get_endpoint(), read_load(load))).collect()
 }
 
 /// Writes [`DaemonCounters`] into a builder of either structure.
--- a/src/gateway/gossip/codec/crashes.rs
+++ b/src/gateway/gossip/codec/crashes.rs
@@ -1,4 +1,4 @@
-//! Reports of requests that crash endpoints, written to and read from the schema.
+//! Encodes and decodes reports of requests that crash endpoints.
 
 use capnp::{Error, struct_list};
 
@@ -11,7 +11,7 @@
     },
 };
 
-/// Writes reports into a list of their number.
+/// Encodes reports into a list of the same length.
 pub fn write_crashes(
     mut target: struct_list::Builder<'_, crash_report::Owned>,
     crashes: &[CrashReport],
@@ -45,11 +45,11 @@
     }
 }
 
-/// Reads a list of reports.
+/// Decodes a list of reports.
 ///
 /// # Errors
 ///
-/// A list is malformed or too long.
+/// Fails if a list is malformed or too long.
 pub fn read_crashes(
     source: struct_list::Reader<'_, crash_report::Owned>,
 ) -> Result<Vec<CrashReport>, Error> {
--- a/src/gateway/gossip/codec/endpoint_list.rs
+++ b/src/gateway/gossip/codec/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints, written to and read from the schema: entry by entry within a message,
-//! or as a text of its own that can be compressed against a former one.
+//! Encodes and decodes the list of endpoints: entry by entry within a message, or as a separate
+//! text that can be compressed against a former version.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
     store_position::StorePosition,
 };
 
-/// The text of a list; equal lists have equal texts.
+/// Encodes a list as a text. Equal lists have equal texts.
 pub fn write_text(list: &EndpointList) -> Bytes {
     let mut message = message::Builder::new_default();
     let root = message.init_root::<endpoint_list_text::Builder<'_>>();
@@ -21,11 +21,11 @@
     serialize::write_message_to_words(&message).into()
 }
 
-/// Reads the list at a position of the store from its text.
+/// Decodes the list, which was read at this store position, from its text.
 ///
 /// # Errors
 ///
-/// The text is malformed or the list too long.
+/// Fails if the text is malformed or the list is too long.
 pub fn read_list(position: StorePosition, mut text: &[u8]) -> Result<EndpointList, Error> {
     let message = serialize::read_message(&mut text, message::ReaderOptions::new())?;
     let root = message.get_root::<endpoint_list_text::Reader<'_>>()?;
--- a/src/gateway/gossip/codec/limits.rs
+++ b/src/gateway/gossip/codec/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints name, written to and read from the schema.
+//! Encodes and decodes the request limits of endpoints.
 
 use capnp::{Error, struct_list};
 
@@ -8,7 +8,7 @@
     gateway::{gossip::messages::ReportedLimit, policy::endpoint::signal_ledger::NumberedStart},
 };
 
-/// Writes limits into a list of their number.
+/// Encodes limits into a list of the same length.
 pub fn write_limits(
     mut target: struct_list::Builder<'_, endpoint_limit::Owned>,
     limits: &[ReportedLimit],
@@ -25,11 +25,11 @@
     }
 }
 
-/// Reads a list of limits.
+/// Decodes a list of limits.
 ///
 /// # Errors
 ///
-/// The list is too long, or a limit is no number from 0 up.
+/// Fails if the list is too long or a limit is negative or not finite.
 pub fn read_limits(
     source: struct_list::Reader<'_, endpoint_limit::Owned>,
 ) -> Result<Vec<ReportedLimit>, Error> {
@@ -49,6 +49,6 @@
     match entry.get_is_limited() {
         false => Ok(None),
         true if limit.is_finite() && limit >= 0.0 => Ok(Some(limit)),
-        true => Err(Error::failed("limit is no number of requests".into())),
+        true => Err(Error::failed("request limit is negative or not finite".into())),
     }
 }
--- a/src/gateway/gossip/codec/values.rs
+++ b/src/gateway/gossip/codec/values.rs
@@ -1,4 +1,4 @@
-//! Texts, addresses and lists of gossip messages, checked as they are read.
+//! Decodes texts, addresses and other values of gossip messages, and checks the lengths of lists.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,8 +9,8 @@
     store_position::{StoreEra, StorePosition},
 };
 
-/// Longest list that is read, in entries: far above any fleet, and bounds what a broken peer can
-/// make us allocate.
+/// Maximum number of entries of a list: far more than any fleet needs. Bounds what a faulty peer
+/// can make this daemon allocate.
 const MAX_LIST_LENGTH: u32 = 65_536;
 
 pub fn read_text(reader: capnp::text::Reader<'_>) -> Result<SharedName, Error> {
@@ -23,7 +23,7 @@
     text.parse().map_err(|_| Error::failed("malformed address".into()))
 }
 
-/// A position of the store; daemons of the last release name no era.
+/// A store position. Daemons of the previous release send no era.
 pub fn read_position(era: u64, revision: u64) -> StorePosition {
     StorePosition::new(StoreEra(era), revision)
 }
@@ -35,12 +35,12 @@
     }
 }
 
-/// Milliseconds of an age; the largest number for what is older.
+/// An age in milliseconds, capped at `u32::MAX`.
 pub fn to_ms(age: Duration) -> u32 {
     u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// The age of so many milliseconds.
+/// An age from its milliseconds.
 pub fn from_ms(age: u32) -> Duration {
     Duration::from_millis(u64::from(age))
 }
--- a/src/gateway/gossip/codec/warnings.rs
+++ b/src/gateway/gossip/codec/warnings.rs
@@ -1,4 +1,4 @@
-//! Warnings of endpoints, written to and read from the schema.
+//! Encodes and decodes warnings of endpoints.
 
 use capnp::{Error, struct_list};
 
@@ -11,7 +11,7 @@
     },
 };
 
-/// Writes warnings into a list of their number.
+/// Encodes warnings into a list of the same length.
 pub fn write_warnings(
     mut target: struct_list::Builder<'_, endpoint_warning::Owned>,
     warnings: &[ReportedWarning],
@@ -25,11 +25,11 @@
     }
 }
 
-/// Reads a list of warnings.
+/// Decodes a list of warnings.
 ///
 /// # Errors
 ///
-/// The list is too long.
+/// Fails if the list is too long.
 pub fn read_warnings(
     source: struct_list::Reader<'_, endpoint_warning::Owned>,
 ) -> Result<Vec<ReportedWarning>, Error> {
--- a/src/gateway/gossip/messages.rs
+++ b/src/gateway/gossip/messages.rs
@@ -1,5 +1,5 @@
-//! Messages of a gossip exchange. Ages are relative, so
-//! that no clock of another daemon is ever compared with the own one.
+//! Messages of a gossip exchange. They hold ages instead of times, so that clocks of different
+//! daemons are never compared.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -26,18 +26,18 @@
     store_position::StorePosition,
 };
 
-/// State that a daemon reports of itself.
+/// State that a daemon reports about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DaemonState {
-    /// This start of it.
+    /// Identifies this start of the daemon.
     pub incarnation: IncarnationId,
     /// Name of its VM.
     pub name: SharedName,
     /// Availability zone.
     pub zone: SharedName,
-    /// Where it listens for peers.
+    /// Address at which it listens for peers.
     pub address: SocketAddr,
-    /// Rises with every state.
+    /// Increases with every reported state.
     pub sequence: u64,
     /// Whether it is shutting down.
     pub leaving: bool,
@@ -50,111 +50,112 @@
 pub struct DaemonCounters {
     /// Quota units by account, since the reporting daemon started.
     pub accounts: BTreeMap<SharedName, AccountCounters>,
-    /// Requests that began to run, by window and account.
+    /// Requests that began to run, by usage window and account.
     pub windows: BTreeMap<u64, WindowCounts>,
-    /// Loads, by the numbers of the endpoints.
+    /// Loads by endpoint number, which is a hash of the endpoint's id.
     pub loads: HashMap<u64, EndpointLoad>,
     /// Counters by service, since the daemon started.
     pub services: BTreeMap<SharedName, ServiceCounters>,
 }
 
-/// Usage that another daemon of the group, which may have ended since, has reported.
+/// Usage reported by another daemon of the group, which may have ended since.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayedUsage {
-    /// The start of the daemon that counted it.
+    /// The daemon that counted it.
     pub incarnation: IncarnationId,
-    /// Requests that began to run, by window and account.
+    /// Requests that began to run, by usage window and account.
     pub windows: BTreeMap<u64, WindowCounts>,
 }
 
-/// What a daemon knows of another one, passed on.
+/// What a daemon knows about another one and passes on to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerSummary {
-    /// Where it listens for peers.
+    /// Address at which the other daemon listens for peers.
     pub address: SocketAddr,
-    /// This start of it.
+    /// Identifies this start of it.
     pub incarnation: IncarnationId,
-    /// How long ago its last message arrived.
+    /// Time since any daemon last received a message from it, as far as known.
     pub age: Duration,
 }
 
-/// A run of a request under which its endpoint ended.
+/// A run of a request during which the endpoint crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedRun {
     /// Number of the endpoint.
     pub endpoint: u64,
-    /// How long ago it began.
+    /// Time since the run began.
     pub begun_age: Duration,
-    /// How long ago it broke.
+    /// Time since the run broke off.
     pub crashed_age: Duration,
 }
 
-/// What a daemon knows of a request whose runs have crashed endpoints.
+/// What a daemon knows about a request whose runs have crashed endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashReport {
     /// The request.
     pub request: RequestFingerprint,
-    /// Runs that count against it.
+    /// Runs that count towards its quarantine.
     pub runs: Vec<ReportedRun>,
-    /// Whether it is refused.
+    /// Whether it is quarantined, that is, refused.
     pub is_quarantined: bool,
-    /// Trials since then.
+    /// Trial runs since it was quarantined.
     pub trials: u32,
-    /// How long ago the newest trial began.
+    /// Time since the newest trial began.
     pub trial_age: Option<Duration>,
-    /// How long ago it was last cleared.
+    /// Time since a complete response or an operator last cleared it.
     pub cleared_age: Option<Duration>,
 }
 
-/// What an endpoint has said in a response to some daemon.
+/// A warning that an endpoint has sent in a response to some daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedWarning {
-    /// The start of the endpoint that said so.
+    /// The start of the endpoint that sent it.
     pub start: NumberedStart,
-    /// What it said.
+    /// What it warns of.
     pub kind: WarningKind,
-    /// How long ago.
+    /// Time since the response.
     pub age: Duration,
 }
 
-/// What an endpoint has said of its limit in a response to some daemon.
+/// The request limit that an endpoint has named in a response to some daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedLimit {
-    /// The start of the endpoint that said so.
+    /// The start of the endpoint that named it.
     pub start: NumberedStart,
-    /// Requests a second that it takes from all daemons; none if it takes as many as come.
+    /// Requests per second that it accepts from all daemons together; `None` if it has no limit.
     pub limit: Option<f64>,
-    /// How long ago.
+    /// Time since the response.
     pub age: Duration,
 }
 
-/// What a daemon knows of the leader lease.
+/// What a daemon knows about the leader lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseSummary {
-    /// Fence of the holder.
+    /// Fencing token of the holder.
     pub fence: u64,
     /// Name of the holder.
     pub holder: SharedName,
-    /// Number of its newest renewal.
+    /// How often this holder has renewed the lease.
     pub renewals: u64,
-    /// Milliseconds since that renewal began.
+    /// Milliseconds since the newest renewal began.
     pub age_ms: u32,
-    /// Daemons that the holder knew of; 0 if not known.
+    /// Number of daemons that the holder knew; 0 if unknown.
     pub daemons: usize,
-    /// First usage window that no holder has reported yet; 0 if not known.
+    /// First usage window that no holder has reported yet; 0 if unknown.
     pub next_window: u64,
 }
 
 /// The configuration that a daemon holds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationSummary {
-    /// The operators' version; 0 if there is none, or from a daemon of the last release.
+    /// The version number that operators give it; 0 if there is none, or from a daemon of the
+    /// previous release.
     pub version: u64,
-    /// Where the store stood when it held it.
+    /// Store position at which it was read.
     pub position: StorePosition,
     /// Its text, if the other side has requested it.
     pub text: Option<SentText>,
-    /// Milliseconds since the store was asked that showed no newer one.
+    /// Milliseconds since the last read of the store that showed no newer configuration.
     pub proof_age_ms: Option<u32>,
 }
 
@@ -163,21 +164,21 @@
 pub struct CompressedText {
     /// The text that it was compressed against, or `TextId::NO_BASE`.
     pub base: TextId,
-    /// What the codec wrote.
+    /// The compressed bytes.
     pub data: Bytes,
 }
 
-/// A text as it is sent.
+/// A text in the form in which it is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SentText {
-    /// As it is.
+    /// Uncompressed.
     Plain(Bytes),
     /// Compressed.
     Compressed(CompressedText),
 }
 
 impl SentText {
-    /// Bytes that are sent.
+    /// Number of bytes that are sent.
     pub fn len(&self) -> usize {
         match self {
             Self::Plain(text) => text.len(),
@@ -191,34 +192,34 @@
     }
 }
 
-/// The list of endpoints as it is sent.
+/// The list of endpoints in the form in which it is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SentEndpoints {
     /// Entry by entry, for daemons of earlier releases.
     Listed(EndpointList),
-    /// As a text (`codec::endpoint_list`).
+    /// As a compressed text (see `codec::endpoint_list`).
     Compressed(CompressedText),
 }
 
 /// Request for a text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TextRequest {
-    /// Whether it may be compressed; daemons of earlier releases can't read that.
+    /// Whether the text may be compressed; daemons of earlier releases can't decompress it.
     pub accepts_compressed: bool,
-    /// Texts that the requesting daemon keeps.
+    /// Texts that the requesting daemon keeps, as bases for compression.
     pub bases: Vec<TextId>,
 }
 
-/// Long parts that the response should hold; they are sent on request only.
+/// Long parts that the response should hold. They are sent only on request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestedParts {
     /// Sums over the group of the responding daemon.
     pub group: bool,
-    /// Text of its configuration.
+    /// The text of its configuration.
     pub configuration: Option<TextRequest>,
     /// Its list of endpoints.
     pub endpoints: Option<TextRequest>,
-    /// Usage that others have reported to it.
+    /// Usage that other daemons have reported to it.
     pub usage: bool,
 }
 
@@ -227,13 +228,13 @@
 pub struct GossipMessage {
     /// State of the sender.
     pub state: DaemonState,
-    /// Whether the sender does not know yet what its peers know.
+    /// Whether the sender is not up to date with its peers yet.
     pub is_starting: bool,
     /// Some other daemons that it knows.
     pub known: Vec<PeerSummary>,
     /// Its configuration.
     pub configuration: ConfigurationSummary,
-    /// Where the store stood when it held its list of endpoints.
+    /// Store position at which its list of endpoints was read.
     pub endpoint_position: StorePosition,
     /// The list, if the other side has requested it.
     pub endpoints: Option<SentEndpoints>,
@@ -247,8 +248,8 @@
     pub usage: Vec<RelayedUsage>,
     /// Requests whose runs have crashed endpoints.
     pub crashes: Vec<CrashReport>,
-    /// What endpoints have said in the last seconds.
+    /// Warnings of endpoints in the last seconds.
     pub warnings: Vec<ReportedWarning>,
-    /// Limits that endpoints name, and those that have ended in the last seconds.
+    /// Request limits of endpoints, including those that have ended in the last seconds.
     pub limits: Vec<ReportedLimit>,
 }
