--- a/src/gateway/gossip/text_exchange.rs
+++ b/src/gateway/gossip/text_exchange.rs
@@ -1,7 +1,8 @@
-//! The texts of one thing, as daemons exchange them: a peer is sent the newest in the shortest
-//! form that it can read, and what a peer has sent is read against a text that is kept.
+//! Exchanges the versions of one text (the configuration or the list of endpoints) with peers. A
+//! peer is sent the newest version in the shortest form that it can read. Texts from peers are
+//! decompressed against a version that this daemon keeps.
 //!
-//! Texts that take long to send go to one peer after the other.
+//! Long texts are sent to one peer after the other.
 
 use std::{collections::BTreeMap, io};
 
@@ -17,29 +18,29 @@
     text_pacing::TextPacer,
 };
 
-/// Texts of one thing, and the forms in which the newest was sent.
+/// Versions of one text, and the compressed forms in which the newest was sent.
 #[derive(Debug, Default)]
 pub struct TextExchange {
     texts: HeldTexts,
-    /// Compressed forms of the newest text by their base, or `NO_BASE`.
+    /// Compressed forms of the newest text by base.
     compressed: BTreeMap<TextId, Bytes>,
     pacer: TextPacer,
 }
 
 impl TextExchange {
-    /// Keeps a text that is newer than all others.
+    /// Adds a text that is newer than all others.
     pub fn push(&mut self, text: Bytes) {
         self.compressed.clear();
         self.texts.push(text);
     }
 
-    /// Request for a newer text than those that are kept.
+    /// Builds a request for a newer text than those that are kept.
     pub fn request(&self) -> TextRequest {
         TextRequest { accepts_compressed: true, bases: self.texts.bases() }
     }
 
-    /// The newest text for a peer; none if there is none, or if it is withheld because a long
-    /// one is on its way to another peer.
+    /// The newest text for a peer; `None` if there is none, or if it is withheld because a long
+    /// text is still being sent to another peer.
     pub fn try_send(&mut self, request: &TextRequest, now: Instant) -> Option<SentText> {
         let newest = self.texts.newest()?;
         let compressed = match request.accepts_compressed {
@@ -50,8 +51,8 @@
         self.pacer.try_send(sent.len(), now).then_some(sent)
     }
 
-    /// Compresses once for each base: all peers that lag by the same texts are sent the same. None
-    /// if the library fails.
+    /// Compresses the newest text once for each base, because peers with the same base are sent the
+    /// same data. `None` if the library fails.
     fn compress(&mut self, newest: &[u8], base: TextId) -> Option<CompressedText> {
         if let Some(data) = self.compressed.get(&base) {
             return Some(CompressedText { base, data: data.clone() });
@@ -69,16 +70,16 @@
         }
     }
 
-    /// Reads what a peer has sent. After an error whole texts are requested until a newer one
-    /// is kept.
+    /// Decompresses a text from a peer. After an error, whole texts are requested until a newer
+    /// text is added.
     ///
     /// # Errors
     ///
-    /// The base is not kept, or is another text at the peer; the data is damaged.
+    /// Fails if the base is not kept or differs from the peer's, or if the data is damaged.
     pub fn read(&mut self, sent: &CompressedText) -> io::Result<Bytes> {
         let read = match self.texts.base(sent.base) {
             Some(base) => text_codec::decompress(&sent.data, &base),
-            None => Err(io::Error::new(io::ErrorKind::NotFound, "base not kept")),
+            None => Err(io::Error::new(io::ErrorKind::NotFound, "base text not kept")),
         };
         if read.is_err() {
             self.texts.reject_bases();
