--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -1,10 +1,10 @@
-//! Gossip between daemons: each calls a few others many times a second, and every call carries a
-//! message in both directions.
+//! Gossip between daemons: each daemon calls a few others many times a second, and every call
+//! carries a message in both directions.
 //!
-//! `caller` and `listener` exchange messages (`messages`, translated by `codec`); `outgoing`
-//! collects what this daemon reports, `incoming` applies what others report. `peer_table` knows
-//! the other daemons and decides whom to call; `groups` bounds how many that are, so that the
-//! cost grows with the square root of the fleet only.
+//! `caller` and `listener` exchange messages (defined in `messages`, encoded by `codec`).
+//! `outgoing` builds the messages of this daemon, `incoming` applies those of others. `peer_table`
+//! holds the other daemons and decides which to call. `groups` limits their number, so that the
+//! cost grows only with the square root of the fleet size.
 
 mod call_schedule;
 pub mod caller;
--- a/src/gateway/gossip/call_schedule.rs
+++ b/src/gateway/gossip/call_schedule.rs
@@ -1,6 +1,6 @@
-//! Decides which addresses a daemon calls in a gossip interval: neighbours and addresses of which
-//! no daemon is known yet, those first that were not called for longest; once a second also a
-//! random daemon that is no neighbour. Addresses that do not respond are tried less often.
+//! Decides which addresses a daemon calls in a gossip interval: its neighbours and the addresses at
+//! which no daemon is known yet, least recently called first. Once a second, it also calls a random
+//! daemon that is not a neighbour. Addresses that don't respond are called less often.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,10 +13,10 @@
 
 use super::{groups::Neighbours, peer_record::PeerRecord};
 
-/// Time between tries of an address that does not respond: five gossip intervals.
+/// Minimum time between calls to an address that doesn't respond: five gossip intervals.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between calls of a random daemon that is no neighbour, by which parts of a fleet that have
-/// lost each other meet again: one call in twenty.
+/// Time between calls to a random daemon that is not a neighbour. With these calls, parts of a
+/// fleet that have lost contact find each other again. They are one call in twenty.
 const RANDOM_PEER_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -26,13 +26,13 @@
 }
 
 impl AddressState {
-    fn waits(&self, now: Instant) -> bool {
+    fn is_backing_off(&self, now: Instant) -> bool {
         let elapsed = self.tried_at.map(|at| now.saturating_duration_since(at));
         self.is_failing && elapsed.is_some_and(|elapsed| elapsed < RETRY_INTERVAL)
     }
 }
 
-/// Addresses to call, and when each was tried.
+/// Addresses to call, and when each was last called.
 #[derive(Debug)]
 pub struct CallSchedule {
     addresses: BTreeMap<SocketAddr, AddressState>,
@@ -42,32 +42,32 @@
 }
 
 impl CallSchedule {
-    /// Schedule that knows only seeds.
+    /// Creates a schedule that contains only the seeds.
     pub fn new(seeds: BTreeSet<SocketAddr>, calls_per_interval: usize) -> Self {
         let addresses = seeds.iter().map(|seed| (*seed, AddressState::default())).collect();
         Self { addresses, seeds, random_peer_at: None, calls_per_interval }
     }
 
-    /// Adds an address, if it is not known.
+    /// Adds an address if it is new.
     pub fn add(&mut self, address: SocketAddr) {
         self.addresses.entry(address).or_default();
     }
 
-    /// Notes that the daemon at this address has been heard.
+    /// Records that a message from the daemon at this address has arrived.
     pub fn succeeded(&mut self, address: SocketAddr) {
         if let Some(state) = self.addresses.get_mut(&address) {
             state.is_failing = false;
         }
     }
 
-    /// Notes that a call to this address failed.
+    /// Records that a call to this address failed.
     pub fn failed(&mut self, address: SocketAddr) {
         if let Some(state) = self.addresses.get_mut(&address) {
             state.is_failing = true;
         }
     }
 
-    /// Drops failing addresses that are neither seeds nor of a known daemon.
+    /// Removes failing addresses that are neither seeds nor addresses of known daemons.
     pub fn prune(&mut self, peers: &BTreeMap<SocketAddr, PeerRecord>) {
         let seeds = &self.seeds;
         self.addresses.retain(|address, state| {
@@ -109,9 +109,9 @@
         wanted.extend(self.addresses.keys().filter(|address| !peers.contains_key(address)));
         let mut due: Vec<(Option<Instant>, SocketAddr)> = Vec::new();
         for address in wanted {
-            // An address without a state has not been tried.
+            // An address without a state has never been called.
             let state = self.addresses.get(&address).copied().unwrap_or_default();
-            if !state.waits(now) {
+            if !state.is_backing_off(now) {
                 due.push((state.tried_at, address));
             }
         }
--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -1,8 +1,8 @@
-//! Calls other daemons, a few in every gossip interval, and applies their responses.
+//! Calls a few other daemons in every gossip interval, and applies their responses.
 //!
-//! Owns the connections that it opened. A call that fails or takes too long closes its
-//! connection and is counted (`exchange_failures`); the peer table decides when the address is
-//! tried again.
+//! Owns the connections that it has opened. If a call fails or takes too long, its connection is
+//! closed and the failure is counted (`exchange_failures`). The peer table decides when the address
+//! is called again.
 
 use std::{
     cell::RefCell,
@@ -46,12 +46,12 @@
 pub const NAME: &str = "gossip-caller";
 /// Time between two rounds of calls.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
-/// Daemons called in an interval: bounds a daemon's calls to 20 a second.
+/// Number of regular calls in an interval: 20 per second.
 pub const CALLS_PER_INTERVAL: usize = 2;
-/// Time limit of connecting, and of a call that requests no text: four gossip intervals.
+/// Time limit for connecting, and for a call that requests no text: four gossip intervals.
 const CALL_LIMIT: Duration = Duration::from_millis(400);
-/// Time limit of a call that requests a configuration or a list of endpoints: a long text beside
-/// other transfers takes far longer than a call without one.
+/// Time limit for a call that requests a configuration or a list of endpoints. A long text takes
+/// far longer beside other transfers than a call without a text.
 pub const FETCH_LIMIT: Duration = Duration::from_millis(2_500);
 
 struct OpenConnection {
@@ -82,7 +82,7 @@
         let mut rpc = rpc_system(stream, Side::Client, None, &self.traffic);
         let client = rpc.bootstrap(Side::Server);
         let task = tokio::task::spawn_local(async move {
-            // The call on this connection fails too, and is counted there.
+            // An error also fails the call on this connection, which is counted.
             let _ = rpc.await;
         });
         let open = Rc::new(OpenConnection { client, task: task.abort_handle() });
@@ -126,7 +126,7 @@
     }
 }
 
-/// Logs a suspension of the VM since the last interval; returns all time that was missed so far.
+/// Logs a suspension of the VM since the last interval. Returns the total suspended time so far.
 fn log_suspension(context: &GatewayContext, missed_before: Duration) -> Duration {
     let missed = true_time::missed();
     if missed > missed_before {
@@ -137,14 +137,14 @@
     missed
 }
 
-/// Starts to fetch newer texts, if peers have reported any.
+/// Picks the peers from which to fetch newer texts, if any have been reported.
 fn start_fetches(context: &GatewayContext, now: Instant) -> TextFetches {
     let wait = wait_for_store(context.watches_store(now), context.store_fails(now));
     let held = held_versions(context);
     context.catch_up.borrow_mut().start_fetches(held, wait, now, &mut rand::rng())
 }
 
-/// Peers to call in this interval, and those to request texts from.
+/// Peers to call in this interval, including those to request texts from.
 fn addresses_to_call(
     context: &GatewayContext,
     fetches: &TextFetches,
@@ -182,7 +182,7 @@
             }
             FetchOutcomes::of_response(sent, held_versions(context))
         }
-        // Counted, not logged: calls to a daemon that is gone fail twice a second.
+        // Counted but not logged: calls to a daemon that has ended fail twice a second.
         Ok(Err(_)) | Err(_) => {
             connections.close(address);
             context.peers.borrow_mut().call_failed(address);
@@ -198,7 +198,7 @@
     catch_up.end_fetches(address, fetches, outcomes, true_time::now());
 }
 
-/// Versions of the texts that a response holds.
+/// Versions of the texts in a response.
 fn sent_versions(response: &GossipMessage) -> SentVersions {
     let GossipMessage { configuration, endpoints, endpoint_position, .. } = response;
     SentVersions {
@@ -222,7 +222,7 @@
     read_message(response.get()?.get_message()?)
 }
 
-/// What to request from the daemon at `address`.
+/// The parts to request from the daemon at `address`.
 fn parts_to_request(
     context: &GatewayContext,
     address: SocketAddr,
--- a/src/gateway/gossip/crash_reports.rs
+++ b/src/gateway/gossip/crash_reports.rs
@@ -1,5 +1,5 @@
-//! Records of requests that crash endpoints, as ages for other daemons and back: no clock of
-//! another daemon is compared with the own one.
+//! Sends records of requests that crash endpoints to other daemons, and applies theirs. Times are
+//! sent as ages, so that clocks of different daemons are never compared.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     request::crash_watch::log_quarantine,
 };
 
-/// Reports for another daemon.
+/// Reports to send to another daemon.
 pub fn own_reports(context: &GatewayContext, now: Instant) -> Vec<CrashReport> {
     let ledger = context.crashes.borrow();
     if ledger.is_empty() {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Times from before the start of the clock are left out: nothing that old counts any more.
+/// Leaves out times before the start of the clock: nothing that old counts any more.
 fn record_of(report: &CrashReport, now: Instant) -> CrashRecord {
     let time = |age: Duration| now.checked_sub(age);
     let runs = report.runs.iter().filter_map(|run| {
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -1,10 +1,10 @@
-//! Applies a message of another daemon to this one's state.
+//! Applies messages of other daemons to the state of this one.
 //!
-//! Counters are taken from a daemon of the own group for itself, and from the representative of
-//! another group for that group; everything else from any daemon. A configuration, an endpoint
-//! list and a lease are applied only if they are newer than what this daemon holds. The
-//! response to a call proves that keys are fresh: it was sent after the call was made. A
-//! message in a call of another daemon may have been on its way for any time and proves nothing.
+//! A daemon of this daemon's group reports its own counters, the representative of another group
+//! reports those of that group, and everything else is accepted from any daemon. Configurations,
+//! endpoint lists and leases are applied only if they are newer than what this daemon holds. The
+//! response to a call can prove that keys are fresh, because it was sent after the call was made. A
+//! message in a call of another daemon may have been delayed for any time and proves nothing.
 
 use std::{fmt::Display, net::SocketAddr, time::Duration};
 
@@ -34,13 +34,13 @@
 };
 use crate::{store_position::StorePosition, true_time};
 
-/// A daemon that has reported fewer states than this has started a few seconds ago, so that all of
-/// its quota units were spent in the last moments: at 20 calls a second, and as many of others,
-/// about 5 s.
+/// A daemon whose state has a lower sequence number than this has just started, so that all of its
+/// quota units were spent recently. With 20 outgoing and as many incoming calls per second, it
+/// reaches this number after about 5 s.
 const JUST_STARTED_STATES: u64 = 200;
 
-/// Applies a message. `called_at` is when this daemon made the call that it responds to; none
-/// if it came with a call of the other daemon.
+/// Applies a message. `called_at` is when this daemon made the call to which the message is the
+/// response; `None` if the message is from a call of the other daemon.
 pub fn apply_message(context: &GatewayContext, message: GossipMessage, called_at: Option<Instant>) {
     if message.state.incarnation == context.incarnation {
         return;
@@ -74,8 +74,8 @@
     }
 }
 
-/// Applies the counters of a daemon of the own group, and the sums of a group whose
-/// representative the daemon is.
+/// Applies the counters of a daemon of this daemon's group, or the sums over the group that the
+/// sender represents.
 fn apply_counters(
     context: &GatewayContext,
     state: DaemonState,
@@ -99,8 +99,8 @@
     }
 }
 
-/// Applies the usage of other daemons of the own group that one of them passes on: this daemon
-/// had not started when those that have ended since reported it.
+/// Applies the usage of other daemons of this daemon's group that one of them passes on. Some of
+/// those daemons may have reported their usage, and ended, before this daemon started.
 fn apply_relayed_usage(context: &GatewayContext, message: &GossipMessage) {
     let in_own_group = context.peers.borrow().neighbours().in_own_group(&message.state.address);
     if !in_own_group {
@@ -145,8 +145,9 @@
     context.configuration.borrow_mut().prove_version(summary.version, proof);
 }
 
-/// The text of a configuration as the operators wrote it; none if it was not sent, is not newer
-/// than the one held (which may no longer keep its base), or can't be read.
+/// The uncompressed text of a configuration. `None` if it was not sent, can't be read, or is not
+/// newer than the configuration that this daemon holds; the base of such a text may no longer be
+/// kept.
 fn read_text(
     context: &GatewayContext,
     sender: SocketAddr,
@@ -207,15 +208,15 @@
     }
 }
 
-/// The renewal is at least as old as reported; a late message makes it look younger than
-/// it is, and a successor only waits longer.
+/// A renewal is at least as old as reported. If the message was late, the renewal looks younger
+/// than it is, and a successor only waits longer for the lease.
 fn apply_lease(context: &GatewayContext, lease: &LeaseSummary, now: Instant) {
     if context.fleet_size.get().is_none() && lease.daemons > 0 {
         context.fleet_size.set(Some(lease.daemons));
     }
     context.lease.borrow_mut().note_next_window(lease.next_window);
     let age = Duration::from_millis(u64::from(lease.age_ms));
-    // A renewal from before the start of the clock says nothing of the present holder.
+    // A renewal from before the start of the clock says nothing about the present holder.
     if let Some(renewed_at) = now.checked_sub(age) {
         let LeaseSummary { fence, renewals, .. } = *lease;
         let holder = lease.holder.clone();
--- a/src/gateway/gossip/listener.rs
+++ b/src/gateway/gossip/listener.rs
@@ -1,4 +1,4 @@
-//! Serves the gossip calls of other daemons: applies each message and responds with the own one.
+//! Serves the gossip calls of other daemons: applies each message and responds with this daemon's.
 
 use std::rc::Rc;
 
@@ -33,8 +33,8 @@
 async fn serve_connection(stream: TcpStream, context: Rc<GatewayContext>) {
     let server: exchange::Client = capnp_rpc::new_client(ExchangeServer { context });
     let counter = TrafficCounter::default();
-    // A peer that disconnects or sends garbage ends only its own connection, and reconnects: a
-    // log line for each would grow with the number of peers.
+    // An error ends only the connection of that peer, which reconnects. It is not logged, because
+    // the number of log lines would grow with the number of peers.
     let _ = rpc_system(stream, Side::Server, Some(server.client), &counter).await;
 }
 
@@ -50,7 +50,7 @@
     ) -> Result<(), Error> {
         let message = read_message(params.get()?.get_message()?)?;
         let wants = message.wants.clone();
-        // How long the call took to arrive is not known, so it proves no freshness.
+        // It is not known how long the call took to arrive, so it proves no freshness.
         apply_message(&self.context, message, None);
         let own = own_message(&self.context, wants);
         write_message(results.get().init_message(), &own);
--- a/src/gateway/gossip/outgoing.rs
+++ b/src/gateway/gossip/outgoing.rs
@@ -1,4 +1,5 @@
-//! Collects what this daemon reports of itself and, as a representative, of its group.
+//! Builds the messages in which this daemon reports its own state and, on request, sums over its
+//! group.
 
 use std::collections::BTreeMap;
 
@@ -21,13 +22,13 @@
 };
 use crate::true_time;
 
-/// Other daemons that one message has summaries of.
+/// Maximum number of summaries of other daemons in one message.
 pub const PEER_SUMMARIES: usize = 8;
-/// Newest usage windows that are reported: older ones have been sent to the cloud. One more than
-/// the windows that are still sent.
+/// Number of newest usage windows that are reported: one more than the windows that are still to be
+/// sent to the cloud. Older ones have been sent.
 const REPORTED_WINDOWS: usize = 4;
 
-/// What this daemon holds.
+/// Versions of the configuration and the endpoint list that this daemon holds.
 pub fn held_versions(context: &GatewayContext) -> HeldVersions {
     HeldVersions {
         configuration: context.configuration.borrow().version(),
@@ -35,7 +36,7 @@
     }
 }
 
-/// This daemon's message, with the parts that the other side wants.
+/// Builds this daemon's message, with the parts that the other side has requested.
 pub fn own_message(context: &GatewayContext, wants: RequestedParts) -> GossipMessage {
     let now = true_time::now();
     let is_starting = !context.knows_what_peers_know(now);
@@ -122,7 +123,7 @@
     }
 }
 
-/// Sums over this daemon's group, itself included.
+/// Sums over this daemon's group, including itself.
 fn group_sums(context: &GatewayContext) -> DaemonCounters {
     let endpoints = context.endpoints.borrow();
     DaemonCounters {
