--- a/schema/exchange.capnp
+++ b/schema/exchange.capnp
@@ -1,11 +1,11 @@
 @0xd41f7a60b2c8e935;
-# Gossip between gateway daemons. One call carries a message of each side.
+# Gossip between gateway daemons. Each call carries one message in each direction.
 
 struct EndpointLoad {
   endpoint @0 :UInt64;           # hash of the endpoint's id
-  running @1 :UInt32;            # requests of this daemon there
-  promptTokens @2 :UInt32;       # prompt tokens that have not been read yet
-  memoryTokens @3 :UInt32;       # memory that its requests take
+  running @1 :UInt32;            # requests of this daemon at the endpoint
+  promptTokens @2 :UInt32;       # uncached prompt tokens not processed yet
+  memoryTokens @3 :UInt32;       # memory that these requests may take, in tokens
 }
 
 struct WindowCounts {
@@ -15,7 +15,7 @@
 
 struct ServiceCounters {         # since the daemon started
   service @0 :Text;
-  tokens @1 :UInt64;             # prompt tokens sent to be read
+  tokens @1 :UInt64;             # uncached prompt tokens sent to endpoints
   requests @2 :UInt64;           # requests that needed an endpoint
 }
 
@@ -23,7 +23,7 @@
   incarnation @0 :UInt64;
   name @1 :Text;
   address @2 :Text;
-  sequence @3 :UInt64;           # of this state, rising
+  sequence @3 :UInt64;           # increases with every state
   leaving @4 :Bool;
   accounts @5 :List(Text);
   spent @6 :List(UInt64);        # quota units admitted since the daemon started
@@ -34,7 +34,7 @@
   requested @11 :List(UInt64);   # quota units requested, admitted or not
 }
 
-struct GroupCounters {           # sums over the gossip group of the daemon that responds
+struct GroupCounters {           # sums over the gossip group of the responding daemon
   accounts @0 :List(Text);
   spent @1 :List(UInt64);        # in the order of `accounts`, since that daemon started
   windows @2 :List(WindowCounts);
@@ -43,7 +43,7 @@
   requested @5 :List(UInt64);    # in the order of `accounts`, since that daemon started
 }
 
-struct RelayedUsage {            # usage that one daemon reported, which may have ended since
+struct RelayedUsage {            # usage reported by a daemon that may have ended since
   incarnation @0 :UInt64;
   accounts @1 :List(Text);
   windows @2 :List(WindowCounts);
@@ -52,7 +52,7 @@
 struct PeerSummary {
   address @0 :Text;
   incarnation @1 :UInt64;
-  ageMs @2 :UInt32;              # since any daemon last received a report of it
+  ageMs @2 :UInt32;              # since any daemon last received a message from it
 }
 
 struct EndpointEntry {
@@ -63,25 +63,25 @@
   slots @4 :UInt32;
   draining @5 :Bool;
   reclaimable @6 :Bool;
-  born @7 :UInt64;               # ms since 1970 by its own clock; 0: not known
+  born @7 :UInt64;               # start time in ms since 1970 by its own clock; 0: unknown
 }
 
-struct EndpointListText {        # what is compressed of a list of endpoints
+struct EndpointListText {        # the text of a list of endpoints before compression
   entries @0 :List(EndpointEntry);
 }
 
 struct CompressedText {
-  base @0 :UInt64;               # hash of the text that is the prefix; 0: none
+  base @0 :UInt64;               # hash of the text used as prefix; 0: none
   data @1 :Data;                 # Zstandard with that prefix
 }
 
 struct LeaseSummary {
   fence @0 :UInt64;
   holder @1 :Text;
-  ageMs @2 :UInt32;              # since the renewal was begun
-  daemons @3 :UInt32;            # that the holder knew of; 0: not known
-  renewals @4 :UInt64;           # by this holder, up to that one
-  nextWindow @5 :UInt64;         # first usage window that is not reported yet; 0: not known
+  ageMs @2 :UInt32;              # since the newest renewal began
+  daemons @3 :UInt32;            # number of daemons that the holder knew; 0: unknown
+  renewals @4 :UInt64;           # number of renewals by this holder
+  nextWindow @5 :UInt64;         # first usage window not reported yet; 0: unknown
 }
 
 struct CrashedRun {
@@ -90,64 +90,64 @@
   crashedAgeMs @2 :UInt32;
 }
 
-struct CrashReport {             # what is known of a request whose runs have crashed endpoints
-  head @0 :UInt64;               # fingerprint: hash of all but the body
-  contentLow @1 :UInt64;         # fingerprint: 128 bits of the hash of the whole
-  contentHigh @2 :UInt64;
+struct CrashReport {             # a request whose runs have crashed endpoints
+  head @0 :UInt64;               # fingerprint: hash of everything except the body
+  contentLow @1 :UInt64;         # fingerprint: hash of the whole request, lower 64 of 128 bits
+  contentHigh @2 :UInt64;        # fingerprint: the upper 64 bits
   runs @3 :List(CrashedRun);
   quarantined @4 :Bool;          # whether the request is refused
-  trials @5 :UInt32;             # since it is
-  hasTrial @6 :Bool;             # whether `trialAgeMs` means anything
+  trials @5 :UInt32;             # trial runs since it was quarantined
+  hasTrial @6 :Bool;             # whether `trialAgeMs` is set
   trialAgeMs @7 :UInt32;
-  wasCleared @8 :Bool;           # whether `clearedAgeMs` means anything
+  wasCleared @8 :Bool;           # whether `clearedAgeMs` is set
   clearedAgeMs @9 :UInt32;
 }
 
-struct EndpointWarning {         # what an endpoint has said in a response to some daemon
+struct EndpointWarning {         # a warning in an endpoint's response to some daemon
   endpoint @0 :UInt64;           # hash of the endpoint's id
-  born @1 :UInt64;               # the start that said so; 0: not known
+  born @1 :UInt64;               # start time of the endpoint, see `EndpointEntry`; 0: unknown
   ageMs @2 :UInt32;              # since the response
-  drains @3 :Bool;               # whether it drains; otherwise it has refused a request
+  drains @3 :Bool;               # whether it drains; otherwise it backs off, refuses or fails
 }
 
-struct EndpointLimit {           # what an endpoint has said of its limit to some daemon
+struct EndpointLimit {           # the limit in an endpoint's response to some daemon
   endpoint @0 :UInt64;           # hash of the endpoint's id
-  born @1 :UInt64;               # the start that said so; 0: not known
+  born @1 :UInt64;               # start time of the endpoint, see `EndpointEntry`; 0: unknown
   ageMs @2 :UInt32;              # since the response
-  isLimited @3 :Bool;            # whether it names a limit; otherwise it no longer does
-  limit @4 :Float64;             # requests a second that it takes from all daemons
+  isLimited @3 :Bool;            # whether it has a limit; otherwise the limit has ended
+  limit @4 :Float64;             # requests per second accepted from all daemons together
 }
 
 struct GossipMessage {
   state @0 :DaemonState;
   known @1 :List(PeerSummary);   # some other daemons
   configuration @2 :UInt64;      # revision of the store at which it was read; 0: none
-  configurationText @3 :Data;    # where the other side's is older
-  hasProof @4 :Bool;             # whether `proofAgeMs` means anything
-  proofAgeMs @5 :UInt32;         # since the store was read that showed no newer one
-  endpointRevision @6 :UInt64;   # revision of the list of endpoints held
+  configurationText @3 :Data;    # only if the other side has requested it
+  hasProof @4 :Bool;             # whether `proofAgeMs` is set
+  proofAgeMs @5 :UInt32;         # since the last read of the store that showed no newer one
+  endpointRevision @6 :UInt64;   # store revision at which the list of endpoints was read
   endpoints @7 :List(EndpointEntry);
   hasEndpoints @8 :Bool;         # whether `endpoints` is the whole list
   lease @9 :LeaseSummary;
-  wantsGroup @10 :Bool;          # whether the response should hold the sums of its group
+  wantsGroup @10 :Bool;          # whether the response should hold sums over its group
   group @11 :GroupCounters;
   hasGroup @12 :Bool;
   wantsConfiguration @13 :Bool;  # whether the response should hold the configuration's text
   wantsEndpoints @14 :Bool;      # whether it should hold the list of endpoints
   wantsUsage @15 :Bool;          # whether it should hold the usage of other daemons
-  usage @16 :List(RelayedUsage); # usage that other daemons of its group reported to the sender
+  usage @16 :List(RelayedUsage); # reported to the sender by other daemons of its group
   acceptsCompressed @17 :Bool;   # whether texts in the response may be compressed
-  configurationBases @18 :List(UInt64);  # hashes of the texts that the sender keeps
+  configurationBases @18 :List(UInt64);  # hashes of the versions that the sender keeps
   compressedConfiguration @19 :CompressedText;  # in place of `configurationText`
-  endpointBases @20 :List(UInt64);  # hashes of the texts that the sender keeps
+  endpointBases @20 :List(UInt64);  # hashes of the versions that the sender keeps
   compressedEndpoints @21 :CompressedText;  # in place of `endpoints`: an `EndpointListText`
   crashes @22 :List(CrashReport);
   warnings @23 :List(EndpointWarning);  # of the last seconds
   limits @24 :List(EndpointLimit);
-  configurationVersion @25 :UInt64;  # the operators' number; 0: not known
+  configurationVersion @25 :UInt64;  # version number given by the operators; 0: unknown
   configurationEra @26 :UInt64;  # era of `configuration`
   endpointEra @27 :UInt64;       # era of `endpointRevision`
-  starting @28 :Bool;            # whether the sender does not know yet what its peers know
+  starting @28 :Bool;            # whether the sender is not up to date with its peers yet
 }
 
 interface Exchange {
--- a/src/rpc_transport.rs
+++ b/src/rpc_transport.rs
@@ -1,5 +1,5 @@
-//! Cap'n Proto RPC over one TCP connection, with its bytes counted: for the native peers
-//! (schema/peer.capnp) and for the gateway's gossip (schema/exchange.capnp).
+//! Cap'n Proto RPC over a TCP connection whose traffic is counted. Used between the native daemons
+//! (schema/peer.capnp) and by the gateway's gossip (schema/exchange.capnp).
 
 use std::{
     cell::Cell,
@@ -13,14 +13,14 @@
 use tokio::net::TcpStream;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// Bytes sent and received over all connections to peers.
+/// Counts the bytes sent and received over all connections that share it.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficCounter {
     bytes: Rc<Cell<u64>>,
 }
 
 impl TrafficCounter {
-    /// Bytes so far.
+    /// Number of bytes so far.
     pub fn bytes(&self) -> u64 {
         self.bytes.get()
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// One half of a connection; adds what passes through it to the counter.
+/// The read or write half of a connection, which adds its traffic to the counter.
 struct CountedHalf<T> {
     inner: T,
     counter: TrafficCounter,
@@ -70,14 +70,14 @@
     }
 }
 
-/// RPC system over `stream`; a server gives its bootstrap capability.
+/// Creates the RPC system of one connection. A server passes its bootstrap capability.
 pub fn rpc_system(
     stream: TcpStream,
     side: Side,
     bootstrap: Option<capnp::capability::Client>,
     counter: &TrafficCounter,
 ) -> RpcSystem<Side> {
-    // Fails only on a socket that is already broken, which the RPC system sees.
+    // This fails only on a broken socket, which the RPC system detects by itself.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     let reader = CountedHalf { inner: reader.compat(), counter: counter.clone() };
