--- a/schema/peer.capnp
+++ b/schema/peer.capnp
@@ -35,7 +35,7 @@
   term @1 :UInt32;          # number of take-overs; the copy with the higher term wins
   holder @2 :UInt64;        # incarnation of the daemon that runs the request
   holderAddress @3 :Text;
-  digest @4 :Data;          # SHA-256 of the validated call; a client that resumes sends the call again
+  digest @4 :Data;          # SHA-256 of the validated call; a client that resumes sends the call
   firstToken @5 :UInt32;    # index of `tokens[0]` in the answer
   tokens @6 :List(Text);
   final @7 :Data;           # JSON of the final answer; empty while running
--- a/src/gateway/gossip/codec.rs
+++ b/src/gateway/gossip/codec.rs
@@ -1,6 +1,6 @@
 //! Converts gossip messages to and from their Cap'n Proto form (schema/exchange.capnp).
 //!
-//! Malformed messages and messages with too long lists are errors.
+//! Malformed messages and messages with overlong lists are rejected.
 
 mod counters;
 mod crashes;
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -1,10 +1,11 @@
 //! Applies messages of other daemons to the state of this one.
 //!
-//! A daemon of this daemon's group reports its own counters, the representative of another group
-//! reports those of that group, and everything else is accepted from any daemon. Configurations,
-//! endpoint lists and leases are applied only if they are newer than what this daemon holds. The
-//! response to a call can prove that keys are fresh, because it was sent after the call was made. A
-//! message in a call of another daemon may have been delayed for any time and proves nothing.
+//! Counters are accepted from daemons of this daemon's group for themselves, and from the
+//! representative of another group for that group; everything else is accepted from any daemon.
+//! Configurations, endpoint lists and leases are applied only if they are newer than what this
+//! daemon holds. The response to a call can prove that keys are fresh, because it was sent after
+//! the call was made. A message in a call of another daemon may have been delayed for any time and
+//! proves nothing.
 
 use std::{fmt::Display, net::SocketAddr, time::Duration};
 
--- a/src/gateway/gossip/peer_table.rs
+++ b/src/gateway/gossip/peer_table.rs
@@ -42,7 +42,7 @@
 /// there to this daemon.
 const REPORT_HOPS: u32 = 2;
 
-/// Rank of a daemon among the first ones of a rendezvous hashing.
+/// Rank of a daemon among the first ones by rendezvous hashing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RendezvousRank {
     /// Number of daemons that come before it.
--- a/src/gateway/policy/daemon/store_watchers.rs
+++ b/src/gateway/policy/daemon/store_watchers.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// Decides whether this daemon watches the store, and keeps until when it stands in.
+/// Decides whether this daemon watches the store, and keeps the time until which it stands in.
 #[derive(Clone, Copy, Debug)]
 pub struct WatcherElection {
     apply_limit: Duration,
