--- a/src/native/decide.rs
+++ b/src/native/decide.rs
@@ -1,10 +1,9 @@
-//! The rules of the native path, without I/O: events and the clock's time in, decisions out,
-//! random numbers from a source that is handed in.
+//! Decision rules of the native path. They do no I/O: the caller passes in events, the current
+//! time and a random number generator, and gets decisions back.
 //!
-//! Each module's head says what it decides, from what, how old its inputs may be, and where
-//! the gateway's own rule for the same question stands (`crate::gateway::policy`). The
-//! experiments behind the constants are in `benches/decisions`, their results in
-//! docs/measurements.
+//! Each module's documentation states what it decides, from which inputs, how old those may be,
+//! and where the gateway decides the same question (`crate::gateway::policy`). The experiments
+//! behind the constants are in `benches/decisions`, their results in docs/measurements.
 
 pub mod fair_queue;
 pub mod fleet;
--- a/src/native/decide/fair_queue.rs
+++ b/src/native/decide/fair_queue.rs
@@ -1,12 +1,13 @@
-//! Fair queue: the order in which requests get endpoints while all are full.
+//! Fair queue: the order in which waiting requests get endpoints while all endpoints are full.
 //!
 //! Start-time fair queueing: each request is tagged with the virtual time at which its
-//! account could start it; the lowest tag goes next. A burst of one account moves only
-//! its own tags ahead. Accounts within their share go before those over it; otherwise their own
-//! long requests would delay their short ones for as long as a burst lasts.
+//! account could start it, and the request with the lowest tag goes next. A burst of one account
+//! raises only the tags of that account. Accounts within their share go before those over it;
+//! otherwise the long requests of an account within its share would delay its short ones for as
+//! long as another account's burst lasts.
 //!
 //! Inputs: the account's weight, its priority (`decide::limits`), and the tokens that the
-//! request is expected to cost. The queue is one daemon's; it knows nothing of the others'.
+//! request is expected to cost. Each daemon has its own queue and does not know the others'.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,23 +16,23 @@
 use super::limits::RequestPriority;
 use crate::ids::SharedName;
 
-/// Order of waiting requests: priority, virtual start, arrival.
+/// Sort key of a waiting request: priority, virtual start time, arrival number.
 type QueueTag = (RequestPriority, u64, u64);
 
-/// Virtual time per weighted token, in units of the tag: tags are whole numbers; a thousandth of a
-/// token is exact enough.
+/// Tag units per weighted token. Tags are integers; a resolution of a thousandth of a token is
+/// enough.
 const TAG_SCALE: f64 = 1_000.0;
 
-/// What a request's turn depends on.
+/// The properties of a request that determine its place in the queue.
 #[derive(Clone, Debug)]
 pub struct QueueTurn {
-    /// Account.
+    /// Client account that sent the request.
     pub account: SharedName,
-    /// Its weight.
+    /// Weight of the account.
     pub weight: f64,
     /// Whether the account is over its share.
     pub priority: RequestPriority,
-    /// Tokens expected.
+    /// Tokens that the request is expected to cost.
     pub tokens: f64,
 }
 
@@ -41,7 +42,7 @@
     item: T,
 }
 
-/// Queue of requests that wait for an endpoint of one service.
+/// Requests that wait for an endpoint of one service.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     waiting: BTreeMap<QueueTag, WaitingEntry<T>>,
@@ -53,7 +54,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Queue of at most `limit` requests.
+    /// Creates a queue that holds at most `limit` requests.
     pub fn new(limit: usize) -> Self {
         Self {
             waiting: BTreeMap::new(),
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Adds a request. When the queue is full, returns the request with the highest tag, which
-    /// may be another account's.
+    /// Adds a request. If the queue is over its limit then, removes and returns the request with
+    /// the highest tag, which may belong to another account.
     pub fn push(&mut self, turn: &QueueTurn, deadline: Instant, item: T) -> Option<T> {
         let account = &turn.account;
         if self.waiting.is_empty() {
@@ -86,21 +87,21 @@
         Some(dropped.item)
     }
 
-    /// Returns a request that was just popped to the front of the queue.
+    /// Puts a request that was just popped back at the front of the queue.
     pub fn push_front(&mut self, deadline: Instant, item: T) {
         self.arrivals += 1;
         let tag = (RequestPriority::Normal, 0, self.arrivals);
         self.waiting.insert(tag, WaitingEntry { deadline, item });
     }
 
-    /// Removes the request with the lowest tag.
+    /// Removes and returns the request with the lowest tag.
     pub fn pop(&mut self) -> Option<T> {
         let ((_, start, _), entry) = self.waiting.pop_first()?;
         self.virtual_time = self.virtual_time.max(start);
         Some(entry.item)
     }
 
-    /// Removes all requests whose deadline has passed.
+    /// Removes and returns all requests whose deadline has passed.
     pub fn expire(&mut self, now: Instant) -> Vec<T> {
         let due: Vec<QueueTag> = self
             .waiting
@@ -117,7 +118,7 @@
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/src/native/decide/prefix.rs
+++ b/src/native/decide/prefix.rs
@@ -1,25 +1,26 @@
-//! Prompt prefixes as chains of block hashes, as engines cache them.
+//! Prompt prefixes as chains of block hashes, in the form in which engines cache them.
 //!
-//! Tokens are counted as words, so counts are estimates; the hashes are exact within one
-//! deployment, since daemons and endpoints split prompts alike.
+//! Words are counted as tokens, so token counts are estimates. The hashes match exactly within
+//! one deployment, since daemons and endpoints split prompts in the same way.
 
 use std::collections::HashMap;
 
 use crate::ids::hash_parts;
 
-/// Words (counted as tokens) in one cached block: must equal the engines' block size.
+/// Words (counted as tokens) in one cached block; must equal the engines' block size.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// One block in so many is evicted when the cache is full: one scan for each tenth of the capacity
-/// that is inserted.
-const EVICTED_PART: usize = 10;
+/// A full cache evicts its capacity divided by this at once, so that it is scanned only once for
+/// each tenth of the capacity that is inserted.
+const EVICTION_DIVISOR: usize = 10;
 
-/// Number of tokens in `text`: words, for the purpose of estimates.
+/// Estimated number of tokens in `text`: its words.
 pub fn count_tokens(text: &str) -> usize {
     text.split_ascii_whitespace().count()
 }
 
-/// Chain of hashes of the full blocks of `text`; equal prefixes give equal chains.
+/// Hashes of the full blocks of `text`, each including the hash before it, so that equal prefixes
+/// give equal hashes.
 pub fn prefix_chain(text: &str) -> Vec<u64> {
     let words: Vec<&str> = text.split_ascii_whitespace().collect();
     let mut chain = Vec::with_capacity(words.len() / BLOCK_TOKENS);
@@ -31,7 +32,7 @@
     chain
 }
 
-/// Set of cached blocks that forgets the least recently used.
+/// Set of cached blocks with LRU eviction.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     capacity: usize,
@@ -40,7 +41,7 @@
 }
 
 impl PrefixCache {
-    /// Cache of at most `capacity` blocks.
+    /// Creates an empty cache of at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, tick: 0, blocks: HashMap::new() }
     }
@@ -50,7 +51,7 @@
         chain.iter().take_while(|block| self.blocks.contains_key(block)).count()
     }
 
-    /// Marks the blocks of `chain` as cached and just used; returns those forgotten.
+    /// Marks the blocks of `chain` as cached and just used; returns the evicted blocks.
     pub fn insert(&mut self, chain: &[u64]) -> Vec<u64> {
         self.tick += 1;
         for block in chain {
@@ -59,7 +60,7 @@
         self.evict()
     }
 
-    /// Forgets one block.
+    /// Removes one block.
     pub fn remove(&mut self, block: u64) {
         self.blocks.remove(&block);
     }
@@ -69,7 +70,7 @@
         self.blocks.len()
     }
 
-    // Evicts a part at a time, so that the scan over all blocks is rare.
+    /// Evicts many blocks at a time, so that the scan over all blocks is rare.
     fn evict(&mut self) -> Vec<u64> {
         if self.blocks.len() <= self.capacity {
             return Vec::new();
@@ -80,7 +81,7 @@
         let excess = self.blocks.len() - self.capacity;
         let evicted: Vec<u64> = by_age
             .into_iter()
-            .take(excess.max(self.capacity / EVICTED_PART))
+            .take(excess.max(self.capacity / EVICTION_DIVISOR))
             .map(|(_, block)| block)
             .collect();
         for block in &evicted {
