--- a/src/native/decide/reclaim.rs
+++ b/src/native/decide/reclaim.rs
@@ -1,20 +1,23 @@
 //! What to do with the streams of an endpoint whose VM is being reclaimed.
 //!
 //! Decides for each stream whether it finishes there, has its KV cache moved to another
-//! endpoint, or resumes elsewhere from prompt and tokens, which computes them again. Only the
-//! native path moves streams; the gateway relays and resumes (`gateway::request`).
+//! endpoint, or resumes at another endpoint from the prompt and the tokens produced so far, which
+//! computes these again. Only the native path moves streams; the gateway relays and resumes
+//! (`gateway::request`).
 //!
-//! Inputs: the time until the VM goes, in milliseconds, and for each stream its tokens (exact,
-//! this daemon's own) and the tokens still to come (the client's maximum, an upper bound).
-//! Each way costs tokens computed again and delay; the cheapest that fits into the notice is
-//! taken. Moves share the leaving VM's bandwidth, so streams are planned together.
+//! Inputs: the time until the VM is gone, in milliseconds, and for each stream its tokens so far
+//! (exact, counted by this daemon) and the tokens still to come (the client's maximum, an upper
+//! bound). Each option costs tokens computed again and delay; the cheapest one that can be
+//! completed before the VM is gone is taken. Moves share the leaving VM's bandwidth, so all
+//! streams are planned together.
 
 use crate::ids::RequestName;
 
-/// Fraction of the notice kept free, for clocks that differ and streams that are slow.
+/// Fraction of the notice period left unused, to allow for clock differences and slow streams.
 const NOTICE_MARGIN: f64 = 0.15;
 
-/// Weights of the costs, and the speeds that decide what fits into a notice.
+/// Weights of the costs, and the speeds that determine what can be completed within the notice
+/// period.
 #[derive(Clone, Copy, Debug)]
 pub struct ReclaimWeights {
     /// Cost of a token computed again.
@@ -25,14 +28,14 @@
     pub token_ms: f64,
     /// Time to compute one prompt token, in milliseconds.
     pub prefill_ms: f64,
-    /// Time to move the KV cache of one token, in milliseconds, alone on the link.
+    /// Time to move the KV cache of one token, in milliseconds, when no other move uses the link.
     pub move_ms: f64,
 }
 
 /// One stream on the leaving endpoint.
 #[derive(Clone, Debug)]
 pub struct LeavingStream {
-    /// Its request.
+    /// Name of its request.
     pub name: RequestName,
     /// Tokens of the prompt.
     pub prompt_tokens: usize,
@@ -40,18 +43,18 @@
     pub produced: usize,
     /// Tokens still to come.
     pub remaining: usize,
-    /// Tokens of prompt and response cached at the endpoint it would go to.
+    /// Tokens of prompt and response that the endpoint it would move to has cached.
     pub cached_elsewhere: usize,
 }
 
-/// Way chosen for a stream.
+/// How a stream is continued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReclaimWay {
-    /// Stay until the response is complete.
+    /// Stays until the response is complete.
     Finish,
-    /// Move the KV cache, then go on there.
+    /// Has its KV cache moved to another endpoint and continues there.
     Move,
-    /// Go on elsewhere from prompt and tokens.
+    /// Continues at another endpoint, which computes prompt and tokens again.
     Resume,
 }
 
@@ -77,17 +80,17 @@
         tokens * weights.recompute + tokens * weights.prefill_ms * weights.delay
     }
 
-    /// Cost of a move while `queued_ms` of other moves go before it: the stream keeps
-    /// producing while it waits, and stands still only while it moves itself.
+    /// Cost of a move. Waiting for other moves adds nothing: the stream keeps producing tokens
+    /// until its own move begins.
     fn move_cost(&self, weights: &ReclaimWeights) -> f64 {
         self.move_ms(weights) * weights.delay
     }
 }
 
-/// Plans all streams of one endpoint that goes in `notice_ms`.
+/// Plans all streams of one endpoint whose VM is gone in `notice_ms`.
 ///
-/// Streams that can finish do. The others compete for the link: those that save the
-/// most cost for each millisecond of it go first, until the notice is filled.
+/// Streams that can finish in time stay. The others compete for the link: those that save the
+/// most cost per millisecond of link time are moved first, until the notice period is used up.
 pub fn plan_reclaim(
     streams: &[LeavingStream],
     notice_ms: f64,
