--- a/src/native/decide/fleet.rs
+++ b/src/native/decide/fleet.rs
@@ -1,17 +1,20 @@
 //! How many VMs of a service to hold, in which availability zone and price class.
 //!
 //! Decides which VMs to start and which to release, for the planner on the native path
-//! (`serve::planning::planner`). The gateway's rule, `gateway::policy::leader::fleet_size`, spreads
-//! endpoints by fixed rules; this one minimizes an expected cost, so the two stay apart.
+//! (`serve::planning::planner`). The gateway's `gateway::policy::leader::fleet_size` spreads
+//! endpoints by fixed rules, whereas this module minimizes an expected cost, so the two do not
+//! share code.
 //!
-//! Inputs: the VMs required (from averages of load, one to two epochs of 2 s old), the prices
-//! of this round, the VMs held (the VM list, read every 2 s), and the weights of the service's
-//! row. If the load is not known, the planner takes the number of VMs held as required.
+//! Inputs: the number of VMs required (from averages of load that are one to two epochs of 2 s
+//! old), the prices of this round, the VMs held (the VM list, read every 2 s), and the weights
+//! from the service's row. If the load is unknown, the planner passes the number of VMs held as
+//! the number required.
 //!
-//! At any time nothing is wrong, or one zone's reclaimable VMs are gone and not yet replaced.
-//! One more VM is worth what it saves in expected shortage over these states; it costs its
-//! price, and what its own reclaim would cost in tokens computed again. Counts are improved by
-//! moving chunks of VMs between places, large ones first, while that lowers the expected cost.
+//! The cost model has these states: either all VMs are there, or all reclaimable VMs of one zone
+//! are gone and not yet replaced. An additional VM saves expected shortage over these states. It
+//! costs its price, and the tokens that are computed again if it is reclaimed. Counts are improved
+//! by moving chunks of VMs between places, large chunks first, as long as the expected cost
+//! decreases.
 
 mod free_name;
 mod problem;
@@ -32,22 +35,22 @@
     native::cloud_api::messages::{PriceClass, PriceEntry},
 };
 
-/// How long fewer VMs must have been enough before one is released: longer than a start
+/// How long fewer VMs must have been enough before one is released; longer than starting a VM
 /// takes.
 const RELEASE_AFTER: Duration = Duration::from_secs(300);
-/// After a notice or a refused start nothing is released for this time: zones go one after another
-/// in a wave of reclaims.
-const WAVE_HOLD: Duration = Duration::from_secs(600);
-/// Pause before a place that refused a start is tried again; each further refusal doubles it. A few
-/// planner rounds.
-const REFUSED_FIRST: Duration = Duration::from_secs(10);
+/// How long no VM is released after a reclaim notice or a refused start: in a wave of reclaims, one
+/// zone after another loses its VMs.
+const RECLAIM_WAVE_HOLD: Duration = Duration::from_secs(600);
+/// Pause before a place that refused a start is tried again, a few planner rounds; each further
+/// refusal doubles it.
+const FIRST_REFUSAL_PAUSE: Duration = Duration::from_secs(10);
 /// Longest pause before a place that refused a start is tried again: as long as releases are held
-/// back (`WAVE_HOLD`).
-const REFUSED_LONGEST: Duration = Duration::from_secs(600);
-/// Most VMs started in one round: bounds what a wrong figure can cost before the next round.
+/// back (`RECLAIM_WAVE_HOLD`).
+const LONGEST_REFUSAL_PAUSE: Duration = Duration::from_secs(600);
+/// Most VMs started in one round, which limits what a wrong input can cost before the next round.
 const STARTS_PER_ROUND: usize = 16;
 
-/// Where and how a VM is held.
+/// Availability zone and price class of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FleetPlace {
     /// Availability zone.
@@ -61,16 +64,16 @@
 pub struct FleetWeights {
     /// Cost of one VM missing for an hour while there is demand for it, in cost units.
     pub shortage: f64,
-    /// Chance that a given zone's reclaimable VMs go within an hour.
+    /// Probability that a given zone loses its reclaimable VMs within an hour.
     pub zone_loss: f64,
-    /// Time until lost VMs are replaced, in hours; longer where starts are refused.
+    /// Time until lost VMs are replaced, in hours; longer if the cloud refuses starts.
     pub replace_hours: f64,
-    /// Cost of one reclaim of one VM: its streams' tokens computed again, in cost units.
+    /// Cost of the reclaim of one VM, whose streams' tokens are computed again, in cost units.
     pub reclaim: f64,
 }
 
-/// Chooses counts per place for `required` VMs (a fraction counts as part of one), `max` at
-/// most.
+/// Chooses the number of VMs at each place so that `required` VMs (possibly a fraction) are
+/// available, with at most `max` in total.
 pub fn choose_counts(
     required: f64,
     prices: &[PriceEntry],
@@ -86,8 +89,8 @@
 
 /// Expected cost of an hour with these counts: prices, reclaims and shortage.
 ///
-/// Only the tests call it: they compare [`choose_counts`] with all fleets there are, by the
-/// same cost, which is private to this module.
+/// Only tests call it: they compare the result of [`choose_counts`] with all possible fleets by
+/// the same cost function, which is private to this module.
 pub fn expected_cost(
     required: f64,
     counts: &BTreeMap<FleetPlace, usize>,
@@ -99,49 +102,49 @@
     problem.cost(&counts.collect::<Vec<usize>>())
 }
 
-/// One VM that is held.
+/// A VM that the service holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldVm {
-    /// Identity.
+    /// Id of the VM.
     pub id: SharedName,
-    /// Name it was started under.
+    /// Name under which it was started.
     pub name: SharedName,
-    /// Where and how.
+    /// Its zone and price class.
     pub place: FleetPlace,
-    /// Whether it has a notice.
+    /// Whether it has a reclaim notice.
     pub leaving: bool,
 }
 
-/// One service as the planner knows it.
+/// State of one service at the planner.
 #[derive(Clone, Debug)]
 pub struct ServiceFleet {
-    /// Service.
+    /// Name of the service.
     pub service: SharedName,
-    /// VMs that its load requires now; a fraction counts as part of one.
+    /// VMs that its load requires now, possibly a fraction.
     pub required: f64,
     /// Fewest and most VMs, from its row.
     pub bounds: (usize, usize),
-    /// VMs that are held.
+    /// VMs that it holds.
     pub held: Vec<HeldVm>,
-    /// Names that were planned but are not held yet.
+    /// Names of VMs that were planned but are not in the VM list yet.
     pub pending: Vec<SharedName>,
-    /// Weights.
+    /// Weights from its row.
     pub weights: FleetWeights,
 }
 
-/// What to do about the fleet.
+/// A change of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetAction {
     /// Start a VM under this name.
     Start {
-        /// Name; starting it twice starts one.
+        /// Name of the VM; starting the same name twice starts one VM.
         name: SharedName,
-        /// Where and how.
+        /// Its zone and price class.
         place: FleetPlace,
     },
     /// Release a VM.
     Release {
-        /// Identity.
+        /// Id of the VM.
         id: SharedName,
     },
 }
@@ -156,65 +159,65 @@
 #[derive(Debug, Default)]
 pub struct FleetPlanner {
     refused: HashMap<FleetPlace, RefusedPlace>,
-    /// Since when fewer VMs would have been enough, by service.
+    /// When fewer VMs began to be enough, by service.
     surplus_since: HashMap<SharedName, Instant>,
-    wave_until: Option<Instant>,
+    reclaim_wave_until: Option<Instant>,
     leaving_seen: HashSet<SharedName>,
 }
 
 impl FleetPlanner {
-    /// Records a refused start: the place is left alone for a while.
+    /// Records a refused start; the place is not tried again for a while.
     pub fn refused(&mut self, place: &FleetPlace, now: Instant) {
         let pause = match self.refused.get(place) {
-            Some(before) => (before.pause * 2).min(REFUSED_LONGEST),
-            None => REFUSED_FIRST,
+            Some(before) => (before.pause * 2).min(LONGEST_REFUSAL_PAUSE),
+            None => FIRST_REFUSAL_PAUSE,
         };
         self.refused.insert(place.clone(), RefusedPlace { until: now + pause, pause });
-        self.wave_until = Some(now + WAVE_HOLD);
+        self.reclaim_wave_until = Some(now + RECLAIM_WAVE_HOLD);
     }
 
-    /// Whether a place is left alone because it refused a start.
+    /// Whether a place is not tried now because it refused a start.
     pub fn is_refused(&self, place: &FleetPlace, now: Instant) -> bool {
         self.refused.get(place).is_some_and(|refused| now < refused.until)
     }
 
-    /// Records a start that was carried out.
+    /// Records a successful start.
     pub fn started(&mut self, place: &FleetPlace) {
         self.refused.remove(place);
     }
 
-    /// Whether a wave of reclaims is under way, in which nothing is released.
-    pub fn is_wave(&self, now: Instant) -> bool {
-        self.wave_until.is_some_and(|until| now < until)
+    /// Whether VMs are being reclaimed or starts refused, during which no VM is released.
+    pub fn in_reclaim_wave(&self, now: Instant) -> bool {
+        self.reclaim_wave_until.is_some_and(|until| now < until)
     }
 
-    fn note_leaving(&mut self, fleet: &ServiceFleet, now: Instant) {
+    fn record_leaving(&mut self, fleet: &ServiceFleet, now: Instant) {
         for vm in fleet.held.iter().filter(|vm| vm.leaving) {
             if self.leaving_seen.insert(vm.id.clone()) {
-                self.wave_until = Some(now + WAVE_HOLD);
+                self.reclaim_wave_until = Some(now + RECLAIM_WAVE_HOLD);
             }
         }
     }
 
-    /// Prices of the places that are not left alone.
+    /// Prices of the places that have not refused a start recently.
     fn open_places(&self, prices: &[PriceEntry], now: Instant) -> Vec<PriceEntry> {
         let open = prices.iter().filter(|price| !self.is_refused(&place_of(price), now));
         open.cloned().collect()
     }
 
-    /// Decides one round for one service.
+    /// Decides what to start or release for one service in this round.
     pub fn decide(
         &mut self,
         fleet: &ServiceFleet,
         prices: &[PriceEntry],
         now: Instant,
     ) -> Vec<FleetAction> {
-        self.note_leaving(fleet, now);
+        self.record_leaving(fleet, now);
         let open = self.open_places(prices, now);
         let staying: Vec<&HeldVm> = fleet.held.iter().filter(|vm| !vm.leaving).collect();
         let held = count_by_place(&staying);
         let required = fleet.required.max(fleet.bounds.0 as f64);
-        // A place that refuses starts may still be held, so all prices count here.
+        // Includes the places that refuse starts, since VMs may still be held there.
         let target = choose_counts(required, prices, &held, &fleet.weights, fleet.bounds.1);
         let wanted: usize = target.values().sum();
         let have = staying.len() + fleet.pending.len();
@@ -229,7 +232,8 @@
         Vec::new()
     }
 
-    /// Starts the best VMs among the places that take starts, beside what is held.
+    /// Starts VMs one by one at the place with the lowest expected cost, out of those that have
+    /// not refused a start recently.
     fn starts(
         &self,
         fleet: &ServiceFleet,
@@ -261,8 +265,8 @@
         actions
     }
 
-    /// Releases one VM where more are held than wanted, the dearest first, once that has
-    /// been so for a while and no wave is under way.
+    /// Releases one VM from a place that holds more than wanted, the most expensive price class
+    /// first. Does so only after the surplus has lasted for a while and outside a wave of reclaims.
     fn releases(
         &mut self,
         fleet: &ServiceFleet,
@@ -271,7 +275,7 @@
         now: Instant,
     ) -> Option<FleetAction> {
         let since = *self.surplus_since.entry(fleet.service.clone()).or_insert(now);
-        if self.is_wave(now) || now.saturating_duration_since(since) < RELEASE_AFTER {
+        if self.in_reclaim_wave(now) || now.saturating_duration_since(since) < RELEASE_AFTER {
             return None;
         }
         let counts = count_by_place(staying);
--- a/src/native/decide/fleet/free_name.rs
+++ b/src/native/decide/fleet/free_name.rs
@@ -5,8 +5,8 @@
 use super::FleetPlace;
 use crate::{ids::SharedName, native::cloud_api::messages::PriceClass};
 
-/// Lowest free name at a place. Two planners at once choose the same name, and the
-/// cloud starts it once.
+/// Returns the free name with the lowest number at a place. Two planners that decide at the same
+/// time choose the same name, and the cloud starts a name only once.
 pub fn free_name(
     service: &SharedName,
     place: &FleetPlace,
@@ -18,6 +18,6 @@
     };
     let names = (1_usize..).map(|number| format!("{service}-{}-{class}-{number}", place.zone));
     let mut free = names.map(SharedName::from).filter(|name| !taken.contains(name));
-    // The numbers do not end, so there is a free one.
+    // The iterator is unbounded, so there always is a free name.
     free.next().unwrap_or_default()
 }
--- a/src/native/decide/fleet/problem.rs
+++ b/src/native/decide/fleet/problem.rs
@@ -1,4 +1,4 @@
-//! The choice of counts per place as a problem with a cost, and moves that lower it.
+//! The cost function over the numbers of VMs at each place, and the local search that lowers it.
 
 use std::collections::HashMap;
 
@@ -8,38 +8,39 @@
     native::cloud_api::messages::{PriceClass, PriceEntry},
 };
 
-/// Fraction by which a VM that is held counts as cheaper than a new one, so that small changes of
-/// price move nothing.
+/// Fraction of its price by which a held VM counts as cheaper than a new one, so that small price
+/// changes do not replace VMs.
 const HELD_DISCOUNT: f64 = 0.15;
 
-/// Least gain that counts, in cost units: above rounding errors, so that the search ends. Far below
-/// any price.
-const GAIN_MIN: f64 = 1e-9;
-/// The VMs required, divided by this, make the first chunk; the next are halves of it.
-const FIRST_CHUNK_PART: f64 = 4.0;
+/// Smallest decrease of the cost that counts as an improvement, in cost units. It is above rounding
+/// errors, so that the search ends, and far below any price.
+const MIN_GAIN: f64 = 1e-9;
+/// The first chunk is the number of VMs required divided by this; each later one is half of the
+/// one before.
+const FIRST_CHUNK_DIVISOR: f64 = 4.0;
 
-/// Counts by place, in the order of the prices.
+/// Numbers of VMs by place, in the order of the prices.
 pub type PlaceCounts = Vec<usize>;
 
-/// What the choice is made from.
+/// Inputs of the search.
 pub struct FleetProblem<'a> {
     required: f64,
     max: usize,
     prices: &'a [PriceEntry],
     /// VMs held at each place.
     pub held: PlaceCounts,
-    /// Distinct zones, and for each the index of its reclaimable place.
+    /// For each distinct zone, the index of its reclaimable place, if it has one.
     reclaimable_of_zone: Vec<Option<usize>>,
     weights: &'a FleetWeights,
 }
 
-/// Place that a price is for.
+/// Returns the place to which a price applies.
 pub fn place_of(price: &PriceEntry) -> FleetPlace {
     FleetPlace { zone: price.zone.clone(), class: price.class }
 }
 
 impl<'a> FleetProblem<'a> {
-    /// Problem of holding `required` VMs, `max` at most, given what is held.
+    /// Creates the problem of holding `required` VMs, at most `max`, given the VMs held now.
     pub fn new(
         required: f64,
         max: usize,
@@ -71,7 +72,7 @@
         let total: usize = counts.iter().sum();
         let shortage = |left: usize| (self.required - left as f64).max(0.0) * self.weights.shortage;
         let zones = self.reclaimable_of_zone.len() as f64;
-        // Part of an hour in which a given zone's reclaimable VMs are missing.
+        // Expected fraction of an hour in which a given zone's reclaimable VMs are missing.
         let missing = self.weights.zone_loss * self.weights.replace_hours;
         let mut cost = (1.0 - missing * zones).max(0.0) * shortage(total);
         for place in &self.reclaimable_of_zone {
@@ -96,9 +97,9 @@
         }
     }
 
-    /// Improves `counts` until no move of a chunk lowers the cost; larger chunks first.
+    /// Improves `counts` until no move of a chunk lowers the cost. Tries large chunks first.
     pub fn improve(&self, mut counts: PlaceCounts) -> PlaceCounts {
-        let mut chunk = (self.required / FIRST_CHUNK_PART).ceil().max(1.0) as usize;
+        let mut chunk = (self.required / FIRST_CHUNK_DIVISOR).ceil().max(1.0) as usize;
         let mut cost = self.cost(&counts);
         loop {
             match self.best_move(&counts, chunk, cost) {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The best of: a chunk removed or not, and none, one or two chunks added elsewhere.
+    /// Finds the best move, which removes at most one chunk and adds up to two.
     fn best_move(&self, counts: &[usize], chunk: usize, cost: f64) -> Option<(f64, PlaceCounts)> {
         let places = counts.len();
         let mut best: Option<(f64, PlaceCounts)> = None;
@@ -134,7 +135,7 @@
                     }
                     let least = best.as_ref().map_or(cost, |(least, _)| *least);
                     let found = self.cost(&next);
-                    if found < least - GAIN_MIN {
+                    if found < least - MIN_GAIN {
                         best = Some((found, next));
                     }
                 }
