--- a/src/native/decide/retries.rs
+++ b/src/native/decide/retries.rs
@@ -1,4 +1,4 @@
-//! Retries on the native path: how many, and after which pause.
+//! Retries on the native path: how many attempts a request gets, and the pause before each.
 //!
 //! Decides what follows an attempt that brought no response:
 //!
@@ -8,38 +8,39 @@
 //! | failed and may have run | another endpoint after a pause, if the bucket allows |
 //! | found every endpoint tried | all endpoints again, after a pause |
 //!
-//! After [`ATTEMPT_LIMIT`] attempts each of them ends the request. Retries are a bounded
-//! fraction of first attempts, so that a brownout is not answered with a retry storm. This is
-//! a token bucket without a clock; the gateway's rule, `gateway::policy::request::retry_budget`, counts
-//! requests and retries in a sliding window, with a reserve that all daemons share. The two
-//! answer differently, so they stay two.
+//! After [`ATTEMPT_LIMIT`] attempts, the request ends in each of these cases. Retries are limited
+//! to a fraction of first attempts, so that a brownout does not cause a retry storm. The limit is
+//! a token bucket without a clock; the gateway's `gateway::policy::request::retry_budget` counts
+//! requests and retries in a sliding window, with a reserve that all daemons share. The two give
+//! different results, so they do not share code.
 //!
-//! Inputs: this daemon's own attempts at one service, no older state. Refusals by the daemon
-//! itself neither fill the bucket nor draw from it; refusals by endpoints before they started do
-//! not draw from it. A daemon that has just started has the full reserve.
+//! Inputs: only this daemon's own attempts at one service. Requests that the daemon itself refuses
+//! neither fill the bucket nor draw from it; requests that endpoints refuse before starting them
+//! do not draw from it. A daemon that has just started has the full reserve.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// Most attempts at one request, moves apart: the bucket is the tighter bound in a brownout.
+/// Most attempts at one request, not counting moves to another endpoint. In a brownout, the bucket
+/// limits retries further.
 pub const ATTEMPT_LIMIT: u32 = 6;
-/// Fraction of first attempts that may be spent on retries. Enough for a brownout of half the
-/// endpoints.
+/// Retries allowed per first attempt: enough for a brownout of half the endpoints.
 const RETRY_FRACTION: f64 = 0.1;
-/// Retries that a quiet daemon may spend at once: without it, a daemon with few requests could not
+/// Capacity of the bucket, in retries. Without this reserve, a daemon with few requests could not
 /// retry.
 const RETRY_RESERVE: f64 = 10.0;
-/// First pause before a retry; each further one is twice as long. Short beside a first token.
+/// First pause before a retry; each further one is twice as long. It is short compared with the
+/// time to a first token.
 const PAUSE_FIRST: Duration = Duration::from_millis(20);
-/// Longest pause before a retry: bounds the delay that retries add.
+/// Longest pause before a retry, which limits the delay that retries add.
 const PAUSE_LONGEST: Duration = Duration::from_millis(1_000);
-/// Part of the pause that is drawn at random, so that retries do not come together: the upper half.
+/// Random factor of a pause, so that retries are spread over time: the upper half.
 const JITTER: std::ops::RangeInclusive<f64> = 0.5..=1.0;
-/// Most doublings of the pause: past the longest pause, and far from an overflow.
+/// Most doublings of the pause: enough to reach the longest pause, and far from an overflow.
 const DOUBLINGS_MAX: u32 = 10;
 
-/// Retries that may be spent at one service; a token bucket that first attempts fill.
+/// Token bucket of retries for one service, filled by first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBucket {
     level: f64,
@@ -57,7 +58,7 @@
         self.level = (self.level + RETRY_FRACTION).min(RETRY_RESERVE);
     }
 
-    /// Withdraws one retry; `false` if none is left.
+    /// Withdraws one retry; returns `false` if none is left.
     pub fn try_withdraw(&mut self) -> bool {
         let allowed = self.level >= 1.0;
         if allowed {
@@ -67,14 +68,14 @@
     }
 }
 
-/// What follows an attempt without a response.
+/// What to do after an attempt without a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryVerdict {
-    /// The next attempt, at once.
+    /// Begin the next attempt at once.
     Now,
-    /// The next attempt, after a pause.
+    /// Begin the next attempt after a pause.
     After(Duration),
-    /// The request ends: its attempts or the service's retries are used up.
+    /// End the request: its attempts or the service's retries are used up.
     GiveUp,
 }
 
@@ -83,8 +84,8 @@
     if attempts >= ATTEMPT_LIMIT { RetryVerdict::GiveUp } else { RetryVerdict::Now }
 }
 
-/// Decides after attempt number `attempts` (from 1) failed and may have run. It draws from the
-/// bucket also where the attempts are used up.
+/// Decides after attempt number `attempts` (from 1) failed and may have run. Draws from the bucket
+/// even if the attempts are used up.
 pub fn after_failure(attempts: u32, bucket: &mut RetryBucket, rng: &mut impl Rng) -> RetryVerdict {
     let allowed = bucket.try_withdraw();
     if !allowed || attempts >= ATTEMPT_LIMIT {
