--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -1,20 +1,21 @@
 //! Chooses the endpoint of each attempt on the native path.
 //!
-//! Decides which endpoint of the daemon's window takes the attempt, or that all are full, or
-//! that there is none. The gateway's rule, `gateway::policy::endpoint::endpoint_choice`, has
-//! other inputs: what peers report of their requests, and affinity endpoints. Here endpoints
-//! report their own load and cache, so the two stay apart.
+//! Decides which endpoint of the daemon's window gets the attempt, or that all are full, or
+//! that there is none. The gateway's `gateway::policy::endpoint::endpoint_choice` has other
+//! inputs: the requests that peers report, and affinity endpoints. Here endpoints report their own
+//! load and cache contents, so the two do not share code.
 //!
-//! Inputs: the VM list (by gossip), load and cache reports (polled every 2 s), this daemon's
-//! own starts and ends, and the health of its attempts. Each candidate's wait is estimated in
-//! milliseconds, from the prompt tokens it has probably not cached and from its load; the
-//! least wait wins. All daemons see the same old report and would act alike, so the load is
-//! the report corrected by this daemon's own starts less ends, times the daemons that share
-//! the endpoint; and a random part that grows with the age of the report keeps them from
-//! choosing the same endpoint.
+//! Inputs: the VM list (by gossip), load and cache reports (polled every 2 s), the attempts that
+//! this daemon has started and ended, and their results. For each candidate, the wait is estimated
+//! in milliseconds from the prompt tokens that it has probably not cached and from its load; the
+//! candidate with the shortest wait is chosen. All daemons see the same report and would choose the
+//! same endpoint. Therefore the reported load is corrected by the number of attempts that this
+//! daemon has started minus those that have ended since, multiplied by the number of daemons that
+//! share the endpoint, and a random part that grows with the age of the report is added.
 //!
-//! A missing report leaves the last one in place, corrected as above. A missing cache event
-//! costs a wrong guess. Nothing here is retried: the caller excludes what it has tried.
+//! If a report is missing, the last one stays in use, corrected as above. A missing cache event
+//! leads to a wrong estimate. Nothing is retried here: the caller excludes the endpoints that it
+//! has tried.
 
 mod endpoint_route;
 mod query;
@@ -34,21 +35,21 @@
     ids::SharedName,
 };
 
-/// Time between probes of a service's ejected endpoints by one daemon: each probe is a client's
-/// request that will probably fail.
+/// Time between one daemon's probes of a service's ejected endpoints. It limits their number,
+/// since each probe is a client's request that will probably fail.
 const PROBE_EVERY: Duration = Duration::from_millis(500);
-/// Largest fraction of a service's endpoints that may be ejected at once: when most fail, the load
-/// or the network is the cause.
-const EJECTED_FRACTION: f64 = 0.5;
-/// Fraction of each endpoint that accounts over their share leave free, so that another account's
-/// request finds room at once.
-const LEFT_FREE: f64 = 0.2;
+/// Largest fraction of a service's endpoints that may be ejected at once: if more fail, the load or
+/// the network is the cause.
+const MAX_EJECTED_FRACTION: f64 = 0.5;
+/// Fraction of each endpoint's concurrency that is closed to accounts over their share, so that
+/// another account's request can start at once.
+const LOW_PRIORITY_HEADROOM: f64 = 0.2;
 
 #[derive(Debug, Default)]
 struct ServiceRoutes {
     endpoints: BTreeMap<SharedName, EndpointRoute>,
     concurrency: u32,
-    /// Daemons that share each endpoint.
+    /// Number of daemons that share each endpoint.
     sharing: f64,
     probe_at: Option<Instant>,
 }
@@ -62,12 +63,12 @@
 }
 
 impl RouteTable {
-    /// Empty table of a daemon in `zone`.
+    /// Creates the empty table of a daemon in `zone`.
     pub fn new(zone: SharedName) -> Self {
         Self { zone, services: HashMap::new(), leaving: HashSet::new() }
     }
 
-    /// Replaces the endpoints of a service; those that stay keep what is known of them.
+    /// Replaces the endpoints of a service; those that remain keep their state.
     pub fn set_endpoints(
         &mut self,
         service: &SharedName,
@@ -86,25 +87,25 @@
         }
     }
 
-    /// The VM has a notice: no new work from now on, whatever the VM list says. The
-    /// identity is never used again, so the mark needs no end.
+    /// Marks a VM that has a reclaim notice: it gets no new attempts, whatever the VM list says.
+    /// The mark is never removed, because VM ids are never reused.
     pub fn mark_leaving(&mut self, id: &SharedName) {
         self.leaving.insert(id.clone());
     }
 
-    /// Whether the VM has a notice.
+    /// Whether the VM has a reclaim notice.
     pub fn is_leaving(&self, id: &str) -> bool {
         self.leaving.contains(id)
     }
 
-    /// Endpoints of a service that are in use, with their addresses.
+    /// The endpoints that this daemon uses, each with its service.
     pub fn endpoints(&self) -> impl Iterator<Item = (&SharedName, &EndpointInfo)> {
         self.services.iter().flat_map(|(service, routes)| {
             routes.endpoints.values().map(move |route| (service, &route.info))
         })
     }
 
-    /// This daemon's requests in progress, by service.
+    /// Number of this daemon's attempts in progress, by service.
     pub fn in_flight(&self) -> HashMap<SharedName, f64> {
         let total = |routes: &ServiceRoutes| {
             routes.endpoints.values().map(|route| f64::from(route.in_flight)).sum::<f64>()
@@ -112,7 +113,7 @@
         self.services.iter().map(|(service, routes)| (service.clone(), total(routes))).collect()
     }
 
-    /// Applies a load report (running and waiting requests).
+    /// Applies a load report: the number of running and waiting requests.
     pub fn report_load(&mut self, service: &str, id: &str, load: u32) {
         let Some(routes) = self.services.get_mut(service) else { return };
         let concurrency = routes.concurrency;
@@ -120,8 +121,8 @@
         route.report_load(load, concurrency);
     }
 
-    /// Applies a cache event. After a gap in the events, what was stored before is kept:
-    /// forgetting all would cost more than an occasional wrong guess.
+    /// Applies a cache event. After a gap in the events, the blocks stored before it are kept:
+    /// dropping all of them would cost more than an occasional wrong estimate.
     pub fn report_cache(&mut self, service: &str, id: &str, event: &CacheChange) {
         if let Some(route) = self.route(service, id) {
             route.cache_sequence = route.cache_sequence.max(event.sequence);
@@ -132,14 +133,14 @@
         }
     }
 
-    /// Newest cache event applied of an endpoint.
+    /// Sequence number of the newest cache event applied for an endpoint.
     pub fn cache_sequence(&self, service: &str, id: &str) -> u64 {
         let route = self.services.get(service).and_then(|routes| routes.endpoints.get(id));
         route.map_or(0, |route| route.cache_sequence)
     }
 
-    /// Chooses an endpoint. The cost does not depend on the number of endpoints, since a daemon
-    /// uses only its window of them.
+    /// Chooses an endpoint. The running time does not depend on the number of endpoints of the
+    /// service, since a daemon uses only its window of them.
     pub fn pick(&self, query: RouteQuery<'_>, now: Instant, rng: &mut impl Rng) -> RouteChoice {
         let Some(routes) = self.services.get(query.service) else { return RouteChoice::Nowhere };
         let usable = |route: &&EndpointRoute| {
@@ -148,11 +149,11 @@
         let present: Vec<&EndpointRoute> = routes.endpoints.values().filter(usable).collect();
         let may_probe = routes.probe_at.is_none_or(|at| now >= at);
         let admitted = admit_by_health(&present, may_probe, now);
-        let open = open_fraction(query.priority);
+        let open = usable_fraction(query.priority);
         let concurrency = f64::from(routes.concurrency) * open;
-        // A daemon may always use its even part and, until the next report, what it used at the
-        // last one, whatever that report says of all daemons together. Otherwise its own ended
-        // requests would free nothing for it until the next report.
+        // Whatever the reported load of all daemons is, a daemon may always use an equal share
+        // and, until the next report, as many slots as it used at the last one. Otherwise it could
+        // not reuse the slots of its own ended requests until the next report.
         let own_part = (concurrency / routes.sharing).floor().max(1.0);
         let mut best: Option<(f64, &EndpointRoute)> = None;
         let mut busy = false;
@@ -181,7 +182,7 @@
         }
     }
 
-    /// An attempt was started at an endpoint.
+    /// Records that an attempt was started at an endpoint.
     pub fn started(&mut self, service: &str, id: &str, chain: &[u64], now: Instant) {
         let Some(routes) = self.services.get_mut(service) else { return };
         let Some(route) = routes.endpoints.get_mut(id) else { return };
@@ -192,7 +193,8 @@
         }
     }
 
-    /// An attempt has ended; `chain` is what the endpoint has cached by now.
+    /// Records that an attempt has ended; `chain` lists the blocks that the endpoint has cached by
+    /// now.
     pub fn ended(
         &mut self,
         service: &str,
@@ -212,16 +214,17 @@
     }
 }
 
-/// Fraction of an endpoint that requests of a priority may fill.
-fn open_fraction(priority: RequestPriority) -> f64 {
+/// Fraction of an endpoint's concurrency that requests of a priority may use.
+fn usable_fraction(priority: RequestPriority) -> f64 {
     match priority {
         RequestPriority::Normal => 1.0,
-        RequestPriority::Low => 1.0 - LEFT_FREE,
+        RequestPriority::Low => 1.0 - LOW_PRIORITY_HEADROOM,
     }
 }
 
-/// Candidates after ejection. If more than the allowed fraction is ejected, or nothing
-/// is left, all are taken: many failing at once says more about the load than about them.
+/// Returns the candidates that are not ejected. If more than the allowed fraction is ejected, or
+/// none is left, returns all: if many fail at once, the cause is rather the load than the
+/// endpoints.
 fn admit_by_health<'a>(
     present: &[&'a EndpointRoute],
     may_probe: bool,
@@ -231,13 +234,13 @@
     for route in present {
         match route.health.state(now) {
             HealthState::Healthy => admitted.push(*route),
-            // The first probe that is due goes alone, before the healthy ones.
+            // An endpoint that is due for a probe is chosen before the healthy ones.
             HealthState::Probing if may_probe => return vec![*route],
             HealthState::Probing | HealthState::Ejected => {}
         }
     }
     let ejected = present.len() - admitted.len();
-    if ejected as f64 > present.len() as f64 * EJECTED_FRACTION {
+    if ejected as f64 > present.len() as f64 * MAX_EJECTED_FRACTION {
         return present.to_vec();
     }
     admitted
--- a/src/native/decide/routing/endpoint_route.rs
+++ b/src/native/decide/routing/endpoint_route.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows of one endpoint, and the wait that it expects there.
+//! One daemon's state for one endpoint, and the wait that it expects there.
 
 use super::query::EndpointInfo;
 use crate::{
@@ -9,52 +9,51 @@
 /// Time to compute a prompt token that is not cached, in milliseconds: the speed of the stand-in
 /// engine.
 const PREFILL_MS: f64 = 0.25;
-/// By how much a full batch slows a request down, in milliseconds: weighs as much as 240 uncached
-/// prompt tokens.
+/// Delay of a request by a full batch, in milliseconds: as much as by 240 uncached prompt tokens.
 const BATCH_MS: f64 = 60.0;
-/// Wait for each request beyond the endpoint's concurrency, in milliseconds: a few decoding steps,
-/// 12 ms each at the stand-in engine.
+/// Wait for each request beyond the endpoint's concurrency, in milliseconds: a few decoding steps
+/// of 12 ms at the stand-in engine.
 const QUEUE_MS: f64 = 40.0;
-/// Wait assumed for each failure in a row, in milliseconds: an endpoint that has just failed comes
-/// last well before it is ejected.
+/// Wait added for each consecutive failure, in milliseconds: enough to put an endpoint that has
+/// just failed last, well before it is ejected.
 const FAILURE_MS: f64 = 400.0;
-/// Cost of crossing to another availability zone, in milliseconds: decides only between endpoints
-/// that are otherwise equal.
+/// Wait added for an endpoint in another availability zone, in milliseconds: decides only between
+/// endpoints that are otherwise equal.
 const ZONE_MS: f64 = 2.0;
-/// Fraction of its own requests in flight that a daemon may keep, from one report to the next, at
-/// an endpoint that reports more than its concurrency.
-const KEPT_WHEN_OVER: f64 = 0.8;
+/// Fraction of its own attempts in flight that a daemon may keep, from one report to the next, at
+/// an endpoint that reports more requests than its concurrency.
+const OVERLOAD_KEEP_FRACTION: f64 = 0.8;
 /// Cached prompt blocks remembered for each endpoint: 64 KB.
 const CACHE_BLOCKS: usize = 4_096;
 
 #[derive(Debug)]
 pub struct EndpointRoute {
-    /// From the VM list.
+    /// Its entry in the VM list.
     pub info: EndpointInfo,
-    /// Attempts of this daemon in progress there.
+    /// This daemon's attempts in progress there.
     pub in_flight: u32,
     /// Running and waiting requests of all daemons, from the last report.
     reported: u32,
-    /// Starts less ends of this daemon since the report.
-    drift: i64,
-    /// Requests of its own that this daemon may have there though it is full.
+    /// Attempts started by this daemon since the last report, minus those that have ended.
+    net_starts: i64,
+    /// Attempts that this daemon may have in progress there even if the endpoint is full.
     pub allowance: f64,
-    /// Successes and failures of this daemon's attempts.
+    /// Health, from the results of this daemon's attempts.
     pub health: EndpointHealth,
     /// Prompt blocks that it has probably cached.
     pub cache: PrefixCache,
-    /// Newest cache event applied.
+    /// Sequence number of the newest cache event applied.
     pub cache_sequence: u64,
 }
 
 impl EndpointRoute {
-    /// Endpoint of which nothing but its entry in the VM list is known.
+    /// Creates the state of an endpoint for which there is only its entry in the VM list.
     pub fn new(info: EndpointInfo) -> Self {
         Self {
             info,
             in_flight: 0,
             reported: 0,
-            drift: 0,
+            net_starts: 0,
             allowance: 0.0,
             health: EndpointHealth::default(),
             cache: PrefixCache::new(CACHE_BLOCKS),
@@ -62,42 +61,45 @@
         }
     }
 
-    /// Applies a load report of running and waiting requests.
+    /// Applies a load report: the number of running and waiting requests.
     pub fn report_load(&mut self, load: u32, concurrency: u32) {
         self.reported = load;
-        self.drift = 0;
-        let kept = if load > concurrency { KEPT_WHEN_OVER } else { 1.0 };
+        self.net_starts = 0;
+        let kept = if load > concurrency { OVERLOAD_KEEP_FRACTION } else { 1.0 };
         self.allowance = f64::from(self.in_flight) * kept;
     }
 
     /// Counts an attempt that starts here.
     pub fn start(&mut self, chain: &[u64]) {
         self.in_flight += 1;
-        self.drift += 1;
+        self.net_starts += 1;
         self.cache.insert(chain);
     }
 
     /// Counts an attempt that has ended here.
     pub fn end(&mut self, chain: &[u64]) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.drift -= 1;
+        self.net_starts -= 1;
         self.cache.insert(chain);
     }
 
-    /// Estimated load by all daemons: the report, corrected by this daemon's own starts and
-    /// ends since, times the daemons that share the endpoint.
+    /// Estimated load by all daemons: the reported load, plus this daemon's `net_starts` multiplied
+    /// by the number of daemons that share the endpoint.
     pub fn load(&self, sharing: f64) -> f64 {
-        let corrected = f64::from(self.reported) + self.drift as f64 * sharing;
+        let corrected = f64::from(self.reported) + self.net_starts as f64 * sharing;
         corrected.max(f64::from(self.in_flight))
     }
 
-    /// Spread of the load estimate: what the other daemons may have started unseen.
+    /// Uncertainty of the load estimate, in milliseconds of wait: the other daemons may have
+    /// started attempts that are not in the last report.
     pub fn noise(&self, sharing: f64, concurrency: f64) -> f64 {
-        let unseen = (sharing - 1.0).max(0.0) * (self.drift.unsigned_abs() as f64 + 1.0).sqrt();
+        let unseen =
+            (sharing - 1.0).max(0.0) * (self.net_starts.unsigned_abs() as f64 + 1.0).sqrt();
         unseen / concurrency * BATCH_MS
     }
 
-    /// Expected wait of a request for the blocks of `chain` at this load, in milliseconds.
+    /// Expected wait, in milliseconds, of a request whose prompt consists of the blocks in `chain`,
+    /// at this load.
     pub fn expected_wait(&self, own_zone: &str, load: f64, concurrency: f64, chain: &[u64]) -> f64 {
         let missing = chain.len() - self.cache.overlap(chain);
         let prefill = (missing * BLOCK_TOKENS) as f64 * PREFILL_MS;
--- a/src/native/decide/routing/query.rs
+++ b/src/native/decide/routing/query.rs
@@ -1,4 +1,4 @@
-//! Inputs and results of the choice of an endpoint.
+//! Inputs and results of choosing an endpoint.
 
 use std::sync::Arc;
 
@@ -7,61 +7,61 @@
     native::{cloud_api::messages::PriceClass, decide::limits::RequestPriority},
 };
 
-/// What is known of an endpoint from the VM list.
+/// An endpoint's entry in the VM list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointInfo {
-    /// Identity of its VM.
+    /// Id of its VM.
     pub id: SharedName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SharedName,
     /// Availability zone.
     pub zone: SharedName,
-    /// How its VM is paid for.
+    /// Price class of its VM.
     pub class: PriceClass,
 }
 
-/// The choice for one attempt.
+/// The endpoint chosen for an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointPick {
-    /// Identity of the VM.
+    /// Id of its VM.
     pub id: SharedName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SharedName,
-    /// Prompt blocks that it has probably cached.
+    /// Number of prompt blocks that it has probably cached.
     pub cached_blocks: usize,
 }
 
 /// Result of a search for an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteChoice {
-    /// This one.
+    /// The endpoint to use.
     Endpoint(EndpointPick),
-    /// All are as full as their row allows.
+    /// All endpoints have as many requests as the service's row allows.
     Busy,
-    /// There is none.
+    /// There is no endpoint that may be used.
     Nowhere,
 }
 
-/// What a request asks of its route.
+/// A request for which an endpoint is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
     /// Service that is called.
     pub service: &'a str,
     /// Block hashes of the prompt.
     pub chain: &'a [u64],
-    /// Endpoints that were tried already.
+    /// Ids of endpoints that must not be chosen, such as those tried before.
     pub exclude: &'a [SharedName],
-    /// Whether the account is over its share.
+    /// Priority: low if the account is over its share.
     pub priority: RequestPriority,
 }
 
 /// Change of an engine's prefix cache.
 #[derive(Clone, Debug, Default)]
 pub struct CacheChange {
-    /// Running number.
+    /// Sequence number, which increases with each change.
     pub sequence: u64,
-    /// Blocks stored.
+    /// Blocks that were stored.
     pub stored: Arc<[u64]>,
-    /// Blocks forgotten.
+    /// Blocks that were evicted.
     pub forgotten: Arc<[u64]>,
 }
