--- a/src/native/request.rs
+++ b/src/native/request.rs
@@ -1,4 +1,4 @@
-//! A request's life: received, accepted, dispatched, and exactly one final outcome.
+//! The lifecycle of a request: received, accepted, dispatched, and exactly one final outcome.
 
 pub mod call;
 pub mod copy;
--- a/src/native/request/call.rs
+++ b/src/native/request/call.rs
@@ -1,4 +1,4 @@
-//! A client's call after its checks: what peers copy and what endpoints are sent.
+//! A validated client call, which is copied to peers and sent to endpoints.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::ids::SharedName;
 
-/// What an endpoint is asked for.
+/// The content of a call to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CallContent {
@@ -20,13 +20,13 @@
 /// Completion by a model engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionCall {
-    /// Prompt; chat messages are joined into one.
+    /// Prompt; the messages of a chat are joined into one text.
     pub prompt: Arc<str>,
-    /// Tokens of the response.
+    /// Most tokens in the response.
     pub max_tokens: u32,
-    /// Seed of the sampling: a resumed response goes on alike.
+    /// Sampling seed, so that a resumed response continues with the same tokens.
     pub seed: u64,
-    /// Whether the client spoke the chat form.
+    /// Whether the client used the chat API.
     pub chat: bool,
 }
 
@@ -41,7 +41,7 @@
     pub body: Arc<str>,
 }
 
-/// A checked call of one client account.
+/// A validated call of one client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientCall {
     /// Client account.
@@ -50,22 +50,22 @@
     pub service: SharedName,
     /// Whether the call may be retried.
     pub repeatable: bool,
-    /// What is asked.
+    /// Content of the call.
     pub content: CallContent,
-    /// Trace context to pass on.
+    /// Trace context to pass on to the endpoint.
     pub traceparent: Option<SharedName>,
 }
 
 impl ClientCall {
-    /// SHA-256 over everything that makes two calls the same.
+    /// SHA-256 over the account, service and content; two calls are the same if these are equal.
     pub fn digest(&self) -> [u8; 32] {
-        let same = (&self.account, &self.service, &self.content);
-        // These types always serialize; an empty text would only merge digests.
-        let text = serde_json::to_vec(&same).unwrap_or_default();
+        let identity = (&self.account, &self.service, &self.content);
+        // These types always serialize; if they did not, calls would only get the same digest.
+        let text = serde_json::to_vec(&identity).unwrap_or_default();
         Sha256::digest(&text).into()
     }
 
-    /// Content as a completion, if it is one.
+    /// Returns the content if it is a completion.
     pub fn completion(&self) -> Option<&CompletionCall> {
         match &self.content {
             CallContent::Completion(completion) => Some(completion),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tokens the call is expected to cost; a plain call counts as one.
+    /// Tokens that the call is expected to cost; a plain call counts as one token.
     pub fn expected_tokens(&self) -> f64 {
         match &self.content {
             CallContent::Completion(call) => {
--- a/src/native/request/copy.rs
+++ b/src/native/request/copy.rs
@@ -1,37 +1,37 @@
-//! State of a request as one daemon hands it to another.
+//! State of a request as one daemon sends it to another.
 
 use std::sync::Arc;
 
 use super::{call::ClientCall, outcome::FinalResponse};
 use crate::ids::{IncarnationId, RequestName, SharedName};
 
-/// Token of a response.
+/// One token of a response.
 pub type ResponseToken = Arc<str>;
 
-/// Who runs a request.
+/// The daemon that runs a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHolder {
     /// Incarnation of the daemon.
     pub incarnation: IncarnationId,
-    /// Where its peers reach it.
+    /// Address of its peer listener.
     pub address: SharedName,
 }
 
-/// State of one request, or an update: what is new since an earlier state.
+/// State of one request, or an update with only the changes since an earlier state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestCopy {
-    /// Its name.
+    /// Name of the request.
     pub name: RequestName,
-    /// Number of take-overs.
+    /// How often another daemon has taken the request over.
     pub takeovers: u32,
-    /// Who runs it.
+    /// The daemon that runs it.
     pub holder: RequestHolder,
-    /// Digest of the call; updates have none.
+    /// Digest of the call; `None` in updates.
     pub digest: Option<[u8; 32]>,
-    /// The call, where it is known. Peers are not sent it: whoever takes a request over
-    /// does so for a client, who brings it.
+    /// The call, if this daemon has it. It is not sent to peers: a daemon takes a request over
+    /// when a client sends the call again.
     pub call: Option<Arc<ClientCall>>,
-    /// Index in the response of the first of `tokens`.
+    /// Index of the first of `tokens` within the response.
     pub first_token: usize,
     /// Tokens from `first_token` on.
     pub tokens: Vec<ResponseToken>,
--- a/src/native/request/outcome.rs
+++ b/src/native/request/outcome.rs
@@ -1,8 +1,8 @@
-//! Final outcomes, and the stages that decide which of them may be said.
+//! Final outcomes, and the stages of a call that determine which outcomes are possible.
 //!
-//! "Not run" can be made only by [`UndispatchedCall::refuse`]. Dispatching consumes
-//! the undispatched call; it is returned only against evidence from the endpoint that
-//! nothing was started, and only if no earlier attempt was begun.
+//! Only [`UndispatchedCall::refuse`] can create the outcome "not run". Dispatching consumes the
+//! undispatched call. It is returned only with evidence that the endpoint started nothing, and
+//! only if no earlier attempt may have run.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,36 +19,36 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotRunReason {
-    /// This daemon is leaving; another one takes the request.
+    /// This daemon is leaving; another daemon can accept the request.
     #[display("this daemon is leaving")]
     Draining,
-    /// No table is known yet.
+    /// The daemon has not received the operators' table yet.
     #[display("the table is not known yet")]
     NoTable,
     /// No endpoint of the service can take it.
     #[display("no endpoint can take it now")]
     NoEndpoint,
-    /// The daemon has as many requests as it takes.
+    /// The daemon has reached its limit of requests in progress.
     #[display("too many requests in progress")]
     Overloaded,
     /// The account's limit is used up.
     #[display("the account's limit is used up")]
     AccountLimit,
-    /// Every endpoint that was asked refused before starting.
+    /// Every endpoint that was tried refused the request before starting it.
     #[display("endpoints refused before starting")]
     EndpointRefused,
-    /// The platform could not record the claim on the key.
+    /// The platform could not record the claim on the idempotency key.
     #[display("the key could not be claimed")]
     ClaimFailed,
     /// The witness of the ticket did not consent.
     #[display("the ticket's witness could not be reached")]
     NoWitness,
-    /// The ticket's holder is gone and had not dispatched.
+    /// The ticket's holder is gone and had not dispatched the request.
     #[display("the ticket's holder left before dispatching")]
     HolderGone,
 }
 
-/// Why it cannot be said whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnknownReason {
@@ -61,15 +61,15 @@
     /// The ticket is so old that its record was dropped.
     #[display("the ticket has expired")]
     TicketExpired,
-    /// All attempts failed after they were begun.
+    /// All attempts failed after they had begun.
     #[display("all attempts failed")]
     AttemptsFailed,
-    /// The client cancelled while it ran.
+    /// The client cancelled the request while it ran.
     #[display("cancelled while running")]
     Cancelled,
 }
 
-/// Statement that a request did not run; made only by [`UndispatchedCall::refuse`].
+/// Proof that a request did not run; created only by [`UndispatchedCall::refuse`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NotRunProof {
     reason: NotRunReason,
@@ -82,13 +82,13 @@
         self.reason
     }
 
-    /// When the client may retry.
+    /// Time after which the client may retry.
     pub fn retry_after(&self) -> Duration {
         self.retry_after
     }
 }
 
-/// A plain endpoint's response.
+/// Response of a plain HTTP endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainResponse {
     /// HTTP status.
@@ -105,21 +105,21 @@
 pub enum FinalResponse {
     /// All tokens of the response have been produced.
     Streamed,
-    /// A plain endpoint answered.
+    /// A plain HTTP endpoint responded.
     Plain(PlainResponse),
-    /// It did not run.
+    /// The request did not run.
     NotRun(NotRunProof),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
 impl FinalResponse {
-    /// Whether the endpoint's own response is there.
+    /// Whether the endpoint has responded.
     pub fn is_answered(&self) -> bool {
         matches!(self, Self::Streamed | Self::Plain(_))
     }
 
-    /// Short name for metrics and the time line.
+    /// Short name for metrics and the timeline.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Streamed | Self::Plain(_) => "answered",
@@ -134,27 +134,28 @@
 pub struct NotStartedEvidence(());
 
 impl NotStartedEvidence {
-    /// Evidence in a failed step: no connection was made, so nothing was sent.
+    /// Evidence from an error: no connection was made, so nothing was sent.
     pub fn from_error(error: &StepError) -> Option<Self> {
         matches!(error.cause, FailureCause::Unreachable(_)).then_some(Self(()))
     }
 
-    /// Evidence in a response: the endpoint says that it refused before starting.
+    /// Evidence from response headers: the endpoint reports that it refused before starting.
     pub fn from_headers(response: &hyper::HeaderMap) -> Option<Self> {
         let marked = response.get(headers::NOT_STARTED).is_some_and(|value| value == "true");
         marked.then_some(Self(()))
     }
 }
 
-/// A call for which no dispatch has begun. Not `Clone`: the right is unique.
+/// A call for which no dispatch has begun. It is not `Clone`, so that a call is dispatched only
+/// once.
 #[derive(Debug)]
 pub struct UndispatchedCall {
     call: Arc<ClientCall>,
 }
 
 impl UndispatchedCall {
-    /// A call that was just accepted, or one that this process took over together
-    /// with the knowledge that nothing was dispatched.
+    /// Wraps a call that was just accepted, or one that this process took over knowing that
+    /// nothing was dispatched.
     pub fn new(call: Arc<ClientCall>) -> Self {
         Self { call }
     }
@@ -164,46 +165,47 @@
         FinalResponse::NotRun(NotRunProof { reason, retry_after })
     }
 
-    /// Begins the first attempt; from here on "not run" needs evidence.
+    /// Begins the first attempt; from then on, "not run" requires evidence.
     pub fn begin(self) -> DispatchedCall {
-        DispatchedCall { call: self.call, begun_before: false }
+        DispatchedCall { call: self.call, may_have_run: false }
     }
 }
 
-/// A call with an attempt under way.
+/// A call with an attempt in progress.
 #[derive(Debug)]
 pub struct DispatchedCall {
     call: Arc<ClientCall>,
-    begun_before: bool,
+    /// Whether an attempt before the current one may have run.
+    may_have_run: bool,
 }
 
-/// What is left after an endpoint refused before starting.
+/// Stage of a call after an endpoint refused an attempt before starting it.
 #[derive(Debug)]
 pub enum CallStage {
-    /// Nothing has run.
+    /// No attempt has run.
     Undispatched(UndispatchedCall),
     /// An earlier attempt may have run.
     Dispatched(DispatchedCall),
 }
 
 impl DispatchedCall {
-    /// A call that another process may have dispatched already.
+    /// Wraps a call that another process may have dispatched already.
     pub fn taken_over(call: Arc<ClientCall>) -> Self {
-        Self { call, begun_before: true }
+        Self { call, may_have_run: true }
     }
 
-    /// The attempt under way was not started, as the evidence shows.
+    /// Ends the current attempt, which was not started according to the evidence.
     pub fn not_started(self, _evidence: NotStartedEvidence) -> CallStage {
-        if self.begun_before {
+        if self.may_have_run {
             CallStage::Dispatched(self)
         } else {
             CallStage::Undispatched(UndispatchedCall { call: self.call })
         }
     }
 
-    /// The attempt under way failed, and may have run; the next one is begun.
+    /// Begins the next attempt after the current one failed and may have run.
     pub fn begin_again(self) -> Self {
-        Self { call: self.call, begun_before: true }
+        Self { call: self.call, may_have_run: true }
     }
 
     /// Ends it as "unknown".
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Gives up: "not run" if nothing was begun, else "unknown".
+    /// Ends the call as "not run" if no attempt can have run, otherwise as "unknown".
     pub fn give_up(
         self,
         reason: NotRunReason,
