--- a/src/native/request/response_log.rs
+++ b/src/native/request/response_log.rs
@@ -1,4 +1,4 @@
-//! What grows while a request runs: its tokens, its holder, its end.
+//! The state of a request that changes while it runs: its tokens, holder and final outcome.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -10,22 +10,23 @@
 };
 use crate::ids::RequestName;
 
-/// How far a request has come, for those who wait on it.
+/// Progress of a request, published to the tasks that wait for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestProgress {
-    /// Tokens known.
+    /// Number of tokens known at this daemon.
     pub tokens: usize,
-    /// Whether it has ended.
+    /// Whether the request has ended.
     pub ended: bool,
-    /// Number of take-overs.
+    /// How often another daemon has taken the request over.
     pub takeovers: u32,
 }
 
-/// Tokens of a response, in one text: a shared string for each took five times the memory.
+/// Tokens of a response, stored in one string: a shared string for each token took five times the
+/// memory.
 #[derive(Debug, Default)]
 pub(super) struct TokenText {
     text: String,
-    /// Where each token ends.
+    /// End of each token in `text`, in bytes.
     ends: Vec<u32>,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    fn from(&self, first: usize) -> Vec<ResponseToken> {
+    fn tokens_from(&self, first: usize) -> Vec<ResponseToken> {
         let mut start = self.start_of(first);
         let tokens = self.ends[first..].iter().map(|end| {
             let token = &self.text[start..*end as usize];
@@ -61,7 +62,7 @@
     }
 }
 
-/// What grows while a request runs.
+/// The state of a request that changes while it runs.
 #[derive(Debug)]
 pub(super) struct ResponseLog {
     pub(super) digest: [u8; 32],
@@ -81,7 +82,7 @@
             digest: Some(self.digest),
             call: None,
             first_token,
-            tokens: self.tokens.from(first_token),
+            tokens: self.tokens.tokens_from(first_token),
             response: self.response.clone(),
         }
     }
@@ -92,8 +93,8 @@
     }
 }
 
-/// Reading end of a request's state, for tasks of the same thread: following a response
-/// token by token through the store's mailbox would cost two task switches a token.
+/// Read access to a request's state for tasks on the same thread. Reading each token through the
+/// store's mailbox instead would cost two task switches per token.
 #[derive(Debug)]
 pub struct ResponseView {
     pub(super) name: RequestName,
@@ -102,18 +103,18 @@
 }
 
 impl ResponseView {
-    /// How far the request has come.
+    /// Current progress of the request.
     pub fn progress(&self) -> RequestProgress {
         self.log.borrow().progress()
     }
 
-    /// State from a token on, without the call.
+    /// State with the tokens from `first_token` on, without the call.
     pub fn copy_from(&self, first_token: usize) -> RequestCopy {
         self.log.borrow().copy_from(&self.name, first_token)
     }
 
-    /// Waits until `holds` says so of the progress; `false` if the record was removed.
-    pub async fn wait_for(&mut self, holds: impl Fn(&RequestProgress) -> bool) -> bool {
-        self.progress.wait_for(holds).await.is_ok()
+    /// Waits until `condition` is true of the progress. Returns `false` if the record was removed.
+    pub async fn wait_for(&mut self, condition: impl Fn(&RequestProgress) -> bool) -> bool {
+        self.progress.wait_for(condition).await.is_ok()
     }
 }
--- a/src/native/request/store.rs
+++ b/src/native/request/store.rs
@@ -1,9 +1,9 @@
-//! All requests that this daemon holds or keeps a copy of, until they expire.
+//! All requests that this daemon runs or keeps a copy of, until they expire.
 //!
 //! A record's `takeovers` counts how often the request was taken over (`term` in the peer
-//! schema). Updates with a lower count are dropped. A holder that was
-//! paused while another daemon took its place therefore learns that it is superseded, and
-//! nothing that it sends changes what clients are given.
+//! schema). Updates with a lower count are dropped. A holder that was paused while another daemon
+//! took the request over therefore learns that it has been superseded, and nothing that it sends
+//! changes the response that clients get.
 
 mod stored_request;
 
@@ -24,29 +24,29 @@
 };
 use crate::ids::RequestName;
 
-/// What a daemon finds when a client names a request.
+/// Result of a client's claim on the name of a request.
 #[derive(Clone, Debug)]
 pub enum ClaimVerdict {
-    /// Unknown so far: it now exists here, held by this daemon.
+    /// The request was unknown; it has been created, with this daemon as its holder.
     New,
-    /// Known, and held or finished here.
+    /// The request is running at this daemon, or its response is complete here.
     Here,
-    /// Known as a copy; this daemon runs it unless the holder still does.
+    /// This daemon has a copy. It runs the request itself unless the holder still does.
     Copied(RequestCopy),
-    /// The key names another request of the account.
+    /// The account used the key for a different request before.
     KeyReused,
 }
 
-/// What a peer's copy meets.
+/// Result of offering a peer's copy.
 #[derive(Clone, Debug)]
 pub enum OfferVerdict {
-    /// Stored.
+    /// The copy was stored.
     Stored,
-    /// A known state has precedence.
+    /// The copy was not stored, because this known state has precedence.
     Known(RequestCopy),
 }
 
-/// The records, with a bound on their memory.
+/// Records of requests, within a memory limit.
 #[derive(Debug)]
 pub struct RequestStore {
     own: RequestHolder,
@@ -58,13 +58,13 @@
 }
 
 impl RequestStore {
-    /// Empty store of the daemon `own`; records are kept for `keep` after their last
-    /// change, while they fit into `byte_limit`.
+    /// Creates the empty store of the daemon `own`. Records are kept for `keep` after their last
+    /// change, as long as they fit into `byte_limit`.
     pub fn new(own: RequestHolder, keep: Duration, byte_limit: usize) -> Self {
         Self { own, keep, byte_limit, records: HashMap::new(), expiry: BTreeSet::new(), bytes: 0 }
     }
 
-    /// Claims `name` for a client that asks for `call`.
+    /// Claims `name` for a client's `call`.
     pub fn claim(
         &mut self,
         name: &RequestName,
@@ -87,7 +87,8 @@
         ClaimVerdict::New
     }
 
-    /// Makes this daemon the holder, one take-over later; returns the state it goes on from.
+    /// Makes this daemon the holder, which counts as one more take-over. Returns the state from
+    /// which the request continues.
     pub fn take_over(&mut self, name: &RequestName, now: Instant) -> Option<RequestCopy> {
         let own = self.own.clone();
         let record = self.records.get_mut(name)?;
@@ -101,8 +102,8 @@
         Some(copy)
     }
 
-    /// Adds a token to a request that this daemon holds after so many take-overs. `false` if it
-    /// was superseded meanwhile.
+    /// Adds a token to a request that this daemon holds. Returns `false` if the number of
+    /// take-overs or the holder has changed since, or if the request has ended.
     pub fn append(&mut self, name: &RequestName, takeovers: u32, token: ResponseToken) -> bool {
         let Some(record) = self.records.get_mut(name) else { return false };
         if !record.is_running_since(&self.own, takeovers) {
@@ -115,7 +116,8 @@
         true
     }
 
-    /// Ends a request that this daemon holds after so many take-overs. The first end stands.
+    /// Ends a request that this daemon holds. Returns `false` if the number of take-overs or the
+    /// holder has changed since, or if it has ended before: its first outcome remains.
     pub fn end(
         &mut self,
         name: &RequestName,
@@ -132,8 +134,9 @@
         true
     }
 
-    /// Applies a peer's copy, whole or an update, unless a known state has precedence: one that
-    /// is answered, one of a later take-over, or one of the same take-over with another holder.
+    /// Applies a peer's copy, either whole or an update, unless the known state has precedence:
+    /// because its response is complete, it has more take-overs, or it has the same number of
+    /// take-overs but another holder.
     pub fn offer(&mut self, copy: RequestCopy, now: Instant) -> OfferVerdict {
         let name = copy.name.clone();
         let Some(record) = self.records.get(&name) else { return self.offer_unknown(copy, now) };
@@ -155,8 +158,8 @@
 
     fn offer_unknown(&mut self, copy: RequestCopy, now: Instant) -> OfferVerdict {
         let Some(digest) = copy.digest.filter(|_| copy.first_token == 0) else {
-            // An update of a request that expired here: without its beginning there is
-            // nothing to keep. The sender offers it whole again.
+            // An update of a request whose record expired here cannot be stored without the
+            // tokens before it. The sender then offers the whole state.
             return OfferVerdict::Known(RequestCopy { tokens: Vec::new(), ..copy });
         };
         self.insert(&copy.name, None, digest, copy.takeovers, copy.holder.clone(), now);
@@ -169,7 +172,7 @@
         let mut added = 0;
         record.change(|log| {
             if copy.takeovers > log.takeovers {
-                // A new holder may know fewer tokens; what it produces is the response from here.
+                // A new holder may know fewer tokens; those that it produces replace the others.
                 log.tokens.truncate(copy.first_token);
                 log.response = None;
             }
@@ -191,23 +194,23 @@
         self.touch(&copy.name, now);
     }
 
-    /// State of a request from `first_token` on.
+    /// State of a request with the tokens from `first_token` on.
     pub fn read(&self, name: &RequestName, first_token: usize) -> Option<RequestCopy> {
         Some(self.records.get(name)?.copy_from(name, first_token))
     }
 
-    /// Reading end of a request's state.
+    /// Returns read access to a request's state.
     pub fn view(&self, name: &RequestName) -> Option<ResponseView> {
         let record = self.records.get(name)?;
         Some(record.view(name))
     }
 
-    /// Number of clients and peers that wait on a request.
+    /// Number of clients and peers that wait for a request's progress.
     pub fn watchers(&self, name: &RequestName) -> usize {
         self.records.get(name).map_or(0, |record| record.watchers())
     }
 
-    /// Drops a request that nobody waits for.
+    /// Removes a request that nobody waits for.
     pub fn remove(&mut self, name: &RequestName) {
         if let Some(record) = self.records.remove(name) {
             self.expiry.remove(&(record.expires_at, name.clone()));
@@ -215,13 +218,14 @@
         }
     }
 
-    /// Whole state of each request that this daemon holds and that has not ended.
+    /// Whole state of each request that is running at this daemon.
     pub fn running(&self) -> Vec<RequestCopy> {
         let own = self.records.iter().filter(|(_, record)| record.is_running_at(&self.own));
         own.map(|(name, record)| record.copy_from(name, 0)).collect()
     }
 
-    /// Forgets what has expired, and the oldest ended records while memory is short.
+    /// Removes expired records, and the oldest other ones while the memory limit is exceeded.
+    /// Requests that are running at this daemon are kept.
     pub fn expire(&mut self, now: Instant) {
         let mut due: Vec<RequestName> = Vec::new();
         let mut excess = self.bytes.saturating_sub(self.byte_limit);
@@ -246,7 +250,7 @@
         self.records.len()
     }
 
-    /// Bytes that the records take, roughly.
+    /// Approximate memory use of the records, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
