--- a/src/native/request/tickets.rs
+++ b/src/native/request/tickets.rs
@@ -1,11 +1,11 @@
 //! Tickets: the right to dispatch a request that may not be retried.
 //!
-//! A ticket names one holder (a daemon incarnation), one witness (another one, in a
-//! different availability zone) and a sequence number. Only the holder ever
-//! dispatches, once, and only after the witness has written down its consent. If the
-//! holder is gone, the witness seals the ticket: if it had not consented, the request
-//! provably did not run and never will; if it had, the holder may have dispatched.
-//! Nothing here depends on a timeout or on agreement about who is alive.
+//! A ticket names one holder (a daemon incarnation), one witness (another incarnation, in a
+//! different availability zone) and a sequence number. Only the holder may dispatch the request,
+//! once, and only after the witness has recorded its consent. If the holder is gone, the witness
+//! seals the ticket. If it had not consented before, the request provably did not run and never
+//! will; if it had, the holder may have dispatched the request. Correctness depends neither on
+//! timeouts nor on agreement about which daemons are alive.
 
 mod ledger;
 mod ticket_id;
@@ -19,8 +19,8 @@
     witness::{ConsentVerdict, SealVerdict, SettledResponse, WitnessLedger},
 };
 
-/// How long holder and witness remember a ticket: far longer than a client waits for its response.
+/// How long holder and witness keep a ticket: far longer than a client waits for its response.
 pub const TICKET_KEEP: Duration = Duration::from_secs(3_600);
-/// Most tickets remembered in each ledger; older ones are dropped first. Several hours of tickets
-/// at the target load.
+/// Most tickets kept in each ledger, which are several hours of tickets at the target load. The
+/// oldest are dropped first.
 const LEDGER_LIMIT: usize = 200_000;
--- a/src/native/request/tickets/ledger.rs
+++ b/src/native/request/tickets/ledger.rs
@@ -1,4 +1,4 @@
-//! The holder's side: each ticket is used once.
+//! The holder's ledger, which lets each ticket be used once.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use super::{LEDGER_LIMIT, TICKET_KEEP, TicketId};
 use crate::{ids::IncarnationId, native::request::outcome::FinalResponse};
 
-/// What the holder knows of one of its tickets.
+/// State of a ticket at its holder.
 #[derive(Clone, Debug, PartialEq)]
 enum HeldState {
     Issued,
@@ -15,22 +15,22 @@
     Ended { digest: Option<[u8; 32]>, response: FinalResponse },
 }
 
-/// Answer to a holder's attempt to use a ticket.
+/// Result of [`TicketLedger::begin`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum TicketUse {
-    /// The caller of this function, and nobody else ever, may go on to dispatch.
+    /// The caller may dispatch the request. This is returned only once for each ticket.
     Granted,
-    /// The request is under way here.
+    /// The request is in progress at this daemon.
     InProgress,
-    /// It has ended.
+    /// The request has ended.
     Ended(FinalResponse),
-    /// The ticket was used for a different request.
+    /// The ticket was used for a different request before.
     KeyReused,
-    /// The record was dropped, or the ticket was never issued here.
+    /// The ticket's record was dropped, or the ticket was not issued by this daemon.
     Forgotten,
 }
 
-/// Ledger of the tickets that one incarnation holds.
+/// Ledger of the tickets that one incarnation has issued and holds.
 #[derive(Debug)]
 pub struct TicketLedger {
     incarnation: IncarnationId,
@@ -46,12 +46,12 @@
 }
 
 impl TicketLedger {
-    /// Empty ledger of `incarnation`.
+    /// Creates the empty ledger of `incarnation`.
     pub fn new(incarnation: IncarnationId) -> Self {
         Self { incarnation, next_sequence: 1, held: BTreeMap::new() }
     }
 
-    /// Issues a ticket of `scope` whose consent `witness` gives.
+    /// Issues a ticket of `scope` that needs the consent of `witness`.
     pub fn issue(&mut self, witness: IncarnationId, scope: u64, now: Instant) -> TicketId {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -61,7 +61,7 @@
         TicketId { holder: self.incarnation, witness, sequence, scope }
     }
 
-    /// Uses a ticket for the call of this digest.
+    /// Uses a ticket for the call with this digest.
     pub fn begin(&mut self, ticket: TicketId, digest: [u8; 32]) -> TicketUse {
         let held = self.held.get_mut(&ticket.sequence);
         let Some(held) = held.filter(|held| held.scope == ticket.scope) else {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Ends a ticket; its response is given to whoever asks again.
+    /// Ends a ticket and keeps the response for later requests with the same ticket.
     pub fn end(&mut self, ticket: TicketId, response: FinalResponse) {
         if let Some(HeldTicket { state, .. }) = self.held.get_mut(&ticket.sequence) {
             let digest = match state {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Final response of a ticket that has ended.
+    /// Final response of a ticket, if it has ended.
     pub fn ended(&self, ticket: TicketId) -> Option<FinalResponse> {
         match &self.held.get(&ticket.sequence)?.state {
             HeldState::Ended { response, .. } => Some(response.clone()),
@@ -102,11 +102,13 @@
         }
     }
 
-    /// Number of remembered tickets.
+    /// Number of tickets in the ledger.
     pub fn ticket_count(&self) -> usize {
         self.held.len()
     }
 
+    /// Drops the oldest tickets while they are expired or too many, up to the first whose request
+    /// is in progress.
     fn forget_old(&mut self, now: Instant) {
         loop {
             let over_limit = self.held.len() > LEDGER_LIMIT;
--- a/src/native/request/tickets/ticket_id.rs
+++ b/src/native/request/tickets/ticket_id.rs
@@ -1,4 +1,4 @@
-//! The name of a ticket, as clients and peers carry it.
+//! The id of a ticket, in the form that clients and peers send.
 
 use std::str::FromStr;
 
@@ -6,31 +6,31 @@
 
 use crate::ids::{IncarnationId, hash_parts};
 
-/// First part of a ticket's text: its form and version.
+/// First part of a ticket's text: its format and version.
 const PREFIX: &str = "wt1";
 
-/// Name of the right to dispatch one request.
+/// Id of a ticket, which is the right to dispatch one request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("wt1.{holder}.{witness}.{sequence:x}.{scope:x}")]
 pub struct TicketId {
-    /// Incarnation that alone may dispatch.
+    /// The only incarnation that may dispatch.
     pub holder: IncarnationId,
-    /// Incarnation whose consent it needs; the holder itself where it is alone.
+    /// Incarnation whose consent is needed; the holder itself if there is no other daemon.
     pub witness: IncarnationId,
-    /// Running number within the holder.
+    /// Sequence number among the holder's tickets.
     pub sequence: u64,
-    /// Hash of the client account it was issued to; nobody else can use or seal it.
+    /// Hash of the client account to which it was issued; no other account can use or seal it.
     pub scope: u64,
 }
 
 impl TicketId {
-    /// Scope of the tickets of `account`.
+    /// Returns the scope of the tickets of `account`.
     pub fn scope_of(account: &str) -> u64 {
         hash_parts(&[b"ticket-scope", account.as_bytes()])
     }
 }
 
-/// The text is not a ticket.
+/// Error for a text that is not a ticket.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("not a ticket")]
 pub struct TicketError;
--- a/src/native/request/tickets/witness.rs
+++ b/src/native/request/tickets/witness.rs
@@ -1,4 +1,4 @@
-//! The witness's side: consent is given once, or never after a seal.
+//! The witness's ledger: consent to a ticket is given once, and never after the ticket was sealed.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,10 +8,10 @@
 use super::{LEDGER_LIMIT, TICKET_KEEP, TicketId};
 use crate::{ids::IncarnationId, native::request::outcome::FinalResponse};
 
-/// Verdict of a witness on a request for consent.
+/// A witness's result for a holder that asks for consent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsentVerdict {
-    /// Written down: the holder may dispatch, once.
+    /// Consent is recorded: the holder may dispatch the request, once.
     Granted,
     /// Refused: the ticket was sealed before, or is too old.
     Sealed,
@@ -19,23 +19,23 @@
     AlreadyGranted,
 }
 
-/// Verdict of a witness when somebody finds the holder gone.
+/// A witness's result for a daemon that seals a ticket because the holder is gone.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SealVerdict {
-    /// Never dispatched, and never will be.
+    /// The request was not dispatched and never will be.
     NotDispatched,
-    /// The holder may have dispatched; its response has not arrived here.
+    /// The holder may have dispatched the request; the witness has no response from it.
     MayHaveRun,
-    /// The holder's final response.
+    /// The final response that the holder reported.
     Ended(SettledResponse),
 }
 
-/// Final response as the holder reports it to the witness.
+/// Final response that a holder reports to the witness.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettledResponse {
-    /// Digest of the call it answers.
+    /// Digest of the call.
     pub digest: [u8; 32],
-    /// The response.
+    /// The final response.
     #[serde(rename = "answer")]
     pub response: FinalResponse,
 }
@@ -47,7 +47,7 @@
     Settled(SettledResponse),
 }
 
-/// What one incarnation has witnessed for others.
+/// Ledger of the tickets for which one incarnation is the witness.
 #[derive(Debug, Default)]
 pub struct WitnessLedger {
     holders: HashMap<IncarnationId, WitnessedHolder>,
@@ -55,14 +55,15 @@
 
 #[derive(Debug, Default)]
 struct WitnessedHolder {
-    /// Sequences up to this one may have been dropped: nothing is granted or denied.
+    /// Tickets up to this sequence number may have been dropped. They get no consent, and sealing
+    /// them does not prove that they did not run.
     forgotten_up_to: u64,
     /// By sequence and scope.
     tickets: BTreeMap<(u64, u64), (Instant, WitnessedState)>,
 }
 
 impl WitnessLedger {
-    /// Asks for consent to dispatch `ticket`.
+    /// Gives or refuses consent to dispatch `ticket`.
     pub fn consent(&mut self, ticket: TicketId, now: Instant) -> ConsentVerdict {
         let holder = self.holders.entry(ticket.holder).or_default();
         holder.forget_old(now);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Seals `ticket` unless consent was given.
+    /// Seals `ticket` unless consent was given before.
     pub fn seal(&mut self, ticket: TicketId, now: Instant) -> SealVerdict {
         let holder = self.holders.entry(ticket.holder).or_default();
         holder.forget_old(now);
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Keeps the final response that the holder reports.
+    /// Stores the final response that the holder reports.
     pub fn settle(&mut self, ticket: TicketId, response: SettledResponse, now: Instant) {
         let holder = self.holders.entry(ticket.holder).or_default();
         if ticket.sequence > holder.forgotten_up_to {
@@ -105,19 +106,20 @@
         }
     }
 
-    /// Number of remembered tickets.
+    /// Number of tickets in the ledger.
     pub fn ticket_count(&self) -> usize {
         self.holders.values().map(|holder| holder.tickets.len()).sum()
     }
 }
 
 impl WitnessedHolder {
+    /// Drops the oldest tickets while they are expired or too many.
     fn forget_old(&mut self, now: Instant) {
         loop {
             let over_limit = self.tickets.len() > LEDGER_LIMIT;
             let Some(entry) = self.tickets.first_entry() else { return };
-            let (written_at, _) = entry.get();
-            let expired = now.saturating_duration_since(*written_at) > TICKET_KEEP;
+            let (recorded_at, _) = entry.get();
+            let expired = now.saturating_duration_since(*recorded_at) > TICKET_KEEP;
             if !expired && !over_limit {
                 return;
             }
