--- a/src/native/cluster/core/dissemination.rs
+++ b/src/native/cluster/core/dissemination.rs
@@ -1,7 +1,7 @@
-//! Who is sent which items, and how long items are remembered.
+//! Which items are sent to which members, and how long items are kept.
 //!
-//! New items go to the ring successors and to a few far members; exchanges of summaries with a
-//! random member repair what was lost.
+//! New items are sent to the ring successors and to a few far members. Exchanges of summaries with
+//! a random member deliver the items that were lost.
 
 use std::time::Duration;
 
@@ -13,27 +13,27 @@
     native::{
         cluster::{
             events::ClusterAction,
+            item_validation::{is_valid_item, parse_incarnation},
             items::{ItemKey, ItemKind, SpreadItem},
             members::{MemberRecord, MemberStatus, MemberView, split_version},
-            soundness::{is_sound, parse_incarnation},
         },
         decide::subset::daemon_position,
     },
 };
 
-/// Far members that a daemon sends new items to.
+/// Number of far members on the ring to which a daemon sends new items.
 const FAR_LINKS: usize = 3;
-/// How long removed members, gone VMs and old notices are remembered: longer than regions stay
-/// apart.
+/// How long removed members, deleted VMs and old notices are kept: longer than a network partition
+/// between regions lasts.
 const TOMBSTONE_KEEP: Duration = Duration::from_secs(6 * 3_600);
-/// Time between searches for items that may be forgotten: rare beside the time for which they are
-/// kept.
+/// Time between searches for items to drop: short compared with the time for which they are kept.
 pub(super) const FORGET_EVERY: Duration = Duration::from_secs(60);
-/// Most items in one message; the others follow with the next tick.
+/// Most items in one message; the remaining items are sent with the next tick.
 const PUSH_LIMIT: usize = 256;
 
 impl ClusterCore {
-    /// Stores the items that are sound and newer, and marks them to be sent on.
+    /// Stores the items that are valid and newer than the known ones, and queues them for the
+    /// other links.
     pub(super) fn receive(
         &mut self,
         from: Option<IncarnationId>,
@@ -44,7 +44,7 @@
         let mut fresh = Vec::new();
         let mut members_changed = false;
         for item in items {
-            if !is_sound(&item) || !self.items.offer(item.clone(), now) {
+            if !is_valid_item(&item) || !self.items.offer(item.clone(), now) {
                 self.counters.stale_items += 1;
                 continue;
             }
@@ -57,7 +57,7 @@
             fresh.push(item);
         }
         if members_changed {
-            self.relink();
+            self.update_links();
             actions.push(ClusterAction::MembersChanged);
         }
         if !fresh.is_empty() {
@@ -90,7 +90,7 @@
         self.members.set(incarnation, MemberView { record, status, refutation, since });
     }
 
-    /// Marks an item to be sent on all links but the one it came from.
+    /// Queues an item for all links except the one from which it came.
     fn enqueue(&mut self, key: &ItemKey, from: Option<IncarnationId>) {
         for link in &self.links {
             if Some(*link) != from {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Works out the links again after a change of members.
-    fn relink(&mut self) {
+    /// Recomputes the links after a change of members.
+    fn update_links(&mut self) {
         let position = daemon_position(self.own).wrapping_add(1);
         let mut links = self.members.successors(position, SUCCESSORS, self.own);
         for index in 0..FAR_LINKS as u64 {
@@ -114,7 +114,7 @@
         self.links = links;
     }
 
-    /// Sends what is marked, one message to each link.
+    /// Sends the queued items, at most one message to each link.
     pub(super) fn flush(&mut self, actions: &mut Vec<ClusterAction>) {
         for link in self.links.clone() {
             let Some(outbox) = self.outboxes.get_mut(&link) else { continue };
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Forgets what ended long ago.
+    /// Drops removed members, deleted VMs and notices after `TOMBSTONE_KEEP`.
     pub(super) fn forget(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
         let mut gone = Vec::new();
         self.items.forget(|item, since| {
--- a/src/native/cluster/events.rs
+++ b/src/native/cluster/events.rs
@@ -1,21 +1,21 @@
-//! Events that the cluster core takes, and actions that it returns.
+//! Events that the cluster core handles, and actions that it returns.
 
 use super::{items::SpreadItem, members::MemberRecord};
 use crate::ids::{IncarnationId, SharedName};
 
-/// Whom an action is for.
+/// The daemon to which an action applies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerTarget {
-    /// Expected incarnation; an address that answers with another one is an error.
+    /// Expected incarnation; it is an error if another one answers at the address.
     pub incarnation: IncarnationId,
     /// Address of its peer listener.
     pub address: SharedName,
 }
 
-/// What has happened.
+/// An event for the cluster core.
 #[derive(Clone, Debug)]
 pub enum ClusterEvent {
-    /// Time has passed; expected every 50 ms or so.
+    /// Time has passed; expected about every 50 ms.
     Tick,
     /// An address that may be a daemon of this deployment.
     Seed(SharedName),
@@ -23,34 +23,34 @@
     Greeted(IncarnationId, MemberRecord),
     /// A neighbour answered its probe.
     ProbeAnswered(IncarnationId),
-    /// A neighbour did not answer; `refused` if its address takes no connections.
+    /// A neighbour did not answer its probe; `true` if its address refuses connections.
     ProbeFailed(IncarnationId, bool),
-    /// Helpers could not reach it either.
+    /// Helpers could not reach the neighbour either; `true` if its address refuses connections.
     HelpersFailed(IncarnationId, bool),
-    /// Another incarnation answers at its address: it is gone for certain.
+    /// Another incarnation answers at the neighbour's address, so the neighbour is gone.
     Replaced(IncarnationId),
-    /// Items from a peer (`None`: from this process).
+    /// Items from a peer, or from this process if `None`.
     Items(Option<IncarnationId>, Vec<SpreadItem>),
-    /// This daemon takes no new work from now on.
+    /// This daemon accepts no new work from now on.
     Leave,
 }
 
-/// What is to be done.
+/// An action for the service to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterAction {
-    /// Say hello to an address; report `Greeted`.
+    /// Send a greeting to an address; report `Greeted`.
     Greet(SharedName),
-    /// Probe; report `ProbeAnswered`, `ProbeFailed` or `Replaced`.
+    /// Probe a member; report `ProbeAnswered`, `ProbeFailed` or `Replaced`.
     Probe(PeerTarget),
     /// Ask the helpers to probe the target; report `HelpersFailed` or `ProbeAnswered`.
     ProbeVia(Vec<PeerTarget>, PeerTarget),
-    /// Send items.
+    /// Send items to a member.
     Push(PeerTarget, Vec<SpreadItem>),
-    /// Exchange summaries and what is missing; report `Items`.
+    /// Exchange summaries and the items that either side lacks; report `Items`.
     Sync(PeerTarget),
-    /// Items that are new here, for the other services.
+    /// Publish items that are new here to the other services.
     Changed(Vec<SpreadItem>),
-    /// The member list has changed.
+    /// Publish the member list, which has changed.
     MembersChanged,
 }
 
@@ -63,8 +63,8 @@
     pub removed: u64,
     /// Suspicions of itself that it refuted.
     pub refuted: u64,
-    /// Items received that were not newer.
+    /// Items received that were invalid or not newer than the known ones.
     pub stale_items: u64,
-    /// Items received that were newer.
+    /// Items received that were newer than the known ones.
     pub fresh_items: u64,
 }
--- a/src/native/cluster/soundness.rs
+++ b/src/native/cluster/item_validation.rs
@@ -1,4 +1,4 @@
-//! Which items may be stored at all, whatever their version: those whose value decodes.
+//! Validation of items: only those whose value decodes are stored, whatever their version.
 
 use super::{
     items::{ItemKind, SpreadItem},
@@ -12,8 +12,8 @@
     },
 };
 
-/// A corrupt item must not take a good one's place.
-pub fn is_sound(item: &SpreadItem) -> bool {
+/// Whether the name and value of an item decode. A corrupt item must not replace a valid one.
+pub fn is_valid_item(item: &SpreadItem) -> bool {
     match item.key.kind {
         ItemKind::Member => {
             parse_incarnation(&item.key.name).is_some() && item.decode::<MemberRecord>().is_some()
@@ -29,7 +29,7 @@
     }
 }
 
-/// Incarnation named by a member item.
+/// Parses the name of a member item.
 pub fn parse_incarnation(name: &str) -> Option<IncarnationId> {
     u64::from_str_radix(name, 16).ok().map(IncarnationId)
 }
--- a/src/native/cluster/items.rs
+++ b/src/native/cluster/items.rs
@@ -1,7 +1,7 @@
-//! Versioned items that every daemon should know: table rows, VMs, notices, members.
+//! Versioned items that are spread to every daemon: table rows, VMs, reclaim notices, members.
 //!
-//! Only a strictly newer version replaces an item. Hashes over buckets of items let two
-//! daemons find in one short exchange what either of them lacks.
+//! Only a strictly newer version replaces an item. By comparing hashes over buckets of items, two
+//! daemons find out in one short exchange which items either of them lacks.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,13 +13,13 @@
 
 use crate::ids::{SharedName, hash_parts};
 
-/// Number of buckets in a summary: a summary of 512 bytes.
+/// Number of buckets in a summary, which makes it 512 bytes long.
 pub const BUCKETS: usize = 64;
 
-/// Bytes of an item beside its name and value: version, kind and lengths.
+/// Size of an item without its name and value, in bytes: version, kind and lengths.
 const FIELD_BYTES: usize = 24;
 
-/// What an item is about.
+/// Kind of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemKind {
     /// Row of the operators' table; versioned by the object API.
@@ -28,55 +28,55 @@
     Vm,
     /// Reclaim notice of a VM; never changes.
     Notice,
-    /// Daemon incarnation; versioned by itself and its monitors.
+    /// Daemon incarnation; versioned by itself and by the daemons that probe it.
     Member,
 }
 
-/// Names an item.
+/// Key of an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ItemKey {
-    /// What it is about.
+    /// Kind of the item.
     pub kind: ItemKind,
-    /// Name within the kind.
+    /// Name, unique within the kind.
     pub name: SharedName,
 }
 
 /// One version of an item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpreadItem {
-    /// Its name.
+    /// Key of the item.
     pub key: ItemKey,
-    /// Its version.
+    /// Version of the item.
     pub version: u64,
-    /// JSON of its value; `None` when it was deleted.
+    /// Value as JSON; `None` if the item was deleted.
     pub value: Option<Arc<[u8]>>,
 }
 
 impl SpreadItem {
-    /// Item of a value that serializes to JSON.
+    /// Creates an item from a value that serializes to JSON.
     pub fn new(kind: ItemKind, name: SharedName, version: u64, value: &impl Serialize) -> Self {
-        // These types always serialize; an empty value would be refused by `soundness`.
+        // These types always serialize; `item_validation` would refuse an empty value.
         let json = serde_json::to_vec(value).unwrap_or_default();
         Self { key: ItemKey { kind, name }, version, value: Some(json.into()) }
     }
 
-    /// Tombstone of an item.
+    /// Creates the tombstone of an item.
     pub fn deleted(kind: ItemKind, name: SharedName, version: u64) -> Self {
         Self { key: ItemKey { kind, name }, version, value: None }
     }
 
-    /// Value decoded from JSON.
+    /// Decodes the value from JSON; `None` if that fails or the item was deleted.
     pub fn decode<'a, T: Deserialize<'a>>(&'a self) -> Option<T> {
         serde_json::from_slice(self.value.as_deref()?).ok()
     }
 
-    /// Bytes it takes, roughly.
+    /// Approximate size of the item in bytes.
     pub fn bytes(&self) -> usize {
         FIELD_BYTES + self.key.name.len() + self.value.as_ref().map_or(0, |value| value.len())
     }
 }
 
-/// All items that one daemon knows.
+/// All items that one daemon has stored.
 #[derive(Debug)]
 pub struct ItemStore {
     items: HashMap<ItemKey, (SpreadItem, Instant)>,
@@ -103,7 +103,7 @@
 }
 
 impl ItemStore {
-    /// Stores an item if it is strictly newer than what is known.
+    /// Stores an item if it is strictly newer than the known version. Returns whether it was.
     pub fn offer(&mut self, item: SpreadItem, now: Instant) -> bool {
         let known = self.version(&item.key);
         if known.is_some_and(|known| known >= item.version) {
@@ -124,7 +124,7 @@
         self.items.get(key).map(|(item, _)| item.version)
     }
 
-    /// One item.
+    /// Returns one item.
     pub fn get(&self, key: &ItemKey) -> Option<&SpreadItem> {
         self.items.get(key).map(|(item, _)| item)
     }
@@ -145,13 +145,14 @@
         pairs.enumerate().filter(|(_, (own, their))| own != their).map(|(index, _)| index).collect()
     }
 
-    /// Names and versions of the items in `buckets`.
+    /// Keys and versions of the items in `buckets`.
     pub fn versions_in(&self, buckets: &[usize]) -> Vec<(ItemKey, u64)> {
         let chosen = buckets.iter().filter_map(|bucket| self.by_bucket.get(*bucket));
         chosen.flatten().map(|(key, version)| (key.clone(), *version)).collect()
     }
 
-    /// Forgets items that `is_stale` picks out by their age.
+    /// Removes the items for which `is_stale` returns `true`. It gets the time at which the item
+    /// was stored.
     pub fn forget(&mut self, mut is_stale: impl FnMut(&SpreadItem, Instant) -> bool) {
         let stale: Vec<ItemKey> = self
             .items
@@ -172,7 +173,7 @@
         self.items.len()
     }
 
-    /// Bytes that the items take, roughly.
+    /// Approximate size of all items in bytes.
     pub fn bytes(&self) -> usize {
         self.items.values().map(|(item, _)| item.bytes()).sum()
     }
--- a/src/native/cluster/members.rs
+++ b/src/native/cluster/members.rs
@@ -1,4 +1,4 @@
-//! Member list: what is known of each daemon incarnation, and places on the ring.
+//! Member list: the state of each daemon incarnation, and its position on the ring.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,23 +10,23 @@
     native::decide::subset::daemon_position,
 };
 
-/// What a daemon's monitors, or it itself, say of it. Order matters: within one
-/// refutation, the later status goes before the earlier one.
+/// Status of a daemon, published by itself or by the daemons that probe it. The order matters:
+/// with the same number of refutations, a later status overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// Answers.
+    /// The daemon answers probes.
     Alive,
-    /// Did not answer; may refute.
+    /// The daemon did not answer; it may refute the suspicion.
     Suspect,
-    /// Removed; becomes alive again by refuting.
+    /// The daemon was removed; it becomes alive again by refuting the removal.
     Dead,
 }
 
-/// Members considered from each point of a placement: ranking all members would take a hundred
-/// times as long at 2,100 of them.
+/// Number of members considered from each point of a placement. Ranking all members would take a
+/// hundred times as long with 2,100 of them.
 const PLACEMENT_WINDOW: usize = 16;
-/// Number of statuses, for packing a status into a version: the next power of two above the
-/// statuses; part of the stored form.
+/// Number of versions per refutation, to pack the status into the version: the next power of two
+/// above the number of statuses. It is part of the stored form.
 const STATUSES: u64 = 4;
 
 /// Value of a member item.
@@ -36,16 +36,16 @@
     pub address: SharedName,
     /// Its availability zone.
     pub zone: SharedName,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub leaving: bool,
 }
 
-/// Version of a member item: refutations by the member, then the status.
+/// Packs the number of refutations by the member and its status into the version of a member item.
 pub fn member_version(refutation: u64, status: MemberStatus) -> u64 {
     refutation * STATUSES + status as u64
 }
 
-/// Parts of a member item's version.
+/// Splits the version of a member item into the number of refutations and the status.
 pub fn split_version(version: u64) -> (u64, MemberStatus) {
     let status = match version % STATUSES {
         0 => MemberStatus::Alive,
@@ -55,21 +55,22 @@
     (version / STATUSES, status)
 }
 
-/// One daemon incarnation as known here.
+/// State of a daemon incarnation in this daemon's member list.
 #[derive(Clone, Debug)]
 pub struct MemberView {
-    /// What it says of itself.
+    /// The record that it published.
     pub record: MemberRecord,
     /// Its status.
     pub status: MemberStatus,
-    /// Refutations so far.
+    /// Number of its refutations so far.
     pub refutation: u64,
-    /// When this status was learnt.
+    /// When this daemon learnt of the status.
     pub since: Instant,
 }
 
 impl MemberView {
-    /// Whether it may be asked and may be given work of other daemons.
+    /// Whether it has not been removed, so that it may be called and may be handed the work of
+    /// other daemons.
     pub fn is_present(&self) -> bool {
         self.status != MemberStatus::Dead
     }
@@ -80,7 +81,7 @@
     }
 }
 
-/// All daemon incarnations known.
+/// All daemon incarnations known to this daemon.
 #[derive(Clone, Debug, Default)]
 pub struct MemberList {
     views: HashMap<IncarnationId, MemberView>,
@@ -88,7 +89,7 @@
 }
 
 impl MemberList {
-    /// Sets what is known of one incarnation.
+    /// Sets the state of one incarnation.
     pub fn set(&mut self, incarnation: IncarnationId, view: MemberView) {
         let position = daemon_position(incarnation);
         if view.is_present() {
@@ -99,13 +100,13 @@
         self.views.insert(incarnation, view);
     }
 
-    /// Forgets one incarnation.
+    /// Removes one incarnation from the list.
     pub fn remove(&mut self, incarnation: IncarnationId) {
         self.ring.remove(&daemon_position(incarnation));
         self.views.remove(&incarnation);
     }
 
-    /// What is known of one incarnation.
+    /// State of one incarnation.
     pub fn get(&self, incarnation: IncarnationId) -> Option<&MemberView> {
         self.views.get(&incarnation)
     }
@@ -132,7 +133,7 @@
         self.ring.range(..daemon_position(incarnation)).count()
     }
 
-    /// Up to `count` incarnations that follow `position` on the ring, without `own`.
+    /// Up to `count` incarnations that follow `position` on the ring, excluding `own`.
     pub fn successors(
         &self,
         position: u64,
@@ -153,19 +154,20 @@
         present.find(|(_, view)| &*view.record.address == address).map(|(found, _)| found)
     }
 
-    /// Members that take work and are placed for `name`, `count` at most: one for each of
-    /// `count` points on the ring, in availability zones that differ as far as they can.
+    /// Members that accept work and are chosen for `name`, at most `count`: one for each of
+    /// `count` points on the ring, in different availability zones as far as possible.
     ///
-    /// From each point the best of the next few by rendezvous hashing is taken. A single
-    /// successor would carry very uneven shares; all members would cost time in their
-    /// number. With few members every window holds all of them.
+    /// For each point, the best of the next few members by rendezvous hashing is chosen. Taking
+    /// only the next member would distribute names very unevenly, and ranking all members would
+    /// take time in proportion to their number. With few members, all of them are considered at
+    /// every point.
     pub fn placed_for(&self, name: &[u8], count: usize) -> Vec<IncarnationId> {
         let mut chosen: Vec<IncarnationId> = Vec::with_capacity(count);
         let mut zones: Vec<&SharedName> = Vec::with_capacity(count);
         for index in 0..count as u64 {
             let point = hash_parts(&[b"place", name, &index.to_le_bytes()]);
             let best = self
-                .working_from(point)
+                .candidates_from(point)
                 .filter(|(incarnation, _)| !chosen.contains(incarnation))
                 .take(PLACEMENT_WINDOW)
                 .max_by_key(|(incarnation, view)| {
@@ -179,13 +181,14 @@
         chosen
     }
 
-    fn working_from(&self, point: u64) -> impl Iterator<Item = (IncarnationId, &MemberView)> {
+    fn candidates_from(&self, point: u64) -> impl Iterator<Item = (IncarnationId, &MemberView)> {
         let around = self.ring.range(point..).chain(self.ring.range(..point));
         let views = around.filter_map(|(_, found)| Some((*found, self.views.get(found)?)));
         views.filter(|(_, view)| view.takes_work())
     }
 
-    /// Whether `own` is among the first `count` of its zone for the role `name`.
+    /// Whether `own` is among the first `count` members of its zone for the role `name`, ranked by
+    /// rendezvous hashing.
     pub fn has_role(&self, own: IncarnationId, name: &[u8], count: usize) -> bool {
         let Some(view) = self.get(own) else { return false };
         let weight_of =
