--- a/src/native/cluster/core.rs
+++ b/src/native/cluster/core.rs
@@ -1,8 +1,8 @@
-//! Membership and spread of items, without I/O: events in, actions out.
+//! Membership and the spread of items, without I/O: takes events and returns actions.
 //!
-//! `failure_detector` decides who is a member, `dissemination` who is sent which items.
-//! The cost for a daemon does not depend on the number of daemons. The gateway's peers
-//! exchange by `gateway::gossip`; the two share no code.
+//! `failure_detector` decides which daemons are members, and `dissemination` which items are sent
+//! to which of them. The cost for a daemon does not depend on the number of daemons. Gateway
+//! daemons use `gateway::gossip` instead, which shares no code with this module.
 
 mod dissemination;
 mod failure_detector;
@@ -16,28 +16,30 @@
 use tokio::time::Instant;
 
 use super::{
-    core::{dissemination::FORGET_EVERY, failure_detector::RECALL_EVERY},
+    core::{dissemination::FORGET_EVERY, failure_detector::GREET_REMOVED_EVERY},
     events::{ClusterAction, ClusterCounters, ClusterEvent, PeerTarget},
     items::{ItemKey, ItemKind, ItemStore, SpreadItem},
     members::{MemberList, MemberRecord, MemberStatus, member_version},
 };
 use crate::ids::{IncarnationId, SharedName};
 
-/// Ring successors that a daemon probes and sends new items to: with three far links an edit
-/// reaches 2,100 nodes in a moment.
+/// Number of ring successors that a daemon probes and sends new items to. Together with three far
+/// links, this lets an edit reach 2,100 daemons in a moment.
 const SUCCESSORS: usize = 3;
-/// Time between exchanges of summaries with a random member. Its bytes don't grow with the fleet.
+/// Time between exchanges of summaries with a random member. The size of a summary does not grow
+/// with the number of daemons.
 const SYNC_EVERY: Duration = Duration::from_secs(1);
-/// A tick this late means that this process was paused: sixteen ticks of the service (50 ms).
-const PAUSE: Duration = Duration::from_millis(800);
-/// How long failures of probes are ignored after a pause: this daemon may have missed the answers.
-/// Two probe intervals.
-const PROBES_IGNORED: Duration = Duration::from_secs(2);
-/// Spread of periodic work around its interval, so that daemons do not act together: a fifth to
-/// either side.
+/// If the time between two ticks is longer than this, the process was paused. It is sixteen ticks
+/// of the service (50 ms).
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(800);
+/// How long failed probes are ignored after a pause, in which this daemon may have missed the
+/// answers: two probe intervals.
+const IGNORE_PROBES_FOR: Duration = Duration::from_secs(2);
+/// Random factor of the intervals of periodic work, so that daemons do not act at the same time: up
+/// to a fifth shorter or longer.
 const JITTER: std::ops::Range<f64> = 0.8..1.2;
 
-/// Membership and spread of one daemon.
+/// Membership and item state of one daemon.
 #[derive(Debug)]
 pub struct ClusterCore {
     own: IncarnationId,
@@ -45,14 +47,17 @@
     refutation: u64,
     members: MemberList,
     items: ItemStore,
+    /// Items to be sent to each link.
     outboxes: HashMap<IncarnationId, BTreeSet<ItemKey>>,
     seeds: BTreeSet<SharedName>,
+    /// Members to which new items are sent; the first `SUCCESSORS` are also probed.
     links: Vec<IncarnationId>,
     probe_at: HashMap<IncarnationId, Instant>,
+    /// Links whose addresses refused a connection.
     refused: BTreeSet<IncarnationId>,
     sync_at: Instant,
     greet_at: Instant,
-    recall_at: Instant,
+    greet_removed_at: Instant,
     forget_at: Instant,
     last_tick: Instant,
     ignore_probes_until: Instant,
@@ -61,7 +66,7 @@
 }
 
 impl ClusterCore {
-    /// Core of a daemon that knows only itself.
+    /// Creates the core of a daemon that knows only itself.
     pub fn new(own: IncarnationId, record: MemberRecord, now: Instant, rng: SmallRng) -> Self {
         let mut core = Self {
             own,
@@ -76,7 +81,7 @@
             refused: BTreeSet::new(),
             sync_at: now,
             greet_at: now,
-            recall_at: now + RECALL_EVERY,
+            greet_removed_at: now + GREET_REMOVED_EVERY,
             forget_at: now + FORGET_EVERY,
             last_tick: now,
             ignore_probes_until: now,
@@ -87,7 +92,7 @@
         core
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the actions to carry out.
     pub fn on(&mut self, now: Instant, event: ClusterEvent) -> Vec<ClusterAction> {
         let mut actions = Vec::new();
         match event {
@@ -122,17 +127,17 @@
         actions
     }
 
-    /// Members as known here.
+    /// Member list of this daemon.
     pub fn members(&self) -> &MemberList {
         &self.members
     }
 
-    /// Items as known here.
+    /// Items that this daemon has stored.
     pub fn items(&self) -> &ItemStore {
         &self.items
     }
 
-    /// Own incarnation; read by the in-memory fleet of the tests.
+    /// Own incarnation; used by the in-memory fleet of the tests.
     pub fn own(&self) -> IncarnationId {
         self.own
     }
@@ -142,32 +147,32 @@
         self.counters
     }
 
-    /// Forgets what was still to be sent; the next exchanges of summaries make up for it.
-    /// The in-memory fleet of the tests calls it, to show that summaries alone suffice.
+    /// Drops the items that have not been sent yet; the next exchanges of summaries deliver them.
+    /// The in-memory fleet of the tests calls it to show that summaries alone are sufficient.
     pub fn drop_outboxes(&mut self) {
         self.outboxes.clear();
     }
 
-    /// Some member that has not been removed.
+    /// Returns a random other member that has not been removed.
     pub fn random_member(&mut self) -> Option<PeerTarget> {
         let point: u64 = self.rng.random();
         let found = self.members.successors(point, 1, self.own);
         self.target(*found.first()?)
     }
 
-    /// Target of a member that has not been removed.
+    /// Returns the target for a member that has not been removed.
     pub fn target(&self, incarnation: IncarnationId) -> Option<PeerTarget> {
         let view = self.members.get(incarnation).filter(|view| view.is_present())?;
         Some(PeerTarget { incarnation, address: view.record.address.clone() })
     }
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
-        if now.saturating_duration_since(self.last_tick) > PAUSE {
-            self.ignore_probes_until = now + PROBES_IGNORED;
+        if now.saturating_duration_since(self.last_tick) > PAUSE_THRESHOLD {
+            self.ignore_probes_until = now + IGNORE_PROBES_FOR;
         }
         self.last_tick = now;
         self.greet_seeds(now, actions);
-        self.recall_removed(now, actions);
+        self.greet_removed(now, actions);
         self.probe_neighbours(now, actions);
         self.remove_suspects(now, actions);
         self.flush(actions);
--- a/src/native/cluster/core/failure_detector.rs
+++ b/src/native/cluster/core/failure_detector.rs
@@ -1,10 +1,11 @@
-//! Who is a member: greetings, probes, suspicion and removal.
+//! Failure detection: greetings, probes, suspicion and removal of members.
 //!
-//! Each daemon probes the few that follow it on a ring of hashed incarnations, so each is
-//! watched by a few. Inputs are the results of probes, seconds old at most. A daemon that does
-//! not answer is probed through helpers, then suspected, and removed only if it does not refute
-//! in time (after SWIM). A daemon that was paused itself ignores its own probes for a while
-//! (after Lifeguard). A wrong removal heals: the daemon refutes as soon as it learns of it.
+//! Each daemon probes the few daemons that follow it on a ring of hashed incarnations, so each is
+//! probed by a few others. Inputs are the results of probes, seconds old at most. A daemon that
+//! does not answer is probed through helpers, then suspected, and removed only if it does not
+//! refute the suspicion in time (as in SWIM). A daemon that was paused itself ignores its own
+//! failed probes for a while (as in Lifeguard). A wrong removal is corrected: the removed daemon
+//! refutes it as soon as it learns of it.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -23,17 +24,18 @@
 
 /// Time between probes of one neighbour.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Time between greetings of addresses that are not members yet: as often as probes.
+/// Time between greetings to addresses that are not members yet: as often as probes.
 const GREET_EVERY: Duration = Duration::from_secs(1);
-/// Time between greetings of a removed member, in case it was only cut off.
-pub(super) const RECALL_EVERY: Duration = Duration::from_secs(5);
-/// Time a suspect has to refute: longer than most freezes.
-const SUSPICION: Duration = Duration::from_secs(5);
-/// Time a suspect has to refute whose address refuses connections: a process that restarts listens
-/// again within it.
-const SUSPICION_REFUSED: Duration = Duration::from_secs(2);
-/// Helpers that probe a neighbour which does not answer: one may itself be cut off.
-const HELPERS: usize = 2;
+/// Time between greetings to a removed member, in case it was only disconnected.
+pub(super) const GREET_REMOVED_EVERY: Duration = Duration::from_secs(5);
+/// Time that a suspect has to refute the suspicion: longer than most pauses of a process.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that a suspect has to refute the suspicion if its address refuses connections: a process
+/// that restarts listens again within this time.
+const REFUSED_SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of helpers that probe a neighbour which does not answer, as one may be disconnected
+/// itself.
+const PROBE_HELPERS: usize = 2;
 
 impl ClusterCore {
     pub(super) fn greet_seeds(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
@@ -45,21 +47,21 @@
             self.members.present().map(|(_, view)| &view.record.address).collect();
         let unknown: Vec<&SharedName> =
             self.seeds.iter().filter(|address| !known.contains(address)).collect();
-        // A few a second, whatever the number of seeds: the first members to answer have the
-        // others in their summaries.
+        // Greets only a few a second, whatever the number of seeds: the summaries of the first
+        // members that answer contain the others.
         for _ in 0..SUCCESSORS.min(unknown.len()) {
             let index = self.rng.random_range(0..unknown.len());
             actions.push(ClusterAction::Greet(unknown[index].clone()));
         }
     }
 
-    /// Greets a removed member now and then. After a cut, both sides have removed each
-    /// other; the first greeting that gets through lets them learn of it and refute.
-    pub(super) fn recall_removed(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
-        if now < self.recall_at {
+    /// Periodically greets a random removed member. After a network partition, both sides have
+    /// removed each other; with the first greeting that arrives they learn of it and refute.
+    pub(super) fn greet_removed(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
+        if now < self.greet_removed_at {
             return;
         }
-        self.recall_at = now + RECALL_EVERY.mul_f64(self.rng.random_range(JITTER));
+        self.greet_removed_at = now + GREET_REMOVED_EVERY.mul_f64(self.rng.random_range(JITTER));
         let removed: Vec<&SharedName> = self
             .members
             .iter()
@@ -99,11 +101,11 @@
         }
         let Some(target) = self.target(incarnation) else { return };
         let point: u64 = self.rng.random();
-        let helpers = self.members.successors(point, HELPERS + 1, self.own);
+        let helpers = self.members.successors(point, PROBE_HELPERS + 1, self.own);
         let helpers: Vec<PeerTarget> = helpers
             .into_iter()
             .filter(|helper| *helper != incarnation)
-            .take(HELPERS)
+            .take(PROBE_HELPERS)
             .filter_map(|helper| self.target(helper))
             .collect();
         if helpers.is_empty() {
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Monitors remove the suspects among their neighbours once their time is over.
+    /// Removes the neighbours whose time to refute a suspicion is over.
     pub(super) fn remove_suspects(&mut self, now: Instant, actions: &mut Vec<ClusterAction>) {
         if now < self.ignore_probes_until {
             return;
@@ -145,7 +147,7 @@
         for incarnation in self.neighbours() {
             let Some(view) = self.members.get(incarnation) else { continue };
             let refused = self.refused.contains(&incarnation);
-            let allowed = if refused { SUSPICION_REFUSED } else { SUSPICION };
+            let allowed = if refused { REFUSED_SUSPICION_TIMEOUT } else { SUSPICION_TIMEOUT };
             let over = now.saturating_duration_since(view.since) > allowed;
             if view.status == MemberStatus::Suspect && over {
                 self.counters.removed += 1;
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Publishes the status that probes found for another daemon.
+    /// Publishes the status of another daemon as found by probes.
     pub(super) fn publish_status(
         &mut self,
         incarnation: IncarnationId,
@@ -179,7 +181,7 @@
         if incarnation == self.own {
             return;
         }
-        // An address has one process: an older incarnation there is gone.
+        // Only one process listens on an address, so an older incarnation there is gone.
         let before = self.members.at_address(&record.address);
         if let Some(before) = before.filter(|before| *before < incarnation) {
             self.publish_status(before, MemberStatus::Dead, now, actions);
@@ -193,7 +195,7 @@
             let item = SpreadItem::new(ItemKind::Member, name, 0, &record);
             self.receive(None, vec![item], now, actions);
         }
-        // A removed member learns of its removal by this exchange, and refutes.
+        // A removed member learns of its removal by this exchange and refutes it.
         let target = PeerTarget { incarnation, address: record.address };
         actions.push(ClusterAction::Sync(target));
     }
