--- a/src/native/cluster/service.rs
+++ b/src/native/cluster/service.rs
@@ -1,5 +1,5 @@
-//! Service that carries out the cluster core's actions over the peers' protocol and
-//! publishes what it learns.
+//! Service that carries out the cluster core's actions over the peer protocol and publishes new
+//! items and the member list to other services.
 
 mod messages;
 mod tasks;
@@ -38,21 +38,21 @@
 
 /// Name of the service.
 pub const NAME: &str = "cluster";
-/// Time between ticks of the core: short beside every interval of the core.
+/// Time between ticks of the core: short compared with every interval of the core.
 const TICK: Duration = Duration::from_millis(50);
-/// Idle connections to peers are closed after this time: longer than the interval of every regular
-/// exchange.
+/// Idle time after which a connection to a peer is closed: longer than the interval of every
+/// regular exchange.
 const IDLE: Duration = Duration::from_secs(30);
-/// Time between searches for idle connections: a third of the idle time.
+/// Time between searches for idle connections: a third of `IDLE`.
 const CLOSE_EVERY: Duration = Duration::from_secs(10);
 
-/// What the service publishes to and works with.
+/// The service's connections to peers and other services.
 pub struct ClusterOutputs {
-    /// Own address, for tasks that report back.
+    /// Address of this service, to which its tasks report.
     pub address: ServiceAddress<ClusterMessage>,
     /// Connections to peers.
     pub pool: PeerPool,
-    /// Router, which gets VMs and notices.
+    /// Address of the router, which receives VMs and notices.
     pub router: ServiceAddress<RouterMessage>,
     /// Current table.
     pub table: watch::Sender<Arc<TableSnapshot>>,
@@ -60,7 +60,7 @@
     pub members: watch::Sender<Rc<MemberList>>,
     /// Notice of this daemon's own VM.
     pub own_notice: watch::Sender<Option<ReclaimNotice>>,
-    /// Time line.
+    /// Timeline on which changes are recorded.
     pub timeline: TimelineHandle,
 }
 
@@ -137,7 +137,7 @@
                 spawn(probe_via(pool, address, helpers, target));
             }
             ClusterAction::Push(target, items) => spawn(async move {
-                // What is lost here is found by the next exchange of summaries.
+                // Items that are lost here are sent again by the next exchange of summaries.
                 let _ = pool.push(&target, &items).await;
             }),
             ClusterAction::Sync(target) => {
@@ -209,7 +209,7 @@
 
     fn send_to_router(&self, message: RouterMessage) {
         if let Err(error) = self.outputs.router.send(message) {
-            spdlog::error!("router not told: {}", error, kv: { service = NAME });
+            spdlog::error!("message to router not sent: {}", error, kv: { service = NAME });
         }
     }
 }
--- a/src/native/cluster/service/messages.rs
+++ b/src/native/cluster/service/messages.rs
@@ -1,4 +1,4 @@
-//! What the cluster service is asked.
+//! Messages to the cluster service.
 
 use tokio::sync::oneshot;
 
@@ -7,45 +7,45 @@
     items::{ItemKey, ItemKind, SpreadItem},
 };
 
-/// Names and versions of items.
+/// Keys and versions of items.
 pub type ItemVersions = Vec<(ItemKey, u64)>;
 
-/// What the service is asked.
+/// Message to the cluster service.
 #[derive(Debug)]
 pub enum ClusterMessage {
-    /// Something has happened.
+    /// Passes an event to the core.
     Event(ClusterEvent),
-    /// A peer sends its summary.
+    /// Compares a peer's summary with the own one.
     Summary {
-        /// Its bucket hashes.
+        /// The peer's bucket hashes.
         theirs: Vec<u64>,
-        /// Differing buckets and the versions in them.
+        /// Gets the buckets that differ and the versions in them.
         reply: oneshot::Sender<(Vec<usize>, ItemVersions)>,
     },
-    /// Versions in some buckets.
+    /// Reads the versions in some buckets.
     Versions {
-        /// Buckets.
+        /// Indexes of the buckets.
         buckets: Vec<usize>,
-        /// Versions.
+        /// Gets the keys and versions.
         reply: oneshot::Sender<ItemVersions>,
     },
-    /// Items that are wanted.
+    /// Reads some items.
     Fetch {
-        /// Their names.
+        /// Keys of the items.
         keys: Vec<ItemKey>,
-        /// Those known.
+        /// Gets the items that are known.
         reply: oneshot::Sender<Vec<SpreadItem>>,
     },
-    /// All items of a kind.
+    /// Reads all items of a kind.
     List {
-        /// Kind.
+        /// Kind of the items.
         kind: ItemKind,
-        /// Items.
+        /// Gets the items, tombstones included.
         reply: oneshot::Sender<Vec<SpreadItem>>,
     },
-    /// Counters, number of items, their bytes.
+    /// Reads the figures for metrics.
     Gauge {
-        /// Numbers.
+        /// Gets the counters, the number of items and their size in bytes.
         reply: oneshot::Sender<(ClusterCounters, usize, usize)>,
     },
 }
--- a/src/native/cluster/service/tasks.rs
+++ b/src/native/cluster/service/tasks.rs
@@ -1,4 +1,4 @@
-//! Calls to peers that the service starts; each reports back as an event.
+//! Tasks of the service that call peers. They report results to the service as events.
 
 use super::{
     NAME,
@@ -18,12 +18,12 @@
 };
 
 fn report(address: &ServiceAddress<ClusterMessage>, event: ClusterEvent) {
-    // If the service is overloaded, the next probe or exchange reports again; if it has ended,
-    // the daemon stops.
+    // A failure to send is ignored: if the service is overloaded, the next probe or exchange
+    // reports again; if it has ended, the daemon is stopping.
     let _ = address.send(ClusterMessage::Event(event));
 }
 
-/// Greets an address; reports the daemon that answers.
+/// Greets an address and reports the daemon that answers.
 pub async fn greet(pool: PeerPool, address: ServiceAddress<ClusterMessage>, peer: SharedName) {
     match pool.greet(&peer).await {
         Ok(greeted) => {
@@ -39,7 +39,7 @@
     matches!(error.cause, FailureCause::Unreachable(_))
 }
 
-/// Probes a member; reports the result.
+/// Probes a member and reports the result.
 pub async fn probe(pool: PeerPool, address: ServiceAddress<ClusterMessage>, target: PeerTarget) {
     let incarnation = target.incarnation;
     let event = match pool.probe(&target).await {
@@ -52,7 +52,7 @@
     report(&address, event);
 }
 
-/// Has helpers probe a member; reports whether any reached it.
+/// Lets helpers probe a member and reports whether any of them reached it.
 pub async fn probe_via(
     pool: PeerPool,
     address: ServiceAddress<ClusterMessage>,
@@ -70,7 +70,8 @@
     report(&address, ClusterEvent::HelpersFailed(target.incarnation, refused));
 }
 
-/// Exchanges summaries, then fetches what is newer there and sends what is newer here.
+/// Exchanges summaries with a member, then fetches the items that are newer there and sends those
+/// that are newer here.
 pub async fn synchronize(
     pool: PeerPool,
     address: ServiceAddress<ClusterMessage>,
@@ -92,12 +93,12 @@
     if !surplus.is_empty() {
         let items = address.ask(|reply| ClusterMessage::Fetch { keys: surplus, reply }).await;
         let Ok(items) = items else { return };
-        // What is lost here is found by the next exchange of summaries.
+        // Items that are lost here are sent again by the next exchange of summaries.
         let _ = pool.push(&target, &items).await;
     }
 }
 
-/// Entries of `left` that are newer than in `right`, or missing there.
+/// Returns the entries of `left` that are newer than in `right` or missing there.
 pub fn newer_than(left: &ItemVersions, right: &ItemVersions) -> ItemVersions {
     let known: std::collections::HashMap<&ItemKey, u64> =
         right.iter().map(|(key, version)| (key, *version)).collect();
