--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -114,16 +114,16 @@
     }
 
     /// Applies a load report: the number of running and waiting requests.
-    pub fn report_load(&mut self, service: &str, id: &str, load: u32) {
+    pub fn apply_load_report(&mut self, service: &str, id: &str, load: u32) {
         let Some(routes) = self.services.get_mut(service) else { return };
         let concurrency = routes.concurrency;
         let Some(route) = routes.endpoints.get_mut(id) else { return };
-        route.report_load(load, concurrency);
+        route.apply_load_report(load, concurrency);
     }
 
     /// Applies a cache event. After a gap in the events, the blocks stored before it are kept:
     /// dropping all of them would cost more than an occasional wrong estimate.
-    pub fn report_cache(&mut self, service: &str, id: &str, event: &CacheChange) {
+    pub fn apply_cache_event(&mut self, service: &str, id: &str, event: &CacheChange) {
         if let Some(route) = self.route(service, id) {
             route.cache_sequence = route.cache_sequence.max(event.sequence);
             route.cache.insert(&event.stored);
--- a/src/native/decide/routing/endpoint_route.rs
+++ b/src/native/decide/routing/endpoint_route.rs
@@ -62,7 +62,7 @@
     }
 
     /// Applies a load report: the number of running and waiting requests.
-    pub fn report_load(&mut self, load: u32, concurrency: u32) {
+    pub fn apply_load_report(&mut self, load: u32, concurrency: u32) {
         self.reported = load;
         self.net_starts = 0;
         let kept = if load > concurrency { OVERLOAD_KEEP_FRACTION } else { 1.0 };
--- a/src/native/serve/services/router.rs
+++ b/src/native/serve/services/router.rs
@@ -143,12 +143,12 @@
                 self.serve_queue(&service);
             }
             RouterMessage::Load { service, id, load } => {
-                self.routes.report_load(&service, &id, load);
+                self.routes.apply_load_report(&service, &id, load);
                 self.serve_queue(&service);
             }
             RouterMessage::Cache { service, id, changes } => {
                 for change in &changes {
-                    self.routes.report_cache(&service, &id, change);
+                    self.routes.apply_cache_event(&service, &id, change);
                 }
             }
             RouterMessage::Status(reply) => send_reply(reply, self.status()),
