--- a/src/native/decide/limits.rs
+++ b/src/native/decide/limits.rs
@@ -153,7 +153,7 @@
 
     /// Demand of each account at this daemon, for the exchange with other daemons. Called once per
     /// epoch, when the average of the epoch before becomes the current one.
-    pub fn demand(&mut self, now: Instant) -> HashMap<SharedName, f64> {
+    pub fn publish_demand(&mut self, now: Instant) -> HashMap<SharedName, f64> {
         for bucket in self.accounts.values_mut() {
             bucket.refill(now);
         }
--- a/src/native/serve/services/limit_service.rs
+++ b/src/native/serve/services/limit_service.rs
@@ -166,7 +166,7 @@
         let wall_clock_ms = crate::wall_clock_ms();
         let loads = &self.loads;
         let demand = || {
-            let mut demand = limiter.demand(now);
+            let mut demand = limiter.publish_demand(now);
             let loads = loads.borrow();
             demand.extend(loads.iter().map(|(name, load)| (service_demand_name(name), *load)));
             demand
--- a/tests/native/decisions/limits.rs
+++ b/tests/native/decisions/limits.rs
@@ -45,7 +45,7 @@
         for index in 0..daemons {
             let limiter = &mut self.limiters[index];
             let averaging = &mut self.averagings[index];
-            if averaging.enter(self.now_ms, &self.order, || limiter.demand(now)) {
+            if averaging.enter(self.now_ms, &self.order, || limiter.publish_demand(now)) {
                 limiter.set_averages(averaging.result().clone(), daemons);
             }
         }
