--- a/src/gateway/gossip/endpoint_signals/limits.rs
+++ b/src/gateway/gossip/endpoint_signals/limits.rs
@@ -19,7 +19,7 @@
                 limits::{LimitChange, LimitedEndpoint},
             },
             request_limit::{HolderShare, holder_count, holder_rate},
-            signal_ledger::{EndpointLimit, LimitWord, NumberedStart},
+            signal_ledger::{EndpointLimit, LimitObservation, NumberedStart},
         },
     },
     ids::hash_parts,
@@ -32,10 +32,10 @@
 /// Limits for another daemon.
 pub fn own_limits(context: &GatewayContext, now: Instant) -> Vec<ReportedLimit> {
     let limits = context.endpoints.borrow().limits(now, &mut rand::rng()).into_iter();
-    let report = |EndpointLimit { start, word }| ReportedLimit {
+    let report = |EndpointLimit { start, observation }| ReportedLimit {
         start,
-        limit: word.limit,
-        age: now.saturating_duration_since(word.at),
+        limit: observation.limit,
+        age: now.saturating_duration_since(observation.at),
     };
     limits.map(report).collect()
 }
@@ -45,8 +45,8 @@
     let receive = |reported: &ReportedLimit| {
         // What was said before the start of the clock will be said again.
         let at = now.checked_sub(reported.age)?;
-        let word = LimitWord { limit: reported.limit, at };
-        let limit = EndpointLimit { start: reported.start, word };
+        let observation = LimitObservation { limit: reported.limit, at };
+        let limit = EndpointLimit { start: reported.start, observation };
         context.endpoints.borrow_mut().receive_limit(limit, now)
     };
     let changes: Vec<LimitChange> = reported.iter().filter_map(receive).collect();
@@ -118,8 +118,8 @@
 pub fn note_response(context: &GatewayContext, endpoint: &str, limit: Option<f64>, sent: Instant) {
     let now = true_time::now();
     let at = if limit.is_some() { now } else { sent };
-    let word = LimitWord { limit, at };
-    let change = context.endpoints.borrow_mut().record_limit(endpoint, word, now);
+    let observation = LimitObservation { limit, at };
+    let change = context.endpoints.borrow_mut().record_limit(endpoint, observation, now);
     if let Some(change) = change {
         note_changes(context, &[change], "response", now);
     }
--- a/src/gateway/policy/endpoint/endpoint_status.rs
+++ b/src/gateway/policy/endpoint/endpoint_status.rs
@@ -55,7 +55,9 @@
             has_ended: false,
             is_draining: held.draining_since.is_some(),
             pause: EndpointPause::with_backoff(held.backoff_until),
-            limit: held.limit.and_then(|word| Some(LimitBucket::new(word.limit?, word.at))),
+            limit: held
+                .limit
+                .and_then(|observation| Some(LimitBucket::new(observation.limit?, observation.at))),
         }
     }
 
--- a/src/gateway/policy/endpoint/endpoint_table/limits.rs
+++ b/src/gateway/policy/endpoint/endpoint_table/limits.rs
@@ -12,7 +12,7 @@
             endpoint_status::EndpointStatus,
             request_limit::{HolderShare, LimitBucket},
             service_demand::DemandRate,
-            signal_ledger::{EndpointLimit, LimitWord, NumberedStart},
+            signal_ledger::{EndpointLimit, LimitObservation, NumberedStart},
         },
     },
     ids::SharedName,
@@ -43,9 +43,14 @@
 impl EndpointTable {
     /// An endpoint has said something of its limit in a response, or nothing; the change, if it is
     /// one.
-    pub fn record_limit(&mut self, id: &str, word: LimitWord, now: Instant) -> Option<LimitChange> {
+    pub fn record_limit(
+        &mut self,
+        id: &str,
+        observation: LimitObservation,
+        now: Instant,
+    ) -> Option<LimitChange> {
         let start = self.endpoints.get(id)?.start();
-        self.signals.record_limit(EndpointLimit { start, word }, now);
+        self.signals.record_limit(EndpointLimit { start, observation }, now);
         self.apply_limit(id, now)
     }
 
--- a/src/gateway/policy/endpoint/signal_ledger.rs
+++ b/src/gateway/policy/endpoint/signal_ledger.rs
@@ -31,7 +31,7 @@
 use rand::{Rng, seq::IteratorRandom};
 use tokio::time::Instant;
 
-pub use self::held_signals::{HeldSignals, LimitWord};
+pub use self::held_signals::{HeldSignals, LimitObservation};
 
 /// Time for which other daemons are told that an endpoint drains, or that its limit has ended: some
 /// gossip rounds of a large fleet. Daemons that start later hear it from the endpoint.
@@ -83,7 +83,7 @@
     /// The endpoint.
     pub start: NumberedStart,
     /// What it has said.
-    pub word: LimitWord,
+    pub observation: LimitObservation,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -118,19 +118,19 @@
 
     /// Takes what an endpoint has said of its limit to this daemon.
     pub fn record_limit(&mut self, limit: EndpointLimit, now: Instant) {
-        let EndpointLimit { start, word } = limit;
-        if word.limit.is_none() && self.of(start).limit.is_none() {
+        let EndpointLimit { start, observation } = limit;
+        if observation.limit.is_none() && self.of(start).limit.is_none() {
             return;
         }
         if let Some(entry) = self.entry_of(start, now) {
-            entry.signals.record_limit(word);
+            entry.signals.record_limit(observation);
         }
     }
 
     /// Takes what an endpoint has said of its limit to another daemon.
     pub fn receive_limit(&mut self, limit: EndpointLimit, now: Instant) {
         if let Some(entry) = self.entry_of(limit.start, now) {
-            entry.signals.receive_limit(limit.word);
+            entry.signals.receive_limit(limit.observation);
         }
     }
 
@@ -142,7 +142,7 @@
             let HeldSignals { limit, limit_ended_at, .. } = entry.signals;
             let is_over = |at: Instant| now.saturating_duration_since(at) >= TOLD_FOR;
             let is_told = !limit_ended_at.is_some_and(is_over);
-            limit.filter(|_| is_told).map(|word| EndpointLimit { start, word })
+            limit.filter(|_| is_told).map(|observation| EndpointLimit { start, observation })
         });
         told.sample(rng, MAX_LIMITS_TOLD)
     }
--- a/src/gateway/policy/endpoint/signal_ledger/held_signals.rs
+++ b/src/gateway/policy/endpoint/signal_ledger/held_signals.rs
@@ -12,7 +12,7 @@
 
 /// What an endpoint has said of its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitWord {
+pub struct LimitObservation {
     /// Requests a second; none if it takes as many as come.
     pub limit: Option<f64>,
     /// When a response came that names it, or the request was sent whose response names none.
@@ -29,7 +29,7 @@
     /// When it last refused a request of any daemon for no known reason, or failed one.
     pub not_served_at: Option<Instant>,
     /// What it said last of its limit.
-    pub limit: Option<LimitWord>,
+    pub limit: Option<LimitObservation>,
     /// Since when it names none, if it has named one.
     pub limit_ended_at: Option<Instant>,
 }
@@ -41,34 +41,36 @@
     }
 
     /// Takes what it has said to this daemon. That it names no limit is kept only where one was known.
-    pub(super) fn record_limit(&mut self, word: LimitWord) {
-        let is_later = self.limit.map_or(word.limit.is_some(), |known| word.at > known.at);
+    pub(super) fn record_limit(&mut self, observation: LimitObservation) {
+        let is_later =
+            self.limit.map_or(observation.limit.is_some(), |known| observation.at > known.at);
         if is_later {
-            self.set_limit(word);
+            self.set_limit(observation);
         }
     }
 
-    fn set_limit(&mut self, word: LimitWord) {
-        self.limit_ended_at = match (self.limit_per_second(), word.limit) {
+    fn set_limit(&mut self, observation: LimitObservation) {
+        self.limit_ended_at = match (self.limit_per_second(), observation.limit) {
             (_, Some(_)) => None,
-            (Some(_), None) => Some(word.at),
-            (None, None) => self.limit_ended_at.or(Some(word.at)),
+            (Some(_), None) => Some(observation.at),
+            (None, None) => self.limit_ended_at.or(Some(observation.at)),
         };
-        self.limit = Some(word);
+        self.limit = Some(observation);
     }
 
     /// Takes what it has said to another daemon.
-    pub(super) fn receive_limit(&mut self, word: LimitWord) {
+    pub(super) fn receive_limit(&mut self, observation: LimitObservation) {
         match self.limit {
-            Some(known) if word.at + REPORT_SKEW <= known.at => {}
+            Some(known) if observation.at + REPORT_SKEW <= known.at => {}
             // Ages look smaller by what messages took: either may be the later one. One that has ended is
-            // taken up with the time of the report, or it would go round as a later and later word.
-            Some(known) if word.at <= known.at + REPORT_SKEW => {
-                let limit = least_limit(known.limit, word.limit);
-                let at = if known.limit.is_none() { known.at.min(word.at) } else { known.at };
-                self.set_limit(LimitWord { limit, at });
+            // taken up with the time of the report, or it would go round as a later and later observation.
+            Some(known) if observation.at <= known.at + REPORT_SKEW => {
+                let limit = least_limit(known.limit, observation.limit);
+                let at =
+                    if known.limit.is_none() { known.at.min(observation.at) } else { known.at };
+                self.set_limit(LimitObservation { limit, at });
             }
-            _ => self.set_limit(word),
+            _ => self.set_limit(observation),
         }
     }
 
--- a/tests/gateway/limit_model.rs
+++ b/tests/gateway/limit_model.rs
@@ -27,7 +27,7 @@
         policy::endpoint::{
             endpoint_load::{ReportedLoads, RunLoad, ServiceCounters},
             endpoint_table::EndpointTable,
-            signal_ledger::{EndpointLimit, LimitWord},
+            signal_ledger::{EndpointLimit, LimitObservation},
         },
     },
     ids::{IncarnationId, SharedName},
@@ -184,8 +184,8 @@
         while self.now < self.began + LENGTH {
             if !is_named && self.now >= self.began + NAMED_AT {
                 is_named = true;
-                let word = LimitWord { limit: Some(limit), at: self.now };
-                self.daemons[0].endpoints.record_limit(ENDPOINT, word, self.now);
+                let observation = LimitObservation { limit: Some(limit), at: self.now };
+                self.daemons[0].endpoints.record_limit(ENDPOINT, observation, self.now);
                 let count = self.daemons.len();
                 self.daemons[0].divide(count, self.now);
             }
--- a/tests/gateway/limit_rules.rs
+++ b/tests/gateway/limit_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of limits that endpoints name: which word holds, for which start, what a share allows, and
+//! Rules of limits that endpoints name: which observation holds, for which start, what a share allows, and
 //! what follows when a limit ends. Times are given, nothing waits.
 
 use googletest::prelude::*;
@@ -13,7 +13,7 @@
         endpoint_table::EndpointTable,
         request_limit::{HolderShare, LimitBucket, believed_limit, holder_count, holder_rate},
         room_forecast::RoomForecast,
-        signal_ledger::{EndpointLimit, LimitWord, NumberedStart},
+        signal_ledger::{EndpointLimit, LimitObservation, NumberedStart},
     },
 };
 
@@ -31,12 +31,12 @@
 }
 
 fn names(table: &mut EndpointTable, id: &str, limit: Option<f64>, at: Instant) {
-    table.record_limit(id, LimitWord { limit, at }, at);
+    table.record_limit(id, LimitObservation { limit, at }, at);
 }
 
 fn reported(id: &str, born: u64, limit: Option<f64>, at: Instant) -> EndpointLimit {
     let start = NumberedStart { endpoint: endpoint_number(id), born };
-    EndpointLimit { start, word: LimitWord { limit, at } }
+    EndpointLimit { start, observation: LimitObservation { limit, at } }
 }
 
 fn limit_of(table: &EndpointTable, id: &str) -> Option<f64> {
@@ -100,7 +100,7 @@
     expect_that!(limit_of(&table, "i-0"), some(eq(1.6)));
     table.receive_limit(reported("i-0", BORN, None, now + seconds(1.0)), now);
     expect_that!(limit_of(&table, "i-0"), none());
-    // Those that still hold the earlier word bring nothing back.
+    // Those that still hold the earlier observation bring nothing back.
     table.receive_limit(reported("i-0", BORN, Some(1.6), now + seconds(0.3)), now);
     expect_that!(limit_of(&table, "i-0"), none());
 }
@@ -134,7 +134,7 @@
         table.receive_limit(told, at);
         told = table.limits(at, &mut rng)[0];
     }
-    expect_that!(told.word.limit, none());
+    expect_that!(told.observation.limit, none());
 }
 
 #[googletest::test]
