--- a/src/gateway/policy/endpoint/endpoint_pause.rs
+++ b/src/gateway/policy/endpoint/endpoint_pause.rs
@@ -75,7 +75,7 @@
 
 /// Place of one of the requests that come slowly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProbeTicket {
+pub struct ProbePermit {
     window: u32,
 }
 
@@ -96,7 +96,7 @@
     set_back_at: Option<Instant>,
     /// None while requests need not come slowly.
     probe: Option<ProbeWindow>,
-    /// Number of the newest window; tickets of earlier ones are void.
+    /// Number of the newest window; permits of earlier ones are void.
     windows: u32,
 }
 
@@ -239,17 +239,17 @@
         self.probe.is_some_and(|probe| now < probe.risky_until)
     }
 
-    /// A request is sent; a ticket if requests come slowly.
-    pub fn begin(&mut self) -> Option<ProbeTicket> {
+    /// A request is sent; a permit if requests come slowly.
+    pub fn begin(&mut self) -> Option<ProbePermit> {
         let probe = self.probe.as_mut()?;
         probe.waiting += 1;
-        Some(ProbeTicket { window: self.windows })
+        Some(ProbePermit { window: self.windows })
     }
 
     /// The endpoint, which has so many slots, has run a request.
-    pub fn ran(&mut self, ticket: Option<ProbeTicket>, slots: u32, now: Instant) {
+    pub fn ran(&mut self, permit: Option<ProbePermit>, slots: u32, now: Instant) {
         self.ran_at = Some(now);
-        let Some(probe) = self.window_of(ticket) else { return };
+        let Some(probe) = self.window_of(permit) else { return };
         probe.waiting = probe.waiting.saturating_sub(1);
         probe.allowed = probe.allowed.saturating_mul(2);
         let is_over = probe.allowed >= slots;
@@ -260,14 +260,14 @@
     }
 
     /// A request has ended without a word on whether it was taken.
-    pub fn ended(&mut self, ticket: Option<ProbeTicket>) {
-        if let Some(probe) = self.window_of(ticket) {
+    pub fn ended(&mut self, permit: Option<ProbePermit>) {
+        if let Some(probe) = self.window_of(permit) {
             probe.waiting = probe.waiting.saturating_sub(1);
         }
     }
 
-    fn window_of(&mut self, ticket: Option<ProbeTicket>) -> Option<&mut ProbeWindow> {
-        ticket.filter(|ticket| ticket.window == self.windows)?;
+    fn window_of(&mut self, permit: Option<ProbePermit>) -> Option<&mut ProbeWindow> {
+        permit.filter(|permit| permit.window == self.windows)?;
         self.probe.as_mut()
     }
 }
--- a/src/gateway/policy/endpoint/endpoint_table/attempt_results.rs
+++ b/src/gateway/policy/endpoint/endpoint_table/attempt_results.rs
@@ -12,7 +12,7 @@
         call::PromptPart,
         policy::endpoint::{
             endpoint_load::RunLoad,
-            endpoint_pause::{ProbeTicket, RefusalKind},
+            endpoint_pause::{ProbePermit, RefusalKind},
             prompt_cache::part_chain,
             signal_ledger::{EndpointWarning, NumberedStart, WarningKind},
         },
@@ -26,9 +26,9 @@
 
 /// What a request needed to be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RunTickets {
+pub struct RunPermits {
     /// Place of one of the first requests after a pause.
-    pub probe: Option<ProbeTicket>,
+    pub probe: Option<ProbePermit>,
     /// Whether it has a token of the endpoint's limit.
     pub has_token: bool,
 }
@@ -62,8 +62,8 @@
         parts: &[PromptPart],
         load: RunLoad,
         now: Instant,
-    ) -> RunTickets {
-        let Some(status) = self.endpoints.get_mut(id) else { return RunTickets::default() };
+    ) -> RunPermits {
+        let Some(status) = self.endpoints.get_mut(id) else { return RunPermits::default() };
         if load.uncached_tokens > 0 {
             let counters = self.services.entry(status.record.service.clone()).or_default();
             counters.uncached_tokens += load.uncached_tokens;
@@ -73,7 +73,7 @@
         status.own.memory_tokens += load.memory_tokens;
         status.cache.remember(&part_chain(parts));
         let has_token = status.limit.as_mut().is_some_and(|limit| limit.try_take(now));
-        RunTickets { probe: status.pause.begin(), has_token }
+        RunPermits { probe: status.pause.begin(), has_token }
     }
 
     /// The prompt of an attempt has been read, `taken` after it was sent. `alone` says that
@@ -159,14 +159,14 @@
     pub fn record_intake(
         &mut self,
         id: &str,
-        ticket: Option<ProbeTicket>,
+        permit: Option<ProbePermit>,
         intake: RequestIntake,
         now: Instant,
     ) {
         let Some(status) = self.endpoints.get_mut(id) else { return };
         match intake {
-            RequestIntake::Ran => status.pause.ran(ticket, status.record.slots, now),
-            RequestIntake::Unknown => status.pause.ended(ticket),
+            RequestIntake::Ran => status.pause.ran(permit, status.record.slots, now),
+            RequestIntake::Unknown => status.pause.ended(permit),
         }
     }
 
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -13,7 +13,7 @@
         gossip::endpoint_signals::limits::note_response,
         policy::endpoint::{
             endpoint_load::RunLoad,
-            endpoint_table::attempt_results::{FoundFailing, RequestIntake, RunTickets},
+            endpoint_table::attempt_results::{FoundFailing, RequestIntake, RunPermits},
         },
     },
     true_time,
@@ -27,7 +27,7 @@
     load: RunLoad,
     begun: Instant,
     /// Its probe is taken away when the endpoint responds.
-    tickets: RunTickets,
+    permits: RunPermits,
     /// Whether the request has been sent, or may have been.
     is_sent: bool,
     /// Whether no other prompt was known to wait at the endpoint, so that the time to the first
@@ -49,14 +49,14 @@
         let begun = true_time::now();
         let mut endpoints = context.endpoints.borrow_mut();
         let alone = endpoints.is_idle(&endpoint.id, begun);
-        let tickets = endpoints.begin(&endpoint.id, parts, load, begun);
+        let permits = endpoints.begin(&endpoint.id, parts, load, begun);
         drop(endpoints);
         Self {
             context,
             endpoint: endpoint.clone(),
             load,
             begun,
-            tickets,
+            permits,
             is_sent: false,
             alone,
             has_failed: false,
@@ -72,10 +72,10 @@
         if !endpoints.may_be_sent(&self.endpoint, now) {
             return false;
         }
-        if !self.tickets.has_token {
-            self.tickets.has_token = endpoints.try_take_token(&self.endpoint.id, now);
+        if !self.permits.has_token {
+            self.permits.has_token = endpoints.try_take_token(&self.endpoint.id, now);
         }
-        self.is_sent = self.tickets.has_token;
+        self.is_sent = self.permits.has_token;
         self.is_sent
     }
 
@@ -91,7 +91,7 @@
 
     /// The endpoint has refused the request; `backoff` is the time for which it wants no others.
     pub fn endpoint_refused(&mut self, backoff: Option<Duration>) {
-        self.tickets.probe = None;
+        self.permits.probe = None;
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
             endpoints.record_refusal(&self.endpoint.id, backoff, true_time::now());
@@ -103,18 +103,18 @@
         if self.has_failed {
             return;
         }
-        let ticket = self.tickets.probe.take();
+        let permit = self.permits.probe.take();
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
             let now = true_time::now();
-            endpoints.record_intake(&self.endpoint.id, ticket, RequestIntake::Ran, now);
+            endpoints.record_intake(&self.endpoint.id, permit, RequestIntake::Ran, now);
         }
     }
 
     /// The endpoint has run the request and failed.
     pub fn endpoint_failed(&mut self) {
         self.has_failed = true;
-        self.tickets.probe = None;
+        self.permits.probe = None;
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
             let found = endpoints.record_failure(&self.endpoint.id, self.begun, true_time::now());
@@ -200,11 +200,11 @@
             return;
         }
         let now = true_time::now();
-        if self.tickets.has_token && !self.is_sent {
+        if self.permits.has_token && !self.is_sent {
             endpoints.give_back_token(&self.endpoint.id);
         }
-        let ticket = self.tickets.probe.take();
-        endpoints.record_intake(&self.endpoint.id, ticket, RequestIntake::Unknown, now);
+        let permit = self.permits.probe.take();
+        endpoints.record_intake(&self.endpoint.id, permit, RequestIntake::Unknown, now);
         let found = endpoints.end(&self.endpoint.id, self.load, self.result, self.begun, now);
         note_failing(&self.context, &self.endpoint, found);
     }
--- a/tests/gateway/failure_rules.rs
+++ b/tests/gateway/failure_rules.rs
@@ -29,12 +29,12 @@
 }
 
 fn play(table: &mut EndpointTable, id: &str, result: AttemptResult, now: Instant) {
-    let tickets = table.begin(id, &[], RunLoad::default(), now);
+    let permits = table.begin(id, &[], RunLoad::default(), now);
     let intake = match result {
         AttemptResult::Succeeded => RequestIntake::Ran,
         _ => RequestIntake::Unknown,
     };
-    table.record_intake(id, tickets.probe, intake, now);
+    table.record_intake(id, permits.probe, intake, now);
     table.end(id, RunLoad::default(), result, now, now);
 }
 
--- a/tests/gateway/limit_model.rs
+++ b/tests/gateway/limit_model.rs
@@ -147,8 +147,8 @@
         if self.endpoints.limited().is_empty() {
             return self.has_contact;
         }
-        let tickets = self.endpoints.begin(ENDPOINT, &[], RunLoad::default(), now);
-        self.has_contact && tickets.has_token
+        let permits = self.endpoints.begin(ENDPOINT, &[], RunLoad::default(), now);
+        self.has_contact && permits.has_token
     }
 }
 
--- a/tests/gateway/limit_rules.rs
+++ b/tests/gateway/limit_rules.rs
@@ -173,8 +173,8 @@
     expect_that!(chosen(&table, &[], now + seconds(1.9)), none());
     let later = now + seconds(2.1);
     expect_that!(chosen(&table, &[], later), some(eq("i-0")));
-    let tickets = table.begin("i-0", &[], RunLoad::default(), later);
-    expect_true!(tickets.has_token);
+    let permits = table.begin("i-0", &[], RunLoad::default(), later);
+    expect_true!(permits.has_token);
     expect_that!(chosen(&table, &[], later), none());
     // Nothing was sent.
     table.give_back_token("i-0");
@@ -188,8 +188,8 @@
 fn request_that_was_chosen_before_the_limit_was_known_needs_a_token() {
     let now = start();
     let mut table = table(&["i-0"], now);
-    let tickets = table.begin("i-0", &[], RunLoad::default(), now);
-    expect_false!(tickets.has_token);
+    let permits = table.begin("i-0", &[], RunLoad::default(), now);
+    expect_false!(permits.has_token);
     expect_true!(table.try_take_token("i-0", now));
     names(&mut table, "i-0", Some(1.6), now);
     expect_false!(table.try_take_token("i-0", now));
--- a/tests/gateway/signal_rules.rs
+++ b/tests/gateway/signal_rules.rs
@@ -190,15 +190,15 @@
     let later = now + seconds(1.1);
     let mut admitted = Vec::new();
     while pause.probe().is_some() {
-        let mut tickets = Vec::new();
+        let mut permits = Vec::new();
         while pause.takes_request(later) {
-            tickets.push(pause.begin());
+            permits.push(pause.begin());
         }
-        admitted.push(tickets.len());
+        admitted.push(permits.len());
         // The others end without a response.
-        let (first, others) = tickets.split_first().expect("a request");
+        let (first, others) = permits.split_first().expect("a request");
         pause.ran(*first, SLOTS, later);
-        others.iter().for_each(|ticket| pause.ended(*ticket));
+        others.iter().for_each(|permit| pause.ended(*permit));
     }
     expect_that!(admitted, elements_are![eq(&1), eq(&2), eq(&4)]);
 }
