--- a/src/gateway/policy/endpoint/endpoint_choice.rs
+++ b/src/gateway/policy/endpoint/endpoint_choice.rs
@@ -77,7 +77,7 @@
     /// Whether another endpoint may be tried if this one refuses.
     pub may_retry: bool,
     /// Whether another endpoint may be tried if this one fails.
-    pub survives_failure: bool,
+    pub may_retry_after_failure: bool,
 }
 
 impl ChoiceQuery<'_> {
@@ -175,7 +175,7 @@
 /// others; not if these are most of them.
 fn avoids_failures(candidates: &[&EndpointStatus], query: &ChoiceQuery<'_>, now: Instant) -> bool {
     let outliers = candidates.iter().filter(|status| status.failures.is_outlier(now)).count();
-    !query.survives_failure && outliers * 2 <= candidates.len()
+    !query.may_retry_after_failure && outliers * 2 <= candidates.len()
 }
 
 /// Cost of an endpoint that may refuse the request or fail, in milliseconds.
--- a/src/gateway/request/attempt/choice.rs
+++ b/src/gateway/request/attempt/choice.rs
@@ -103,7 +103,7 @@
         memory_capacity: admitted.service.engine.as_ref().map(|engine| engine.memory_tokens),
         load_age: context.peers.borrow().report_age(),
         may_retry,
-        survives_failure: may_retry && admitted.route.kind.may_run_again(),
+        may_retry_after_failure: may_retry && admitted.route.kind.may_run_again(),
     }
 }
 
--- a/tests/gateway/choice_inputs.rs
+++ b/tests/gateway/choice_inputs.rs
@@ -54,6 +54,6 @@
         memory_capacity: None,
         load_age: Duration::ZERO,
         may_retry,
-        survives_failure: may_retry,
+        may_retry_after_failure: may_retry,
     }
 }
--- a/tests/gateway/endpoint_choice.rs
+++ b/tests/gateway/endpoint_choice.rs
@@ -69,7 +69,7 @@
         memory_capacity: Some(100_000),
         load_age: Duration::ZERO,
         may_retry: true,
-        survives_failure: true,
+        may_retry_after_failure: true,
     }
 }
 
--- a/tests/gateway/failure_rules.rs
+++ b/tests/gateway/failure_rules.rs
@@ -39,8 +39,8 @@
 }
 
 /// Whether an endpoint is chosen in any of many draws.
-fn is_chosen(table: &EndpointTable, id: &str, survives_failure: bool, now: Instant) -> bool {
-    let query = ChoiceQuery { survives_failure, ..query(&[], true) };
+fn is_chosen(table: &EndpointTable, id: &str, may_retry_after_failure: bool, now: Instant) -> bool {
+    let query = ChoiceQuery { may_retry_after_failure, ..query(&[], true) };
     (0..40).any(|seed| match table.choose(&query, now, &mut SmallRng::seed_from_u64(seed)) {
         ChoiceResult::Endpoint(choice) => &*choice.endpoint.id == id,
         _ => false,
