--- a/src/gateway/policy/endpoint/endpoint_pause.rs
+++ b/src/gateway/policy/endpoint/endpoint_pause.rs
@@ -60,7 +60,7 @@
 impl RefusalKind {
     /// The kind of a refusal that names a time or none, by an endpoint that is busy or not.
     pub fn of(asked: Option<Duration>, is_busy: bool) -> Self {
-        match (believed_backoff(asked), is_busy) {
+        match (plausible_backoff(asked), is_busy) {
             (Some(backoff), _) => Self::BackOff(backoff),
             (None, true) => Self::Busy,
             (None, false) => Self::Unexplained,
@@ -69,7 +69,7 @@
 }
 
 /// Time for which an endpoint wants no requests, if it is one that is believed.
-fn believed_backoff(asked: Option<Duration>) -> Option<Duration> {
+fn plausible_backoff(asked: Option<Duration>) -> Option<Duration> {
     asked.filter(|backoff| *backoff <= LONGEST_BACKOFF)
 }
 
--- a/src/gateway/policy/endpoint/request_limit.rs
+++ b/src/gateway/policy/endpoint/request_limit.rs
@@ -38,7 +38,7 @@
 const LEAST_DEMAND: f64 = 1.0;
 
 /// A limit that an endpoint has named, in requests a second; none if it is too great to mean one.
-pub fn believed_limit(named: f64) -> Option<f64> {
+pub fn plausible_limit(named: f64) -> Option<f64> {
     (named < GREATEST_LIMIT).then_some(named)
 }
 
--- a/src/gateway/request/attempt/judge.rs
+++ b/src/gateway/request/attempt/judge.rs
@@ -17,7 +17,7 @@
     gateway::{
         context::GatewayContext,
         policy::{
-            endpoint::request_limit::believed_limit,
+            endpoint::request_limit::plausible_limit,
             request::{
                 refusal::promises_no_run,
                 retries::{AttemptFailure, is_endpoint_failure},
@@ -76,7 +76,7 @@
     // An endpoint names a limit when it is in need: what it gets beyond is more than it can serve.
     match (signs.meaning, signs.signals.limit) {
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::PerSecond(limit)) => {
-            guard.endpoint_limits(believed_limit(limit));
+            guard.endpoint_limits(plausible_limit(limit));
         }
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::NotSaid) => {
             guard.endpoint_limits(None);
--- a/tests/gateway/limit_rules.rs
+++ b/tests/gateway/limit_rules.rs
@@ -11,7 +11,7 @@
         endpoint_choice::{ChoiceQuery, ChoiceResult},
         endpoint_load::{RunLoad, endpoint_number},
         endpoint_table::EndpointTable,
-        request_limit::{HolderShare, LimitBucket, believed_limit, holder_count, holder_rate},
+        request_limit::{HolderShare, LimitBucket, holder_count, holder_rate, plausible_limit},
         room_forecast::RoomForecast,
         signal_ledger::{EndpointLimit, LimitObservation, NumberedStart},
     },
@@ -269,8 +269,8 @@
 
 #[googletest::test]
 fn limits_beyond_belief_are_none() {
-    expect_that!(believed_limit(1e12), none());
-    expect_that!(believed_limit(0.0), some(eq(0.0)));
+    expect_that!(plausible_limit(1e12), none());
+    expect_that!(plausible_limit(0.0), some(eq(0.0)));
 }
 
 #[googletest::test]
