--- a/src/gateway/policy/endpoint/endpoint_table.rs
+++ b/src/gateway/policy/endpoint/endpoint_table.rs
@@ -147,7 +147,7 @@
     }
 
     /// Whether an endpoint has told when it started; once it has, all its entries do.
-    pub fn tells_start(&self, id: &str) -> bool {
+    pub fn reports_start(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|status| status.record.born != 0)
     }
 
--- a/src/gateway/store_watch/endpoint_watch.rs
+++ b/src/gateway/store_watch/endpoint_watch.rs
@@ -118,7 +118,7 @@
     /// The endpoint that an entry names, if it names one.
     fn decode(&mut self, object: &StoredObject) -> Option<Rc<EndpointRecord>> {
         let reason = match endpoints::decode(object.name.clone(), object.value.as_bytes()) {
-            Ok(record) if record.born != 0 || !self.tells_start(&record.id) => {
+            Ok(record) if record.born != 0 || !self.reports_start(&record.id) => {
                 self.foreign.forget(&record.id);
                 return Some(Rc::new(record));
             }
@@ -129,8 +129,8 @@
         None
     }
 
-    fn tells_start(&self, id: &str) -> bool {
-        self.context.endpoints.borrow().tells_start(id)
+    fn reports_start(&self, id: &str) -> bool {
+        self.context.endpoints.borrow().reports_start(id)
     }
 
     fn publish(&self, known: &KnownEndpoints) {
