--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -27,7 +27,7 @@
             readiness::{MAX_CLIENT_CONNECTIONS, Readiness, ReadinessInputs},
             store_watchers::{StoreWatch, WatcherElection, is_store_failing},
         },
-        endpoint::{endpoint_starts::lost_entries::EntryMemory, endpoint_table::EndpointTable},
+        endpoint::{endpoint_starts::lost_entries::EntryHistory, endpoint_table::EndpointTable},
         leader::{
             leader_lease::LeaderLease, usage_counts::UsageCounts, wall_clock::SteadyWallClock,
         },
@@ -66,7 +66,7 @@
     /// Endpoints to use: as listed, but for what a store that was restored from a copy lacks.
     pub endpoint_list: RefCell<EndpointList>,
     /// What the store has listed of endpoints, across its eras.
-    pub entry_memory: RefCell<EntryMemory>,
+    pub entry_history: RefCell<EntryHistory>,
     /// Loads and health of the endpoints.
     pub endpoints: RefCell<EndpointTable>,
     /// Quotas of accounts.
--- a/src/gateway/context/store_contents.rs
+++ b/src/gateway/context/store_contents.rs
@@ -87,7 +87,7 @@
         let now = true_time::now();
         self.expect_peers_at_start(self.endpoint_list.borrow().position.is_none(), now);
         self.note_endpoint_era(list.position.era(), now);
-        self.entry_memory.borrow_mut().apply(list, now);
+        self.entry_history.borrow_mut().apply(list, now);
         self.use_endpoints(now);
         true
     }
@@ -102,7 +102,7 @@
     /// Notes an era in which endpoints are listed. In a new one those that drain are remembered: the
     /// store may no longer say so.
     pub fn note_endpoint_era(&self, era: StoreEra, now: Instant) {
-        let drained = self.entry_memory.borrow_mut().begin_era(era);
+        let drained = self.entry_history.borrow_mut().begin_era(era);
         let mut endpoints = self.endpoints.borrow_mut();
         for start in drained {
             let warning = EndpointWarning { start, kind: WarningKind::Draining, at: now };
@@ -112,7 +112,7 @@
 
     /// Uses other endpoints once those that a restored copy of the store lacks had time to write again.
     pub fn end_write_again(&self, now: Instant) {
-        if self.entry_memory.borrow_mut().ends_write_again(now) {
+        if self.entry_history.borrow_mut().end_rewrite_period(now) {
             self.use_endpoints(now);
             let count = self.endpoint_list.borrow().endpoints.len();
             spdlog::info!("endpoints", kv: { count, source = "time to write again is over" });
@@ -120,7 +120,7 @@
     }
 
     fn use_endpoints(&self, now: Instant) {
-        let used = self.entry_memory.borrow().used();
+        let used = self.entry_history.borrow().used();
         self.endpoints.borrow_mut().set_list(&used, now);
         *self.endpoint_list.borrow_mut() = used;
     }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -23,7 +23,7 @@
         daemon::{
             catch_up::CatchUpState, peer_contact::PeerContact, store_watchers::WatcherElection,
         },
-        endpoint::{endpoint_starts::lost_entries::EntryMemory, endpoint_table::EndpointTable},
+        endpoint::{endpoint_starts::lost_entries::EntryHistory, endpoint_table::EndpointTable},
         leader::{
             leader_lease::LeaderLease, usage_counts::UsageCounts, wall_clock::SteadyWallClock,
         },
@@ -109,7 +109,7 @@
         store: StoreClient::new(settings.store_address),
         configuration: RefCell::new(ConfigurationState::default()),
         endpoint_list: RefCell::new(EndpointList::default()),
-        entry_memory: RefCell::new(EntryMemory::new(settings.entry_lapse)),
+        entry_history: RefCell::new(EntryHistory::new(settings.entry_lapse)),
         endpoints: RefCell::new(EndpointTable::new(settings.zone.clone())),
         quotas: RefCell::new(empty_quotas(&settings.bounds, now)),
         retry_budgets: RefCell::new(retry_budgets(&settings.bounds)),
--- a/src/gateway/policy/endpoint/endpoint_starts/lost_entries.rs
+++ b/src/gateway/policy/endpoint/endpoint_starts/lost_entries.rs
@@ -52,7 +52,7 @@
 
 /// Entries of endpoints as the store has listed them, across its eras.
 #[derive(Debug)]
-pub struct EntryMemory {
+pub struct EntryHistory {
     /// Time in which an endpoint writes its entry again, or the store drops it.
     lapse: Duration,
     /// Newest era known.
@@ -62,7 +62,7 @@
     write_again: Option<WriteAgainTime>,
 }
 
-impl EntryMemory {
+impl EntryHistory {
     /// Memory of a daemon that has read nothing yet; the store drops entries that are not written
     /// for `lapse`.
     pub fn new(lapse: Duration) -> Self {
@@ -145,7 +145,7 @@
     }
 
     /// Whether the time for writing again has just ended, so that other endpoints are to be used.
-    pub fn ends_write_again(&mut self, now: Instant) -> bool {
+    pub fn end_rewrite_period(&mut self, now: Instant) -> bool {
         let ended = self.write_again.take_if(|time| now >= time.ends_at);
         ended.is_some_and(|time| !time.missing.is_empty() || !time.back.is_empty())
     }
--- a/tests/gateway/lost_entries.rs
+++ b/tests/gateway/lost_entries.rs
@@ -8,7 +8,7 @@
     gateway::{
         endpoint::{EndpointList, EndpointRecord, EndpointState},
         policy::endpoint::{
-            endpoint_load::endpoint_number, endpoint_starts::lost_entries::EntryMemory,
+            endpoint_load::endpoint_number, endpoint_starts::lost_entries::EntryHistory,
         },
     },
     store_position::{StoreEra, StorePosition},
@@ -39,13 +39,13 @@
 }
 
 struct ListedEntries {
-    memory: EntryMemory,
+    memory: EntryHistory,
     now: Instant,
 }
 
 impl ListedEntries {
     fn new() -> Self {
-        Self { memory: EntryMemory::new(LAPSE), now: Instant::now() }
+        Self { memory: EntryHistory::new(LAPSE), now: Instant::now() }
     }
 
     /// The store lists these; returns the endpoints that a new era makes drain.
@@ -62,7 +62,7 @@
 
     fn pass(&mut self, time: Duration) -> bool {
         self.now += time;
-        self.memory.ends_write_again(self.now)
+        self.memory.end_rewrite_period(self.now)
     }
 }
 
