--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -235,7 +235,7 @@
         let mut due = Vec::new();
         for service in configuration.services.values() {
             let Some(spec) = &service.fleet else { continue };
-            if !self.orders.is_look_due(&service.name, now) {
+            if !self.orders.is_observation_due(&service.name, now) {
                 continue;
             }
             let risk = self.waves.risk(&service.name, spec.start_time, now);
--- a/src/gateway/policy/leader/endpoint_orders.rs
+++ b/src/gateway/policy/leader/endpoint_orders.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether the load of a service has to be looked at now.
-    pub fn is_look_due(&self, service: &str, now: Instant) -> bool {
+    pub fn is_observation_due(&self, service: &str, now: Instant) -> bool {
         let observed_at = self.services.get(service).and_then(|fleet| fleet.observed_at);
         observed_at.is_none_or(|at| now.saturating_duration_since(at) >= OBSERVE_INTERVAL)
     }
