--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -11,7 +11,8 @@
 use crate::{
     errors::StepError,
     gateway::policy::leader::leader_lease::{
-        AcquireDecision, LeaseOwner, ObservedLease, decide_acquire, first_fence, spoilt_fence,
+        AcquireDecision, LeaseOwner, ObservedLease, decide_acquire, first_fence,
+        highest_possible_fence,
     },
     ids::SharedName,
     platform::store::WriteCondition,
@@ -86,7 +87,7 @@
             }),
             LeaseSight::Spoilt(spoilt) => {
                 let known = self.context.lease.borrow().fence;
-                let fence = spoilt_fence(known, spoilt.position);
+                let fence = highest_possible_fence(known, spoilt.position);
                 Some(ObservedLease::of_lost_record(fence, unchanged_for(spoilt.since)))
             }
             LeaseSight::Absent(_) => {
--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -176,7 +176,7 @@
 
 /// Fence of a lease whose record is spoilt: none that was ever used is higher. Each fence took a write
 /// of its own in its era, and each write raises the store's revision.
-pub fn spoilt_fence(known: u64, position: StorePosition) -> u64 {
+pub fn highest_possible_fence(known: u64, position: StorePosition) -> u64 {
     known.max(first_fence(position.era()).saturating_add(position.revision()))
 }
 
--- a/tests/gateway/leader_rules.rs
+++ b/tests/gateway/leader_rules.rs
@@ -12,7 +12,7 @@
             endpoint_orders::{EndpointOrders, OrderResult, ZoneOrder},
             leader_lease::{
                 ACQUIRE_MARGIN, AcquireDecision, HoldDecision, LeaseOwner, LossReason,
-                ObservedLease, decide_acquire, decide_hold, first_fence, spoilt_fence,
+                ObservedLease, decide_acquire, decide_hold, first_fence, highest_possible_fence,
             },
             observed_service::ObservedService,
             reclaim_wave::ReclaimWaves,
@@ -68,7 +68,7 @@
             next,
             eq(AcquireDecision::Acquire { fence: first_fence(StoreEra(era)).max(8) })
         );
-        highest = spoilt_fence(0, StorePosition::new(StoreEra(era), 1_000_000));
+        highest = highest_possible_fence(0, StorePosition::new(StoreEra(era), 1_000_000));
     }
 }
 
