--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -53,9 +53,9 @@
         if self.context.is_leaving() || !is_able {
             return Ok(AcquireResult::NotAcquired);
         }
-        let is_silent = self.context.lease.borrow().is_silent(self.lease(), now);
+        let is_renewal_overdue = self.context.lease.borrow().is_renewal_overdue(self.lease(), now);
         let ran_here = self.record().is_some_and(|record| self.is_earlier_process(record));
-        if !is_silent && !ran_here {
+        if !is_renewal_overdue && !ran_here {
             self.seen = None;
             return Ok(AcquireResult::NotAcquired);
         }
--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether no renewal has been reported for so long that the store has to be read.
-    pub fn is_silent(&self, lease: Duration, now: Instant) -> bool {
+    pub fn is_renewal_overdue(&self, lease: Duration, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < lease;
         !self.renewed_at.is_some_and(is_recent)
     }
--- a/tests/gateway/leader_state.rs
+++ b/tests/gateway/leader_state.rs
@@ -37,7 +37,7 @@
     };
     expect_that!(view.may_act(lease, start + millis(2_000)), eq(true));
     expect_that!(view.may_act(lease, start + millis(2_200)), eq(false));
-    expect_that!(view.is_silent(lease, start + millis(2_900)), eq(false));
+    expect_that!(view.is_renewal_overdue(lease, start + millis(2_900)), eq(false));
     view.observe(renewal(2, 0, start + millis(500)));
     expect_that!(view.own, eq(false));
     view.observe(renewal(1, 9, start + millis(900)));
