--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -213,7 +213,7 @@
     if context.fleet_size.get().is_none() && lease.daemons > 0 {
         context.fleet_size.set(Some(lease.daemons));
     }
-    context.lease.borrow_mut().note_next_window(lease.next_window);
+    context.lease.borrow_mut().advance_next_window(lease.next_window);
     let age = Duration::from_millis(u64::from(lease.age_ms));
     // A renewal from before the start of the clock says nothing of the present holder.
     if let Some(renewed_at) = now.checked_sub(age) {
--- a/src/gateway/leader/lease_keeper.rs
+++ b/src/gateway/leader/lease_keeper.rs
@@ -121,7 +121,7 @@
         quarantine::restore_requests(&self.context, &record.quarantined);
         self.context.quotas.borrow_mut().set_throttled_before(record.throttled.iter().cloned());
         if let Some(report) = record.report.as_ref().filter(|_| !self.is_copied(&record)) {
-            self.context.lease.borrow_mut().note_reported(report.window);
+            self.context.lease.borrow_mut().mark_reported(report.window);
         }
         let condition = WriteCondition::At(object.position);
         let since = match &self.seen {
@@ -242,7 +242,7 @@
             renewed_at: started_at,
         });
         if let Some(report) = &record.report {
-            lease.note_reported(report.window);
+            lease.mark_reported(report.window);
         }
         self.written = Some((record.clone(), started_at));
         let condition = WriteCondition::At(position);
--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -112,12 +112,12 @@
     }
 
     /// Notes that a usage window is reported, so that it is not reported again.
-    pub fn note_reported(&mut self, window: u64) {
-        self.note_next_window(window.saturating_add(1));
+    pub fn mark_reported(&mut self, window: u64) {
+        self.advance_next_window(window.saturating_add(1));
     }
 
     /// Notes that all windows before this one have been reported.
-    pub fn note_next_window(&mut self, window: u64) {
+    pub fn advance_next_window(&mut self, window: u64) {
         self.next_window = self.next_window.max(window);
     }
 
