--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -27,7 +27,7 @@
             endpoint_orders::{EndpointOrders, OrderResult, ZoneOrder},
             leader_lease::{HoldDecision, LossReason},
             reclaim_wave::ReclaimWaves,
-            usage_reports::{due_window, has_heard_counts},
+            usage_reports::{due_window, has_received_counts},
             zone_plan::PriceClass,
         },
         settings::LeaderTask,
@@ -170,7 +170,7 @@
         }
         let now = true_time::now();
         let report_age = self.context.sharing(now).report_age;
-        if !has_heard_counts(self.context.age(now), report_age) {
+        if !has_received_counts(self.context.age(now), report_age) {
             return None;
         }
         let last_reported = record.report.as_ref().map(|report| report.window);
--- a/src/gateway/policy/leader/usage_reports.rs
+++ b/src/gateway/policy/leader/usage_reports.rs
@@ -44,7 +44,7 @@
 
 /// Whether a daemon of this age has heard what all others have counted, where their reports may
 /// be `report_age` old.
-pub fn has_heard_counts(age: Duration, report_age: Duration) -> bool {
+pub fn has_received_counts(age: Duration, report_age: Duration) -> bool {
     age >= (report_age * HEARD_REPORT_AGES).max(MIN_HEARD_AGE)
 }
 
--- a/tests/gateway/leader_rules.rs
+++ b/tests/gateway/leader_rules.rs
@@ -16,7 +16,7 @@
             },
             observed_service::ObservedService,
             reclaim_wave::ReclaimWaves,
-            usage_reports::{due_window, has_heard_counts},
+            usage_reports::{due_window, has_received_counts},
             zone_plan::{PriceClass, ReclaimRisk, ZoneHolding},
         },
     },
@@ -112,7 +112,7 @@
         (1_000, 1_800, false),
         (3_600, 1_800, true),
     ] {
-        let has_heard = has_heard_counts(millis(age_ms), millis(report_age_ms));
+        let has_heard = has_received_counts(millis(age_ms), millis(report_age_ms));
         expect_that!(has_heard, eq(heard), "{age_ms} ms, reports {report_age_ms} ms old");
     }
 }
