--- a/src/gateway/policy/leader/endpoint_orders.rs
+++ b/src/gateway/policy/leader/endpoint_orders.rs
@@ -227,7 +227,7 @@
             OrderResult::CapacityRefused => {
                 self.sent.remove(&key);
                 if let Some(fleet) = self.services.get_mut(&order.service) {
-                    fleet.planner.refuse_capacity(&order.zone, now);
+                    fleet.planner.record_capacity_refusal(&order.zone, now);
                 }
                 return;
             }
--- a/src/gateway/policy/leader/fleet_size.rs
+++ b/src/gateway/policy/leader/fleet_size.rs
@@ -149,7 +149,7 @@
     }
 
     /// Notes that a zone has no reclaimable capacity now.
-    pub fn refuse_capacity(&mut self, zone: &SharedName, now: Instant) {
+    pub fn record_capacity_refusal(&mut self, zone: &SharedName, now: Instant) {
         self.refused_at.insert(zone.clone(), now);
     }
 
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -103,7 +103,7 @@
     let gone = held([0; 4], [5; 4]);
     let before = total(&planner, &gone, PriceClass::OnDemand);
     for zone in ZONES {
-        planner.refuse_capacity(&zone.into(), Instant::now());
+        planner.record_capacity_refusal(&zone.into(), Instant::now());
     }
     let dry = total(&planner, &gone, PriceClass::OnDemand);
     expect_that!(f64::from(dry), ge(planner.required()));
