--- a/src/gateway/policy/endpoint.rs
+++ b/src/gateway/policy/endpoint.rs
@@ -1,4 +1,4 @@
-//! Rules of the choice of an endpoint, and what a daemon knows of endpoints to decide by.
+//! Rules for choosing an endpoint, and the state of endpoints that they use.
 
 pub mod endpoint_choice;
 pub mod endpoint_load;
--- a/src/gateway/policy/endpoint/endpoint_load.rs
+++ b/src/gateway/policy/endpoint/endpoint_load.rs
@@ -1,4 +1,4 @@
-//! Loads of endpoints, as daemons count them and report them to each other.
+//! Loads of endpoints, which daemons count and report to each other.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -16,13 +16,13 @@
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
 
-/// Number that stands for an endpoint between daemons.
+/// Number that identifies an endpoint in messages between daemons: a hash of its id.
 pub fn endpoint_number(id: &str) -> u64 {
     hash_parts(&[id.as_bytes()])
 }
 
-/// Memory that a run may take, in tokens: its prompt and the response that the client expects,
-/// or else its bound on the response. A request that names no tokens counts as none.
+/// Memory that a run may need, in tokens: the prompt and the response length that the client
+/// expects, or else the maximum that it set. 0 if the request gives no token counts.
 pub fn estimated_memory(tokens: Option<TokenCounts>, expected_response: Option<u64>) -> u64 {
     let Some(tokens) = tokens else { return 0 };
     let response =
@@ -30,43 +30,43 @@
     tokens.prompt + response
 }
 
-/// One of this daemon's requests at an endpoint.
+/// Load of one of this daemon's requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunLoad {
     /// Uncached prompt tokens that the endpoint has not read yet.
     pub uncached_tokens: u64,
-    /// Memory that the run may take, in tokens.
+    /// Memory that the run may need, in tokens.
     pub memory_tokens: u64,
 }
 
-/// Loads of a daemon at one endpoint.
+/// Load of one or more daemons at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointLoad {
-    /// Requests.
+    /// Requests in progress.
     pub running: u32,
     /// Uncached prompt tokens that the endpoint has not read yet.
     pub uncached_tokens: u64,
-    /// Memory that the runs may take, in tokens.
+    /// Memory that the runs may need, in tokens.
     pub memory_tokens: u64,
 }
 
 impl EndpointLoad {
-    /// Adds another sum.
+    /// Adds another load.
     pub fn add(&mut self, other: &Self) {
         self.running += other.running;
         self.uncached_tokens += other.uncached_tokens;
         self.memory_tokens += other.memory_tokens;
     }
 
-    /// What is left of a reported load after this time, at an endpoint that reads
-    /// `prefill_rate` tokens a millisecond: it goes on reading. Runs last longer than reports.
+    /// Estimates what a load reported `age` ago is now, at an endpoint that prefills `prefill_rate`
+    /// tokens per millisecond. Only the uncached tokens decrease: runs last longer than reports count.
     pub fn after(&self, age: Duration, prefill_rate: f64) -> Self {
         let read = (age.as_secs_f64() * MS_PER_S * prefill_rate) as u64;
         Self { uncached_tokens: self.uncached_tokens.saturating_sub(read), ..*self }
     }
 }
 
-/// What a daemon, or a gossip group, counts of a service since it started.
+/// Counters of a service at a daemon or in a gossip group, since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceCounters {
     /// Uncached prompt tokens sent to endpoints.
@@ -82,12 +82,12 @@
     }
 }
 
-/// Loads that another daemon has reported.
+/// A load report of another daemon.
 #[derive(Debug)]
 pub struct ReportedLoads {
-    /// When the report came.
+    /// When the report arrived.
     pub at: Instant,
-    /// Its loads, by the numbers of the endpoints.
+    /// Its loads, by endpoint number.
     pub loads: HashMap<u64, EndpointLoad>,
     /// Its counters by service.
     pub services: BTreeMap<SharedName, ServiceCounters>,
--- a/src/gateway/policy/endpoint/endpoint_table.rs
+++ b/src/gateway/policy/endpoint/endpoint_table.rs
@@ -1,9 +1,9 @@
-//! What this daemon knows of all endpoints: the list, the loads of its own requests and of
-//! those that other daemons report, health, cached prompts and prefill rates.
+//! State of all endpoints at this daemon: the list, the loads of its own requests and those that
+//! other daemons report, failures, cached prompts and prefill rates.
 //!
 //! The list comes from the store, the rest from the daemon's own attempts and from gossip.
-//! Without reports the daemon balances by its own requests alone. Nothing survives a restart, nor has
-//! to.
+//! Without reports the daemon balances by its own requests alone. The state need not survive a
+//! restart, and doesn't.
 
 pub mod attempt_results;
 pub mod limits;
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 use super::{
-    endpoint_choice::{ChoiceQuery, ChoiceResult, ChoiceSite, choose},
+    endpoint_choice::{ChoiceContext, ChoiceQuery, ChoiceResult, choose},
     endpoint_load::{EndpointLoad, ReportedLoads, ServiceCounters, endpoint_number},
     endpoint_status::{EndpointStatus, restriction::EndpointRestriction},
     load_reports::LoadReports,
@@ -35,7 +35,7 @@
     ids::SharedName,
 };
 
-/// What this daemon knows of all endpoints.
+/// State of all endpoints at this daemon.
 #[derive(Debug)]
 pub struct EndpointTable {
     zone: SharedName,
@@ -61,19 +61,19 @@
         }
     }
 
-    /// Applies a new list; endpoints that stay keep what is known of them, unless they have started
-    /// again. What an endpoint has said of itself also holds where it was missing for a while.
+    /// Applies a new list. Endpoints that stay in it keep their state unless they have restarted. An
+    /// endpoint that was missing for a while gets the signals back that it sent earlier.
     pub fn set_list(&mut self, list: &EndpointList, now: Instant) {
         let mut previous = std::mem::take(&mut self.endpoints);
         let starts = list.endpoints.iter().map(|record| NumberedStart {
             endpoint: endpoint_number(&record.id),
             born: record.born,
         });
-        let started_again = self.signals.apply_list(starts, now);
+        let restarted = self.signals.apply_list(starts, now);
         for record in &list.endpoints {
             let known = previous.remove(&record.id);
             let known = known.filter(|known| {
-                known.record.is_same_start(record) && !started_again.contains(&known.number)
+                known.record.is_same_start(record) && !restarted.contains(&known.number)
             });
             let status = match known {
                 Some(known) => EndpointStatus { record: record.clone(), ..known },
@@ -102,7 +102,7 @@
         self.reports.apply(from, report);
     }
 
-    /// Loads of the own group, by the numbers of the endpoints.
+    /// Loads of the own group, by endpoint number.
     pub fn group_loads(&self, now: Instant) -> HashMap<u64, EndpointLoad> {
         let mut loads: HashMap<u64, EndpointLoad> =
             self.own_loads().map(|(id, load)| (endpoint_number(id), load)).collect();
@@ -110,48 +110,49 @@
         loads
     }
 
-    /// What the own group counts, by service.
+    /// Counters of the own group, by service.
     pub fn group_services(&self) -> BTreeMap<SharedName, ServiceCounters> {
         let mut services = self.services.clone();
         self.reports.add_group_services(&mut services);
         services
     }
 
-    /// What this daemon counts, by service.
+    /// Counters of this daemon, by service.
     pub fn own_services(&self) -> &BTreeMap<SharedName, ServiceCounters> {
         &self.services
     }
 
-    /// Uncached prompt tokens that all daemons have sent; falls when one is forgotten.
+    /// Uncached prompt tokens that all daemons have sent; falls when the reports of a daemon are
+    /// dropped.
     pub fn tokens_sent(&self, service: &str) -> u64 {
         let own = self.services.get(service).map_or(0, |counters| counters.uncached_tokens);
         own + self.reports.sent_to(service)
     }
 
-    /// Prefill rate of a service's endpoints, in tokens a millisecond.
+    /// Prefill rate of a service's endpoints, in tokens per millisecond.
     pub fn prefill_rate(&self, service: &str) -> f64 {
         self.rates.get(service).map_or(DEFAULT_PREFILL_RATE, |rate| rate.tokens_per_ms)
     }
 
-    /// This daemon's loads.
+    /// This daemon's loads, by endpoint id.
     pub fn own_loads(&self) -> impl Iterator<Item = (&SharedName, EndpointLoad)> {
         let used = self.endpoints.values().filter(|status| status.own.running > 0);
         used.map(|status| (&status.record.id, status.own))
     }
 
-    /// Whether this start of an endpoint is the one that is known here: what ends at an earlier one
-    /// says nothing of it.
+    /// Whether the table has this start of an endpoint. Results of attempts at an earlier start don't
+    /// apply to it.
     pub fn knows_start(&self, endpoint: &EndpointRecord) -> bool {
         let known = self.endpoints.get(&endpoint.id);
         known.is_some_and(|status| status.record.is_same_start(endpoint))
     }
 
-    /// Whether an endpoint has told when it started; once it has, all its entries do.
+    /// Whether an endpoint has reported when it started; once it has, all its entries do.
     pub fn reports_start(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|status| status.record.born != 0)
     }
 
-    /// Whether an endpoint takes requests, by the list and by what it has said itself.
+    /// Whether an endpoint takes requests, according to the list and to its own responses.
     pub fn is_ready(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(EndpointStatus::is_ready)
     }
@@ -167,7 +168,7 @@
         self.of_service(service).map(|status| &status.record)
     }
 
-    /// Requests of all daemons at the endpoints of a service, as far as known.
+    /// Known load of all daemons at the endpoints of a service.
     pub fn service_load(&self, service: &str, now: Instant) -> EndpointLoad {
         let mut sum = EndpointLoad::default();
         for status in self.endpoints.values().filter(|status| &*status.record.service == service) {
@@ -176,7 +177,7 @@
         sum
     }
 
-    /// How much room the endpoints of a service have, as far as known.
+    /// Known room of the endpoints of a service.
     pub fn room(&self, service: &str, now: Instant) -> ServiceRoom {
         let mut room = ServiceRoom::default();
         for status in self.of_service(service) {
@@ -197,12 +198,12 @@
         restrictions.filter(|(_, reasons)| !reasons.is_empty()).collect()
     }
 
-    /// Whether an endpoint of a service may well refuse or fail the next request.
+    /// Whether any endpoint of a service is likely to refuse or fail the next request.
     pub fn any_risky(&self, service: &str, now: Instant) -> bool {
         self.of_service(service).any(|status| status.is_risky(now))
     }
 
-    /// When endpoints of a service will have room for a request, as far as known.
+    /// Estimates when endpoints of a service will have room for a request.
     pub fn forecast(&self, service: &str, now: Instant) -> RoomForecast {
         RoomForecast::of(self.of_service(service).map(|status| self.room_at(status, now)))
     }
@@ -233,7 +234,7 @@
         sum
     }
 
-    /// Whether no prompt is known to wait at an endpoint.
+    /// Whether no prompt is known to wait for prefill at an endpoint.
     pub fn is_idle(&self, id: &str, now: Instant) -> bool {
         self.endpoints.get(id).is_some_and(|status| self.load_at(status, now).uncached_tokens == 0)
     }
@@ -249,11 +250,11 @@
             .of_service(query.service)
             .filter(|status| !query.tried.contains(&status.record.id))
             .collect();
-        let site = ChoiceSite {
+        let context = ChoiceContext {
             zone: &self.zone,
             prefill_rate: self.prefill_rate(query.service),
             load_of: |status: &EndpointStatus| self.load_at(status, now),
         };
-        choose(&candidates, &site, query, now, rng)
+        choose(&candidates, &context, query, now, rng)
     }
 }
