--- a/src/gateway/policy/endpoint/endpoint_pause/probe_window.rs
+++ b/src/gateway/policy/endpoint/endpoint_pause/probe_window.rs
@@ -1,9 +1,9 @@
-//! Requests that come slowly to an endpoint, and why.
+//! Slow start of an endpoint after a pause, and its cause.
 
 use derive_more::Display;
 use tokio::time::Instant;
 
-/// Why requests come slowly.
+/// Why an endpoint is in a slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum ProbeCause {
     /// It has refused a request of this daemon.
@@ -15,28 +15,28 @@
     /// Another daemon reports that it refuses or fails.
     #[display("another daemon reports that it refuses or fails")]
     Reported,
-    /// It no longer names a limit.
+    /// It no longer sends a limit in its responses.
     #[display("its limit has ended")]
     LimitEnded,
 }
 
-/// Requests that come slowly after a pause.
+/// State of a slow start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProbeWindow {
-    /// Requests that may wait for their responses.
+    /// Requests that may be in progress at once.
     pub(super) allowed: u32,
-    /// Those that do.
+    /// Requests in progress.
     pub(super) waiting: u32,
-    /// Why they come slowly. One that fails may be sent more where no other has room.
+    /// Cause of the slow start. After a failure, more may be sent if no other endpoint has room.
     pub(super) cause: ProbeCause,
-    /// Since when they do.
+    /// Beginning of the slow start.
     pub(super) since: Instant,
-    /// Until when it is expected to refuse or fail again.
+    /// Until when the endpoint is likely to refuse or fail again.
     pub(super) risky_until: Instant,
 }
 
 impl ProbeWindow {
-    pub(super) fn has_place(self) -> bool {
+    pub(super) fn has_room(self) -> bool {
         self.waiting < self.allowed
     }
 
--- a/src/gateway/policy/endpoint/endpoint_table/attempt_results.rs
+++ b/src/gateway/policy/endpoint/endpoint_table/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What attempts at endpoints, and other daemons' attempts, add to what is known of them.
+//! Updates of the table from this daemon's attempts and from other daemons' warnings.
 
 use std::time::Duration;
 
@@ -20,42 +20,42 @@
     ids::SharedName,
 };
 
-/// Fraction of an endpoint's slots from which on a refusal is explained by its load. Reported loads
-/// are up to two seconds old.
+/// Fraction of an endpoint's slots in use from which a refusal is explained by its load: below 1,
+/// since reported loads are up to two seconds old.
 const BUSY_FRACTION: f64 = 0.5;
 
-/// What a request needed to be sent.
+/// Permits that a request holds to be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunPermits {
-    /// Place of one of the first requests after a pause.
+    /// Permit of a slow start.
     pub probe: Option<ProbePermit>,
-    /// Whether it has a token of the endpoint's limit.
+    /// Whether it holds a token of the endpoint's limit.
     pub has_token: bool,
 }
 
-/// An endpoint is found to fail more often than the others of its service.
+/// An endpoint has begun to fail more often than the others of its service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FoundFailing {
-    /// Fraction of this daemon's requests of the last seconds that it failed.
+    /// Fraction of this daemon's requests of the last seconds that it has failed.
     pub fraction: f64,
 }
 
-/// Whether an endpoint has taken a request.
+/// Whether an endpoint is known to have run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestIntake {
-    /// It has run it.
+    /// It has run the request.
     Ran,
-    /// Nothing is known: the attempt has ended without a response.
+    /// Not known: the attempt has ended without a response.
     Unknown,
 }
 
 impl EndpointTable {
-    /// A request needs an endpoint of a service.
+    /// Counts a request that needs an endpoint of a service.
     pub fn count_request(&mut self, service: &SharedName) {
         self.services.entry(service.clone()).or_default().requests += 1;
     }
 
-    /// An attempt begins at an endpoint.
+    /// Records the beginning of an attempt at an endpoint.
     pub fn begin(
         &mut self,
         id: &str,
@@ -76,8 +76,8 @@
         RunPermits { probe: status.pause.begin(), has_token }
     }
 
-    /// The prompt of an attempt has been read, `taken` after it was sent. `alone` says that
-    /// no other prompt was known to wait there when it was sent.
+    /// Records that the prompt of an attempt has been prefilled, `taken` after it was sent. `alone`
+    /// means that no other prompt was known to wait there when it was sent.
     pub fn prefill_done(&mut self, id: &str, uncached: u64, taken: Duration, alone: bool) {
         let Some(status) = self.endpoints.get_mut(id) else { return };
         status.own.uncached_tokens = status.own.uncached_tokens.saturating_sub(uncached);
@@ -86,8 +86,8 @@
         }
     }
 
-    /// An attempt that was `begun` then has ended, by which the endpoint may be found to fail more
-    /// often than others; `load` is the part of its load that was still counted.
+    /// Records the end of an attempt that began at `begun`. `load` is the part of its load that is still
+    /// counted. Returns whether the endpoint has thereby begun to fail more often than others.
     pub fn end(
         &mut self,
         id: &str,
@@ -119,8 +119,9 @@
         }
     }
 
-    /// An endpoint has failed a request that was `begun` then. One that fails more often than others gets requests as after
-    /// a refusal; otherwise it would look idle, and draw those that others serve.
+    /// Records that an endpoint has failed a request that began at `begun`. One that fails more often
+    /// than others gets requests as after a refusal; otherwise it would look idle and attract the
+    /// requests that others would serve.
     pub fn record_failure(
         &mut self,
         id: &str,
@@ -134,12 +135,12 @@
         let status = self.endpoints.get_mut(id)?;
         let was_outlier = status.failures.is_outlier(now);
         status.failures.failed(others, now);
-        if !status.failures.is_outlier(now) || status.pause.is_later_known(begun) {
+        if !status.failures.is_outlier(now) || status.pause.has_newer_result(begun) {
             return None;
         }
         status.pause.failed(now);
-        // One failure may pass before the warning arrives.
-        if status.pause.has_recurred() {
+        // Only repeated failures are reported: a single one may be over before the warning arrives.
+        if status.pause.has_failed_repeatedly() {
             let (start, kind) = (status.start(), WarningKind::NotServing);
             self.signals.record(EndpointWarning { start, kind, at: now }, now);
         }
@@ -147,15 +148,15 @@
         (!was_outlier).then_some(FoundFailing { fraction })
     }
 
-    /// Another start of an endpoint has responded at this one's address: this one has ended
-    /// and is never chosen again.
+    /// Records that another start, of this or another endpoint, has responded at this one's address:
+    /// this one has ended and is never chosen again.
     pub fn mark_ended(&mut self, id: &str) {
         if let Some(status) = self.endpoints.get_mut(id) {
             status.has_ended = true;
         }
     }
 
-    /// What has become of a request in progress at an endpoint, as far as its pause goes by it.
+    /// Updates the pause of an endpoint with the result of a request.
     pub fn record_intake(
         &mut self,
         id: &str,
@@ -170,10 +171,10 @@
         }
     }
 
-    /// An endpoint has refused a request; `backoff` is the time that it asks for.
+    /// Records that an endpoint has refused a request; `backoff` is the back-off that it asks for.
     pub fn record_refusal(&mut self, id: &str, backoff: Option<Duration>, now: Instant) {
         let Some(status) = self.endpoints.get(id) else { return };
-        // The refused request is counted too.
+        // The refused request is still counted.
         let others = self.load_at(status, now).running.saturating_sub(1);
         let is_busy = f64::from(others) >= f64::from(status.record.slots) * BUSY_FRACTION;
         let kind = RefusalKind::of(backoff, is_busy);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// An endpoint has said in a response that it drains; whether that is news.
+    /// Records that an endpoint reports draining in a response. Returns whether that was unknown.
     pub fn record_draining(&mut self, id: &str, now: Instant) -> bool {
         let Some(status) = self.endpoints.get_mut(id) else { return false };
         status.is_draining = true;
@@ -198,10 +199,11 @@
         self.signals.record(EndpointWarning { start, kind, at: now }, now)
     }
 
-    /// Another daemon warns of an endpoint; the endpoint's id if it is listed and that is news.
+    /// Applies another daemon's warning. Returns the endpoint's id if it is listed and the warning is
+    /// new.
     ///
-    /// A warning that names no start counts only where none is known here either: the endpoint may
-    /// have started again since.
+    /// A warning without a start time counts only if the endpoint's start time is not known here
+    /// either: the endpoint may have restarted since.
     pub fn receive_warning(
         &mut self,
         warning: EndpointWarning,
@@ -215,11 +217,11 @@
             return None;
         }
         let status = known?;
-        // Nothing where this start is later than the one that is meant.
+        // Empty if the listed start is later than the one in the warning.
         let held = self.signals.of(status.start());
         status.is_draining = held.draining_since.is_some();
         if warning.kind == WarningKind::NotServing && held.not_served_at == Some(warning.at) {
-            status.pause.suspect(warning.at, rng.random_range(1.0..2.0));
+            status.pause.not_served_elsewhere(warning.at, rng.random_range(1.0..2.0));
         }
         Some(status.record.id.clone())
     }
