--- a/src/gateway/policy/endpoint/endpoint_status.rs
+++ b/src/gateway/policy/endpoint/endpoint_status.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of one endpoint.
+//! State of one endpoint at this daemon.
 
 pub mod restriction;
 
@@ -12,12 +12,12 @@
     failure_rate::FailureRate,
     prompt_cache::PromptCache,
     request_limit::LimitBucket,
-    signal_ledger::{HeldSignals, NumberedStart},
+    signal_ledger::{ActiveSignals, NumberedStart},
 };
 use crate::gateway::endpoint::{EndpointRecord, EndpointState};
 
-/// Requests that may wait for each slot of an endpoint without an engine: they are short, so a queue
-/// passes quickly.
+/// Requests that may queue for each slot of an endpoint without an engine: they are short, so a queue
+/// empties quickly.
 const PLAIN_QUEUE_PER_SLOT: f64 = 2.0;
 
 /// State of one endpoint.
@@ -29,23 +29,23 @@
     pub number: u64,
     /// Load of this daemon's own requests.
     pub own: EndpointLoad,
-    /// How often this daemon's attempts fail there.
+    /// Failure rate of this daemon's attempts there.
     pub failures: FailureRate,
     /// Prompt parts that the endpoint probably has cached.
     pub cache: PromptCache,
-    /// Whether another start of an endpoint has responded at its address.
+    /// Whether another start, of this or another endpoint, has responded at its address.
     pub has_ended: bool,
-    /// Whether this start of it has said in a response that it drains, whatever lists say.
+    /// Whether this start has reported in a response that it drains, regardless of the lists.
     pub is_draining: bool,
-    /// Pause after its refusals and failures.
+    /// Pause after refusals and failures.
     pub pause: EndpointPause,
-    /// This daemon's share of the requests that the endpoint takes, if it has named a limit.
+    /// This daemon's share of the endpoint's limit, if it has reported one.
     pub limit: Option<LimitBucket>,
 }
 
 impl EndpointStatus {
-    /// State of an endpoint that is new in the list, with what it has said of itself before.
-    pub fn new(record: Rc<EndpointRecord>, held: HeldSignals) -> Self {
+    /// State of an endpoint that is new in the list, with the signals that it sent earlier.
+    pub fn new(record: Rc<EndpointRecord>, signals: ActiveSignals) -> Self {
         Self {
             number: endpoint_number(&record.id),
             record,
@@ -53,15 +53,15 @@
             failures: FailureRate::default(),
             cache: PromptCache::default(),
             has_ended: false,
-            is_draining: held.draining_since.is_some(),
-            pause: EndpointPause::with_backoff(held.backoff_until),
-            limit: held
+            is_draining: signals.draining_since.is_some(),
+            pause: EndpointPause::with_backoff(signals.backoff_until),
+            limit: signals
                 .limit
                 .and_then(|observation| Some(LimitBucket::new(observation.limit?, observation.at))),
         }
     }
 
-    /// The start that it is the state of.
+    /// The start that this state belongs to.
     pub fn start(&self) -> NumberedStart {
         NumberedStart { endpoint: self.number, born: self.record.born }
     }
@@ -71,23 +71,23 @@
         self.record.state == EndpointState::Ready && !self.has_ended && !self.is_draining
     }
 
-    /// Whether a request that was meant for it may be sent now.
+    /// Whether a request for which it was chosen may be sent now.
     pub fn may_be_sent(&self, now: Instant) -> bool {
         self.is_ready() && !self.pause.is_paused(now)
     }
 
-    /// Whether it may well refuse or fail the next request.
+    /// Whether it is likely to refuse or fail the next request.
     pub fn is_risky(&self, now: Instant) -> bool {
         self.pause.is_risky(now) || self.failures.is_outlier(now)
     }
 
-    /// Whether its limit, if it has named one, lets this daemon send a request now.
+    /// Whether its limit, if any, lets this daemon send a request now.
     pub fn is_within_limit(&self, now: Instant) -> bool {
         self.limit.is_none_or(|limit| limit.has_token(now))
     }
 
-    /// Whether a request that may take `memory_tokens` finds no room at an endpoint with this
-    /// load of all daemons. `memory_capacity` is none for services without an engine.
+    /// Whether the endpoint, with this load of all daemons, has no room for a request that may need
+    /// `memory_tokens`. `memory_capacity` is none for services without an engine.
     pub fn is_full(
         &self,
         load: &EndpointLoad,
--- a/src/gateway/policy/endpoint/endpoint_status/restriction.rs
+++ b/src/gateway/policy/endpoint/endpoint_status/restriction.rs
@@ -1,4 +1,4 @@
-//! Why an endpoint is sent fewer requests than others, or none, for operators.
+//! Reasons why an endpoint is sent fewer requests than others, or none, for operators.
 
 use std::time::Duration;
 
@@ -7,42 +7,43 @@
 
 use super::{super::endpoint_pause::ProbeCause, EndpointStatus};
 
-/// Requests of which a fraction is shown.
+/// Factor from a fraction to a percentage.
 const PERCENT: f64 = 100.0;
 
 /// A reason to send an endpoint fewer requests than others, or none.
 #[derive(Clone, Copy, Debug, PartialEq, Display)]
 pub enum EndpointRestriction {
-    /// Another start of an endpoint responds at its address.
+    /// Another start, of this or another endpoint, responds at its address.
     #[display("has ended: another endpoint responds at its address")]
     Ended,
-    /// The list or its own response says that it drains.
+    /// It drains, according to the list or to its own responses.
     #[display("drains")]
     Draining,
-    /// It wants no requests of this daemon for so long.
+    /// It has asked this daemon for a back-off, of which this time is left.
     #[display("backs off for {} ms more", _0.as_millis())]
     BackingOff(Duration),
-    /// It takes only so many requests a second.
+    /// It has reported a limit.
     #[display("takes {limit} requests a second, {share:.2} of them of this daemon")]
     Limited {
-        /// Requests a second of all daemons.
+        /// Requests per second from all daemons together.
         limit: f64,
-        /// Requests a second of this daemon.
+        /// Requests per second from this daemon.
         share: f64,
     },
-    /// It has refused requests without a known reason.
+    /// It has refused requests without a known reason; rest of the pause.
     #[display("has refused requests, gets none for {} ms more", _0.as_millis())]
     Refusing(Duration),
-    /// It fails more often than the others of its service.
+    /// It fails more often than the other endpoints of its service; fraction of this daemon's requests
+    /// that fail.
     #[display("fails {:.0}% of the requests of this daemon", _0 * PERCENT)]
     Failing(f64),
-    /// Requests come slowly, for so long.
+    /// It is in a slow start; cause, and time since its beginning.
     #[display("gets requests slowly for {} ms: {_0}", _1.as_millis())]
     Returning(ProbeCause, Duration),
 }
 
 impl EndpointStatus {
-    /// Why it is sent fewer requests than others, if it is.
+    /// Returns why it is sent fewer requests than others; empty if it is not.
     pub fn restrictions(&self, now: Instant) -> Vec<EndpointRestriction> {
         if self.has_ended {
             return vec![EndpointRestriction::Ended];
--- a/src/gateway/policy/endpoint/endpoint_table/limits.rs
+++ b/src/gateway/policy/endpoint/endpoint_table/limits.rs
@@ -1,5 +1,5 @@
-//! Limits that endpoints name of the requests that they take from all daemons, and this daemon's
-//! shares of them.
+//! Limits that endpoints report for the requests from all daemons together, and this daemon's shares
+//! of them.
 
 use rand::Rng;
 use tokio::time::Instant;
@@ -18,31 +18,30 @@
     ids::SharedName,
 };
 
-/// An endpoint that has named a limit.
+/// An endpoint that has reported a limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitedEndpoint {
     /// Id of the endpoint.
     pub id: SharedName,
     /// Its service.
     pub service: SharedName,
-    /// The start that has named it.
+    /// The start that has reported it.
     pub start: NumberedStart,
-    /// Requests a second that it takes from all daemons.
+    /// Requests per second that it takes from all daemons together.
     pub limit: f64,
 }
 
-/// The limit of an endpoint has changed.
+/// Change of an endpoint's limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitChange {
     /// Id of the endpoint.
     pub endpoint: SharedName,
-    /// Requests a second; none if it takes as many as come.
+    /// Requests per second; none if it has no limit.
     pub limit: Option<f64>,
 }
 
 impl EndpointTable {
-    /// An endpoint has said something of its limit in a response, or nothing; the change, if it is
-    /// one.
+    /// Records the limit in a response of an endpoint, or its absence. Returns the change, if any.
     pub fn record_limit(
         &mut self,
         id: &str,
@@ -54,8 +53,9 @@
         self.apply_limit(id, now)
     }
 
-    /// Applies another daemon's report of a limit; the change, if it is one here. One that names no start
-    /// counts only where none is known here either: the endpoint may have started again since.
+    /// Applies another daemon's report of a limit. Returns the change, if any. A report without a start
+    /// time counts only if the endpoint's start time is not known here either: the endpoint may have
+    /// restarted since.
     pub fn receive_limit(&mut self, limit: EndpointLimit, now: Instant) -> Option<LimitChange> {
         let NumberedStart { endpoint, born } = limit.start;
         let known = self.endpoints.values().find(|status| status.number == endpoint);
@@ -67,7 +67,7 @@
         self.apply_limit(&id, now)
     }
 
-    /// Applies the limit that holds by the ledger to the endpoint's status.
+    /// Applies the limit in the ledger to the endpoint's status.
     fn apply_limit(&mut self, id: &str, now: Instant) -> Option<LimitChange> {
         let status = self.endpoints.get_mut(id)?;
         let held = self.signals.of(status.start()).limit_per_second();
@@ -80,19 +80,19 @@
             (Some(limit), None) => status.limit = Some(LimitBucket::new(limit, now)),
             (None, _) => {
                 status.limit = None;
-                // Otherwise all daemons would send it what they have at once.
+                // Without a slow start all daemons would send it all their requests at once.
                 status.pause.resume_slowly(now);
             }
         }
         Some(LimitChange { endpoint: status.record.id.clone(), limit: held })
     }
 
-    /// Reports of limits to the other daemons.
+    /// Limits to report to the other daemons.
     pub fn limits(&self, now: Instant, rng: &mut impl Rng) -> Vec<EndpointLimit> {
         self.signals.limits(now, rng)
     }
 
-    /// Endpoints that take requests and have named a limit.
+    /// Endpoints that take requests and have reported a limit.
     pub fn limited(&self) -> Vec<LimitedEndpoint> {
         let ready = self.endpoints.values().filter(|status| status.is_ready());
         let limited = ready.filter_map(|status: &EndpointStatus| {
@@ -106,36 +106,36 @@
         limited.collect()
     }
 
-    /// Notes the demand of this daemon for all services up to now.
+    /// Updates the demand of this daemon for all services.
     pub fn observe_demand(&mut self, now: Instant) {
         for (service, counters) in &self.services {
             self.demands.entry(service.clone()).or_default().observe(counters.requests, now);
         }
     }
 
-    /// Demand of this daemon for a service, in requests a second.
+    /// Demand of this daemon for a service, in requests per second.
     pub fn own_demand(&self, service: &str) -> f64 {
         self.demands.get(service).map_or(0.0, DemandRate::per_second)
     }
 
-    /// Demand of another daemon for a service, in requests a second; none if it has not reported.
+    /// Demand of another daemon for a service, in requests per second; none if it has not reported.
     pub fn reported_demand(&self, from: ReportSource, service: &str) -> Option<f64> {
         self.reports.demand(from, service)
     }
 
-    /// Sets this daemon's share of an endpoint's limit; none if it holds none.
+    /// Sets this daemon's share of an endpoint's limit; none if it has no share.
     pub fn set_limit_share(&mut self, id: &str, share: Option<HolderShare>, now: Instant) {
         if let Some(bucket) = self.limit_of(id) {
             bucket.set_share(share, now);
         }
     }
 
-    /// Takes a token for a request to an endpoint; false if its limit leaves none.
+    /// Takes a token for a request to an endpoint; false if its limit has none left.
     pub fn try_take_token(&mut self, id: &str, now: Instant) -> bool {
         self.limit_of(id).is_none_or(|bucket| bucket.try_take(now))
     }
 
-    /// Takes back the token of a request that was not sent.
+    /// Returns the token of a request that was not sent.
     pub fn give_back_token(&mut self, id: &str) {
         if let Some(bucket) = self.limit_of(id) {
             bucket.give_back();
--- a/src/gateway/policy/endpoint/signal_ledger.rs
+++ b/src/gateway/policy/endpoint/signal_ledger.rs
@@ -1,27 +1,27 @@
-//! What endpoints have said of themselves in their responses, for each start of them.
+//! Signals that endpoints have sent in their responses, by start of the endpoint.
 //!
-//! | signal | heard | holds | others are told |
+//! | signal | source | valid | reported to other daemons |
 //! |---|---|---|---|
-//! | it drains | in any own response of it | until a later start of it is listed | for 10 s |
-//! | it asks for a back-off | in a 503 to this daemon | until its end or a later start | it refuses |
-//! | it refuses, and seemed to have room, or fails | in a response to this daemon, or the want of one | see `endpoint_pause` | for 2 s |
-//! | it takes so many requests | in any own response of it | until a later response names none | while it holds, for 10 s that it has ended |
+//! | draining | any response of the endpoint itself | until a later start is listed | for 10 s |
+//! | back-off | a 503 to this daemon | until its end or a later start | as a refusal |
+//! | refusal despite apparent room, or failure | a response to this daemon, or a missing one | see `endpoint_pause` | for 2 s |
+//! | limit | any response of the endpoint itself | until a later response has none | while valid; its end for 10 s |
 //!
-//! An endpoint drains whoever asks, so that the other daemons stop too. A refusal, and the time in it,
-//! may be meant for the daemon that got it: others are only careful there (`endpoint_pause`). With 87
-//! daemons each would otherwise find out by requests that are refused.
+//! Draining applies to all daemons, so the others stop sending requests too. A refusal and its
+//! back-off may be meant for the daemon that received it, so the others only take more care
+//! (`endpoint_pause`). Without these reports, each of 87 daemons would find out by refused requests.
 //!
-//! A limit binds all daemons together, so the others keep to it as soon as they hear it. A response
-//! that names none ends it if its request was sent after the last one that names a limit had come;
-//! otherwise it may have overtaken that one. Of two reports that may be of the same time the one
-//! with the smaller limit counts.
+//! A limit applies to all daemons together, so the others apply it as soon as they receive it. A
+//! response without a limit ends it if its request was sent after the last response with a limit had
+//! arrived; otherwise it may have overtaken that response. Of two reports that may be from the same
+//! time, the one with the smaller limit counts.
 //!
-//! Nothing else takes a signal back. A list may be older than the response, and may lack the endpoint
-//! for a while: both come when the store is away, or from a daemon that lags behind. Two responses
-//! may overtake each other, so that of two back-offs the one that ends later counts. Inputs are an
-//! endpoint's number and start; of a start that isn't known (0) the number alone decides.
+//! Nothing else revokes a signal. A list may be older than the response, or lack the endpoint for a
+//! while, if the store is unavailable or the list comes from a daemon that lags behind. Responses may
+//! overtake each other, so of two back-offs the one that ends later counts. Entries are identified by
+//! the endpoint's number and start; if the start is not known (0), by the number alone.
 
-mod held_signals;
+mod active_signals;
 
 use std::{
     collections::{HashMap, HashSet},
@@ -31,21 +31,22 @@
 use rand::{Rng, seq::IteratorRandom};
 use tokio::time::Instant;
 
-pub use self::held_signals::{HeldSignals, LimitObservation};
+pub use self::active_signals::{ActiveSignals, LimitObservation};
 
-/// Time for which other daemons are told that an endpoint drains, or that its limit has ended: some
-/// gossip rounds of a large fleet. Daemons that start later hear it from the endpoint.
-const TOLD_FOR: Duration = Duration::from_secs(10);
-/// Time for which other daemons are told that an endpoint has not served a request: a gossip round of a
-/// large fleet.
-const NOT_SERVED_TOLD_FOR: Duration = Duration::from_secs(2);
-/// Time for which the signals of an endpoint are kept that no list names any more: longer than the
-/// store is away, and than lists lag behind.
+/// Time for which other daemons are sent the report that an endpoint drains, or that its limit has
+/// ended: some gossip rounds of a large fleet. Daemons that start later learn it from the endpoint.
+const REPORTED_FOR: Duration = Duration::from_secs(10);
+/// Time for which other daemons are sent the report that an endpoint has not served a request: a gossip
+/// round of a large fleet.
+const NOT_SERVED_REPORTED_FOR: Duration = Duration::from_secs(2);
+/// Time for which signals of an unlisted endpoint are kept: longer than the store is unavailable and
+/// than lists lag behind.
 const UNLISTED_KEPT: Duration = Duration::from_secs(3_600);
-/// Most warnings in one message; of more at once, lists tell too.
-const MAX_TOLD: usize = 64;
-/// Most limits in one message, drawn anew for each, so that more of them reach all daemons too.
-const MAX_LIMITS_TOLD: usize = 16;
+/// Most warnings in one message. If there are more, daemons also learn from the lists.
+const MAX_WARNINGS: usize = 64;
+/// Most limits in one message. Each message has a new random sample, so that all of them reach all
+/// daemons if there are more.
+const MAX_LIMITS: usize = 16;
 
 /// One start of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,24 +57,24 @@
     pub born: u64,
 }
 
-/// What the other daemons are warned of.
+/// Kind of a warning to the other daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarningKind {
     /// The endpoint drains.
     Draining,
-    /// It asks for a back-off, refuses requests though it seemed to have room, or fails them.
+    /// The endpoint asks for a back-off, refuses requests although it seemed to have room, or fails them.
     NotServing,
 }
 
-/// Warning of an endpoint.
+/// Warning about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointWarning {
     /// The endpoint.
     pub start: NumberedStart,
-    /// What it is about.
+    /// Kind of the warning.
     pub kind: WarningKind,
-    /// When a daemon got the response that it comes from: the first that said that the endpoint
-    /// drains, the newest refusal.
+    /// When a daemon received the response with the signal: the first one with the draining signal, or
+    /// the newest refusal or failure.
     pub at: Instant,
 }
 
@@ -82,15 +83,15 @@
 pub struct EndpointLimit {
     /// The endpoint.
     pub start: NumberedStart,
-    /// What it has said.
+    /// The limit in its responses.
     pub observation: LimitObservation,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LedgerEntry {
     born: u64,
-    signals: HeldSignals,
-    heard_at: Instant,
+    signals: ActiveSignals,
+    received_at: Instant,
 }
 
 /// Signals of all endpoints.
@@ -100,7 +101,8 @@
 }
 
 impl SignalLedger {
-    /// Takes a warning, from an own response or another daemon; whether it is news.
+    /// Records a warning, from a response to this daemon or from another daemon. Returns whether it is
+    /// new.
     pub fn record(&mut self, warning: EndpointWarning, now: Instant) -> bool {
         let Some(entry) = self.entry_of(warning.start, now) else { return false };
         match warning.kind {
@@ -109,14 +111,14 @@
         }
     }
 
-    /// The endpoint wants no requests from this daemon until then.
+    /// Records a back-off for this daemon.
     pub fn record_backoff(&mut self, start: NumberedStart, until: Instant, now: Instant) {
         let Some(entry) = self.entry_of(start, now) else { return };
         let known = entry.signals.backoff_until;
         entry.signals.backoff_until = known.max(Some(until));
     }
 
-    /// Takes what an endpoint has said of its limit to this daemon.
+    /// Records the limit, or its absence, in a response to this daemon.
     pub fn record_limit(&mut self, limit: EndpointLimit, now: Instant) {
         let EndpointLimit { start, observation } = limit;
         if observation.limit.is_none() && self.of(start).limit.is_none() {
@@ -127,44 +129,43 @@
         }
     }
 
-    /// Takes what an endpoint has said of its limit to another daemon.
+    /// Records a limit, or its end, that another daemon has reported.
     pub fn receive_limit(&mut self, limit: EndpointLimit, now: Instant) {
         if let Some(entry) = self.entry_of(limit.start, now) {
             entry.signals.receive_limit(limit.observation);
         }
     }
 
-    /// Reports of limits to the other daemons: those that hold, and for a while those that have ended.
-    /// Of many some are drawn at random, so that each has its turn.
+    /// Limits to report to the other daemons: valid ones and, for a while, those that have ended. If
+    /// there are too many for a message, a random sample.
     pub fn limits(&self, now: Instant, rng: &mut impl Rng) -> Vec<EndpointLimit> {
-        let told = self.by_endpoint.iter().filter_map(|(endpoint, entry)| {
+        let reported = self.by_endpoint.iter().filter_map(|(endpoint, entry)| {
             let start = NumberedStart { endpoint: *endpoint, born: entry.born };
-            let HeldSignals { limit, limit_ended_at, .. } = entry.signals;
-            let is_over = |at: Instant| now.saturating_duration_since(at) >= TOLD_FOR;
-            let is_told = !limit_ended_at.is_some_and(is_over);
-            limit.filter(|_| is_told).map(|observation| EndpointLimit { start, observation })
+            let ActiveSignals { limit, limit_ended_at, .. } = entry.signals;
+            let is_over = |at: Instant| now.saturating_duration_since(at) >= REPORTED_FOR;
+            let is_reported = !limit_ended_at.is_some_and(is_over);
+            limit.filter(|_| is_reported).map(|observation| EndpointLimit { start, observation })
         });
-        told.sample(rng, MAX_LIMITS_TOLD)
+        reported.sample(rng, MAX_LIMITS)
     }
 
-    /// Signals that hold for a start: its own, and those of later starts, of which no list has
-    /// told yet.
-    pub fn of(&self, start: NumberedStart) -> HeldSignals {
+    /// Signals that apply to a start: its own, or those of a later start that no list has shown yet.
+    pub fn of(&self, start: NumberedStart) -> ActiveSignals {
         let entry = self.by_endpoint.get(&start.endpoint);
-        let held = entry.filter(|entry| entry.born == 0 || start.born <= entry.born);
-        held.map_or_else(HeldSignals::default, |entry| entry.signals)
+        let applicable = entry.filter(|entry| entry.born == 0 || start.born <= entry.born);
+        applicable.map_or_else(ActiveSignals::default, |entry| entry.signals)
     }
 
-    /// Drops signals of earlier starts than those of the list, and old ones of endpoints that it
-    /// doesn't name. Returns the endpoints that have started again.
+    /// Drops signals of starts earlier than the listed ones, and old signals of unlisted endpoints.
+    /// Returns the endpoints that have restarted.
     pub fn apply_list(
         &mut self,
         starts: impl Iterator<Item = NumberedStart>,
         now: Instant,
     ) -> HashSet<u64> {
-        let (mut listed, mut started_again) = (HashSet::new(), HashSet::new());
+        let (mut listed, mut restarted) = (HashSet::new(), HashSet::new());
         if self.by_endpoint.is_empty() {
-            return started_again;
+            return restarted;
         }
         for NumberedStart { endpoint, born } in starts {
             listed.insert(endpoint);
@@ -173,42 +174,42 @@
                 0 => entry.born = born,
                 earlier if earlier < born => {
                     self.by_endpoint.remove(&endpoint);
-                    started_again.insert(endpoint);
+                    restarted.insert(endpoint);
                 }
                 _ => {}
             }
         }
         let is_recent =
-            |entry: &LedgerEntry| now.saturating_duration_since(entry.heard_at) < UNLISTED_KEPT;
+            |entry: &LedgerEntry| now.saturating_duration_since(entry.received_at) < UNLISTED_KEPT;
         self.by_endpoint.retain(|endpoint, entry| listed.contains(endpoint) || is_recent(entry));
-        started_again
+        restarted
     }
 
-    /// Warnings for the other daemons, the newest first.
+    /// Warnings to report to the other daemons, newest first.
     pub fn warnings(&self, now: Instant) -> Vec<EndpointWarning> {
         let mut warnings = Vec::new();
         for (endpoint, entry) in &self.by_endpoint {
             let start = NumberedStart { endpoint: *endpoint, born: entry.born };
-            let HeldSignals { draining_since, not_served_at, .. } = entry.signals;
-            let draining = draining_since.map(|at| (WarningKind::Draining, at, TOLD_FOR));
+            let ActiveSignals { draining_since, not_served_at, .. } = entry.signals;
+            let draining = draining_since.map(|at| (WarningKind::Draining, at, REPORTED_FOR));
             let refusing =
-                not_served_at.map(|at| (WarningKind::NotServing, at, NOT_SERVED_TOLD_FOR));
-            for (kind, at, told_for) in draining.into_iter().chain(refusing) {
-                if now.saturating_duration_since(at) < told_for {
+                not_served_at.map(|at| (WarningKind::NotServing, at, NOT_SERVED_REPORTED_FOR));
+            for (kind, at, reported_for) in draining.into_iter().chain(refusing) {
+                if now.saturating_duration_since(at) < reported_for {
                     warnings.push(EndpointWarning { start, kind, at });
                 }
             }
         }
         warnings.sort_by_key(|warning| std::cmp::Reverse(warning.at));
-        warnings.truncate(MAX_TOLD);
+        warnings.truncate(MAX_WARNINGS);
         warnings
     }
 
-    /// The entry of a start, made where there is none or one of an earlier start; none if the
-    /// signals of a later start are known.
+    /// Returns the entry of a start. Creates it if there is none, or only one of an earlier start;
+    /// returns none if signals of a later start are known.
     fn entry_of(&mut self, start: NumberedStart, now: Instant) -> Option<&mut LedgerEntry> {
         let NumberedStart { endpoint, born } = start;
-        let new = LedgerEntry { born, signals: HeldSignals::default(), heard_at: now };
+        let new = LedgerEntry { born, signals: ActiveSignals::default(), received_at: now };
         let entry = self.by_endpoint.entry(endpoint).or_insert(new);
         match entry.born {
             known if known == born || born == 0 => {}
@@ -216,7 +217,7 @@
             known if known < born => *entry = new,
             _ => return None,
         }
-        entry.heard_at = now;
+        entry.received_at = now;
         Some(entry)
     }
 }
--- a/src/gateway/policy/endpoint/signal_ledger/held_signals.rs
+++ b/src/gateway/policy/endpoint/signal_ledger/active_signals.rs
@@ -1,46 +1,47 @@
-//! Signals that hold for one start of an endpoint, from its responses to this daemon or to others, and
-//! which of two of them counts.
+//! Valid signals of one start of an endpoint, from its responses to this daemon or to others, and the
+//! rules by which a new signal replaces an earlier one.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Reports of different daemons that are less apart may be of one response: times come as ages, and
-/// look younger by what their messages took, a gossip call's time limit at most. Otherwise a refusal
-/// would return to the daemon that reported it as a later one, again and again.
+/// Reports of different daemons whose times differ by less may be about the same response: times are
+/// sent as ages, which are too small by the duration of the message, at most a gossip call's timeout.
+/// Without this tolerance a refusal would come back to the daemon that reported it as a later one,
+/// again and again.
 const REPORT_SKEW: Duration = Duration::from_millis(400);
 
-/// What an endpoint has said of its limit.
+/// Limit in a response of an endpoint, or its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitObservation {
-    /// Requests a second; none if it takes as many as come.
+    /// Requests per second; none if the response has no limit.
     pub limit: Option<f64>,
-    /// When a response came that names it, or the request was sent whose response names none.
+    /// When the response with the limit arrived or, without a limit, when its request was sent.
     pub at: Instant,
 }
 
-/// Signals that hold for one start of an endpoint.
+/// Valid signals of one start of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct HeldSignals {
+pub struct ActiveSignals {
     /// Since when it drains.
     pub draining_since: Option<Instant>,
-    /// Until when it wants no requests from this daemon.
+    /// End of its back-off for this daemon.
     pub backoff_until: Option<Instant>,
-    /// When it last refused a request of any daemon for no known reason, or failed one.
+    /// When it last refused a request of any daemon without a known reason, or failed one.
     pub not_served_at: Option<Instant>,
-    /// What it said last of its limit.
+    /// Newest known limit, or the absence of one.
     pub limit: Option<LimitObservation>,
-    /// Since when it names none, if it has named one.
+    /// When its limit ended.
     pub limit_ended_at: Option<Instant>,
 }
 
-impl HeldSignals {
-    /// The limit that it names, in requests a second.
+impl ActiveSignals {
+    /// The limit, in requests per second.
     pub fn limit_per_second(&self) -> Option<f64> {
         self.limit?.limit
     }
 
-    /// Takes what it has said to this daemon. That it names no limit is kept only where one was known.
+    /// Records an observation of this daemon. The absence of a limit is kept only if one was known.
     pub(super) fn record_limit(&mut self, observation: LimitObservation) {
         let is_later =
             self.limit.map_or(observation.limit.is_some(), |known| observation.at > known.at);
@@ -58,12 +59,13 @@
         self.limit = Some(observation);
     }
 
-    /// Takes what it has said to another daemon.
+    /// Records an observation that another daemon has reported.
     pub(super) fn receive_limit(&mut self, observation: LimitObservation) {
         match self.limit {
             Some(known) if observation.at + REPORT_SKEW <= known.at => {}
-            // Ages look smaller by what messages took: either may be the later one. One that has ended is
-            // taken up with the time of the report, or it would go round as a later and later observation.
+            // Reported ages are too small by the duration of the message, so either observation may be
+            // the later one. If the limit has ended, the earlier time is kept: otherwise daemons would
+            // pass the report around with a later time at each step.
             Some(known) if observation.at <= known.at + REPORT_SKEW => {
                 let limit = least_limit(known.limit, observation.limit);
                 let at =
@@ -74,25 +76,25 @@
         }
     }
 
-    /// It drains since then, or longer; whether that is news.
+    /// Records that it has been draining since `since` or longer. Returns whether that was unknown.
     pub(super) fn record_draining(&mut self, since: Instant) -> bool {
         let known = self.draining_since;
         self.draining_since = Some(known.map_or(since, |known| known.min(since)));
         known.is_none()
     }
 
-    /// It has not served a request; whether that is news.
+    /// Records that it has not served a request. Returns whether the report is new.
     pub(super) fn record_not_served(&mut self, at: Instant) -> bool {
         let known = self.not_served_at;
-        let is_news = known.is_none_or(|known| at > known + REPORT_SKEW);
-        if is_news {
+        let is_new = known.is_none_or(|known| at > known + REPORT_SKEW);
+        if is_new {
             self.not_served_at = Some(at);
         }
-        is_news
+        is_new
     }
 }
 
-/// The smaller of two limits; none is greater than any.
+/// The smaller of two limits; none counts as greater than any limit.
 fn least_limit(one: Option<f64>, other: Option<f64>) -> Option<f64> {
     match (one, other) {
         (Some(one), Some(other)) => Some(one.min(other)),
