--- a/src/gateway/policy/endpoint/load_reports.rs
+++ b/src/gateway/policy/endpoint/load_reports.rs
@@ -1,6 +1,6 @@
-//! Loads that other daemons report of endpoints, by the source of the report.
+//! Endpoint loads that other daemons report, by the source of the report.
 //!
-//! Loads are left out when they are two seconds old; totals of tokens sent are kept longer.
+//! Loads older than two seconds are ignored; totals of tokens sent are kept longer.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -15,26 +15,26 @@
 };
 use crate::{gateway::gossip::report_source::ReportSource, ids::SharedName};
 
-/// Other daemons' loads no longer count after this time, in which they change.
+/// Age above which loads of other daemons are ignored, since they have changed by then.
 const LOAD_KEPT: Duration = Duration::from_secs(2);
-/// Reports of a daemon are forgotten after this time, its totals of tokens sent with them: much
-/// longer than `LOAD_KEPT`, since the totals fall then.
+/// Age at which a report is dropped with its totals of tokens sent: much longer than `LOAD_KEPT`, since
+/// the sum of the totals falls then.
 const REPORT_KEPT: Duration = Duration::from_secs(20);
 
 /// The newest report of each source.
 #[derive(Debug, Default)]
 pub struct LoadReports {
     by_source: HashMap<ReportSource, ReportedLoads>,
-    /// Requests a second, by source and service.
+    /// Requests per second, by source and service.
     demands: HashMap<ReportSource, HashMap<SharedName, DemandRate>>,
 }
 
 impl LoadReports {
-    /// Takes a report.
+    /// Applies a report.
     pub fn apply(&mut self, from: ReportSource, report: ReportedLoads) {
         let now = report.at;
         if let ReportSource::Group { number, .. } = from {
-            // A new representative reports the same group: its report replaces the other's.
+            // A new representative reports for the same group, so its report replaces the former one's.
             let is_same_group = |other: &ReportSource| match other {
                 ReportSource::Group { number: group, .. } => *group == number,
                 ReportSource::Daemon(_) => false,
@@ -50,13 +50,14 @@
         self.demands.retain(|from, _| self.by_source.contains_key(from));
     }
 
-    /// Demand of a source for a service, in requests a second; none if it has not reported.
+    /// Demand of a source for a service, in requests per second; none if it has not reported.
     pub fn demand(&self, from: ReportSource, service: &str) -> Option<f64> {
         let demands = self.demands.get(&from)?;
         Some(demands.get(service).map_or(0.0, DemandRate::per_second))
     }
 
-    /// Load of an endpoint by all reports, at `prefill_rate` tokens a millisecond.
+    /// Load of an endpoint according to all reports, if it prefills `prefill_rate` tokens per
+    /// millisecond.
     pub fn load_at(&self, endpoint: u64, prefill_rate: f64, now: Instant) -> EndpointLoad {
         let mut sum = EndpointLoad::default();
         for report in self.by_source.values() {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Adds what daemons of the own group count, by service.
+    /// Adds the counters that daemons of the own group report, by service.
     pub fn add_group_services(&self, services: &mut BTreeMap<SharedName, ServiceCounters>) {
         for report in self.of_own_group() {
             for (service, counters) in &report.services {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Tokens that all others have sent to a service.
+    /// Tokens that all other daemons have sent to a service.
     pub fn sent_to(&self, service: &str) -> u64 {
         let counters = self.by_source.values().filter_map(|report| report.services.get(service));
         counters.map(|counters| counters.uncached_tokens).sum()
--- a/src/gateway/policy/endpoint/prefill_rate.rs
+++ b/src/gateway/policy/endpoint/prefill_rate.rs
@@ -1,31 +1,30 @@
-//! Prefill rate of a service's endpoints, learnt from the time to the first event of streams
-//! whose prompt was alone at its endpoint.
+//! Prefill rate of a service's endpoints, estimated from the time to the first event of streams
+//! whose prompt was the only one at its endpoint.
 //!
-//! Each daemon learns for itself, beginning with the default at each start.
+//! Each daemon makes its own estimate, which starts from the default when the daemon starts.
 
 use std::time::Duration;
 
-/// Tokens a millisecond assumed before anything is learnt.
+/// Tokens per millisecond, assumed before the first sample.
 pub const DEFAULT_PREFILL_RATE: f64 = 40.0;
-/// Fewest uncached tokens from which a rate is learnt: for shorter prompts the overhead outweighs the
-/// prefill.
+/// Fewest uncached tokens of a sample: for shorter prompts the overhead outweighs the prefill.
 const MIN_TOKENS: u64 = 1_500;
 /// Time to the first event besides prefill, in milliseconds: sending, queueing and the first token.
 const OVERHEAD_MS: f64 = 45.0;
-/// Weight of one sample: about a dozen move the rate to a new value.
+/// Weight of one sample: the estimate follows a new rate within about a dozen samples.
 const SAMPLE_WEIGHT: f64 = 0.08;
-/// Bounds of one sample's rate, in tokens a millisecond, against mistaken samples.
+/// Bounds of one sample's rate, in tokens per millisecond, against wrong samples.
 const SAMPLE_BOUNDS: (f64, f64) = (2.0, 2_000.0);
-/// Bounds of the factor by which a sample may differ from the rate: one prompt that was cached after
-/// all then counts little.
+/// Bounds of the ratio of a sample to the estimate: limits the effect of a prompt that was cached
+/// although it was not expected to be.
 const FACTOR_BOUNDS: (f64, f64) = (0.5, 2.0);
-/// Least time taken as prefill, in milliseconds: keeps the rate finite.
+/// Shortest prefill time of a sample, in milliseconds: keeps the rate finite.
 const MIN_PREFILL_MS: f64 = 1.0;
 
-/// Rate of one service, in tokens a millisecond.
+/// Prefill rate of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillRate {
-    /// Tokens a millisecond.
+    /// Tokens per millisecond.
     pub tokens_per_ms: f64,
 }
 
@@ -36,7 +35,8 @@
 }
 
 impl PrefillRate {
-    /// The first event of a prompt of `uncached` tokens, alone at its endpoint, took this long.
+    /// Adds a sample: `taken` is the time to the first event of a prompt with `uncached` uncached tokens
+    /// that was the only one at its endpoint.
     pub fn learn(&mut self, uncached: u64, taken: Duration) {
         if uncached < MIN_TOKENS {
             return;
--- a/src/gateway/policy/endpoint/prompt_cache.rs
+++ b/src/gateway/policy/endpoint/prompt_cache.rs
@@ -1,7 +1,7 @@
-//! Which parts of prompts an endpoint has probably cached.
+//! Estimates which parts of prompts an endpoint has cached.
 //!
-//! Engines reuse what they have read of a prompt's beginning. This is a guess from what this
-//! daemon has sent lately: what others send, and what the engine drops, is not known.
+//! Engines cache prompt prefixes. The estimate uses only the prompts that this daemon has sent
+//! recently: those of other daemons, and what the engine evicts, are not known.
 
 use std::collections::HashMap;
 
@@ -9,8 +9,8 @@
 
 /// Parts remembered for each endpoint: some tens of kilobytes.
 const PARTS_KEPT: usize = 1_024;
-/// When full, parts not used by this many of the newest prompts are dropped: many at a time, so that
-/// the scan is rare.
+/// Newest prompts whose parts are kept when the map is full. All older parts are dropped at once, so
+/// that the scan is rare.
 const PROMPTS_KEPT: u64 = PARTS_KEPT as u64 / 4;
 
 /// End of one part within a prompt.
@@ -34,23 +34,23 @@
     chain
 }
 
-/// Parts that an endpoint was sent lately.
+/// Prompt parts that this daemon has recently sent to an endpoint.
 #[derive(Debug, Default)]
 pub struct PromptCache {
     /// Number of the newest prompt.
     newest: u64,
-    /// Newest prompt that used a part, by the hash of its end.
+    /// Newest prompt that used a part, by the hash at the end of the part.
     used_by: HashMap<u64, u64>,
 }
 
 impl PromptCache {
-    /// Tokens at the beginning of a prompt that are probably cached.
+    /// Length in tokens of the prompt's prefix that is probably cached.
     pub fn remembered(&self, chain: &[PartEnd]) -> u64 {
         let known = chain.iter().take_while(|end| self.used_by.contains_key(&end.hash));
         known.last().map_or(0, |end| end.tokens)
     }
 
-    /// A prompt with this chain was sent to the endpoint.
+    /// Records a prompt that was sent to the endpoint.
     pub fn remember(&mut self, chain: &[PartEnd]) {
         self.newest += 1;
         for end in chain {
