--- a/src/gateway/policy/endpoint/request_limit.rs
+++ b/src/gateway/policy/endpoint/request_limit.rs
@@ -1,79 +1,82 @@
-//! How many requests this daemon may send to an endpoint that has named a limit: requests a second
-//! that it takes from all daemons together.
+//! How many requests this daemon may send to an endpoint that has reported a limit, in requests per
+//! second from all daemons together.
 //!
-//! No daemon sees what the others send in time, so the limit is divided. Some daemons hold a share
-//! of it, the first by rendezvous hashing over those that are known to run; the others send
-//! nothing there. A holder fills a token bucket at its share, and each request takes a token.
-//! Shares follow the demand that the holders have reported; where one has not, they are even.
+//! No daemon learns in time what the others send, so the limit is divided. Some daemons hold a share
+//! of it: the first ones by rendezvous hashing over the daemons that are known to run. The others
+//! send no requests there. A holder's token bucket fills at the rate of its share, and each request
+//! takes a token. Shares follow the demand that the holders have reported, and are equal if one has
+//! not reported.
 //!
-//! Without holders the tokens that all daemons have saved could come at once: 87 requests from 87
-//! daemons, to an endpoint that wants one a second. Their number therefore grows with the limit
-//! only. Daemons that know different others disagree on the holders until gossip reaches them, and
-//! their shares add up meanwhile; a new holder begins with less than a token for that reason.
+//! If every daemon had a share, the tokens saved by all of them could be used at once: 87 requests
+//! from 87 daemons to an endpoint that takes one per second. The number of holders therefore depends
+//! on the limit alone. Daemons with different membership lists disagree on the holders until gossip
+//! reaches them, and until then the shares may exceed the limit. A new holder therefore begins with
+//! less than one token.
 //!
-//! Inputs: the limit as the endpoint said it, to this daemon or another; the daemons and their
-//! demand as of the last gossip round. The native path has no such limits: its endpoints report
-//! their load. Quotas of accounts (`policy::request::quota`) are larger by far than one request, so
-//! there every daemon may spend from the whole until the others' reports come.
+//! Inputs are the limit that the endpoint has sent to any daemon, and the daemons and their demand as
+//! of the last gossip round. The native path has no such limits: its endpoints report their load.
+//! Quotas of accounts (`policy::request::quota`) are much larger than one request, so there every
+//! daemon may spend from the whole until the others' reports arrive.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Holders beside one for each request a second of the limit: the fewer, the fewer requests come at
-/// once; the more, the more daemons can use the endpoint.
+/// Holders in addition to one per request per second of the limit. With fewer holders, fewer requests
+/// arrive at once; with more, more daemons can use the endpoint.
 const BASE_HOLDERS: f64 = 3.0;
-/// Fraction of a limit that is used; the rest is for requests under way and views of the daemons that
-/// differ.
+/// Fraction of a limit that is used; the rest allows for requests in transit and for daemons with
+/// different membership lists.
 const USED_FRACTION: f64 = 0.95;
-/// Requests a second that all daemons send to an endpoint whose limit is less, or 0: only a response
-/// shows that the limit has ended.
-const ASKING_RATE: f64 = 0.1;
-/// Limits from here on count as none, in requests a second.
-const GREATEST_LIMIT: f64 = 1e6;
-/// Time for which a holder that sends nothing saves tokens beyond the first.
-const SAVED_FOR: Duration = Duration::from_millis(250);
-/// Demand that each holder counts as having besides, in requests a second: one whose clients have just
-/// come finds a token, and does not wait for its demand to be averaged.
-const LEAST_DEMAND: f64 = 1.0;
-
-/// A limit that an endpoint has named, in requests a second; none if it is too great to mean one.
+/// Least rate at which all daemons together send requests, per second, even if the limit is lower or 0:
+/// only a response shows that the limit has ended.
+const MIN_PROBE_RATE: f64 = 0.1;
+/// Limits of this value or above are ignored, in requests per second.
+const MAX_LIMIT: f64 = 1e6;
+/// Time for which an idle holder saves tokens beyond the first.
+const BURST_TIME: Duration = Duration::from_millis(250);
+/// Added to the demand of each holder, in requests per second: a holder whose clients have just
+/// started gets a token without waiting until its averaged demand has risen.
+const BASE_DEMAND: f64 = 1.0;
+
+/// Returns the limit that an endpoint has reported, in requests per second; none if it is too great to
+/// be meant as a limit.
 pub fn plausible_limit(named: f64) -> Option<f64> {
-    (named < GREATEST_LIMIT).then_some(named)
+    (named < MAX_LIMIT).then_some(named)
 }
 
-/// How many of so many daemons share a limit.
+/// Number of holders of a limit among `daemons` daemons.
 pub fn holder_count(limit: f64, daemons: usize) -> usize {
     ((BASE_HOLDERS + limit) as usize).clamp(1, daemons.max(1))
 }
 
-/// Requests a second that all daemons together send to an endpoint with this limit.
+/// Rate at which all daemons together send requests to an endpoint with this limit, per second.
 fn used_rate(limit: f64) -> f64 {
-    (limit * USED_FRACTION).max(ASKING_RATE)
+    (limit * USED_FRACTION).max(MIN_PROBE_RATE)
 }
 
 /// A holder's share of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HolderShare {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Tokens, less than one, that it begins with: a different fraction for each holder, so that
-    /// they don't all send at the same moments.
+    /// Tokens at the start, less than one: a different fraction for each holder, so that they don't
+    /// all send at the same times.
     pub first_level: f64,
 }
 
 impl HolderShare {
-    /// The share of the holder of this rank, from 0 up, of so many.
+    /// Share of the holder with this rank, counted from 0, among `holders` holders.
     pub fn of_rank(rank: usize, holders: usize, rate: f64) -> Self {
         Self { rate, first_level: rank as f64 / holders.max(rank + 1) as f64 }
     }
 }
 
-/// Requests a second that one of `holders` daemons may send. `others` has the demand of the others
-/// in requests a second, as far as it is known.
+/// Rate at which one of `holders` daemons may send requests, per second. `others` is the demand of the
+/// other holders in requests per second; none for those that have not reported.
 pub fn holder_rate(limit: f64, own_demand: f64, others: &[Option<f64>], holders: usize) -> f64 {
     let used = used_rate(limit);
-    let weight = |demand: f64| demand + LEAST_DEMAND;
+    let weight = |demand: f64| demand + BASE_DEMAND;
     let known: Option<Vec<f64>> = others.iter().copied().collect();
     match known {
         Some(others) if others.len() + 1 >= holders => {
@@ -87,9 +90,9 @@
 /// This daemon's share of an endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBucket {
-    /// The limit, in requests a second.
+    /// The limit, in requests per second.
     limit: f64,
-    /// This daemon's share, in requests a second; 0 if it holds none.
+    /// This daemon's share, in requests per second; 0 if it has none.
     rate: f64,
     /// Tokens at `filled_at`.
     level: f64,
@@ -102,17 +105,17 @@
         Self { limit, rate: 0.0, level: 0.0, filled_at: now }
     }
 
-    /// The limit, in requests a second.
+    /// The limit, in requests per second.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// This daemon's share, in requests a second.
+    /// This daemon's share, in requests per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// The endpoint names another limit: the share changes with it, until it is decided anew.
+    /// Sets another limit. The share is scaled with it until it is decided again.
     pub fn set_limit(&mut self, limit: f64, now: Instant) {
         self.level = self.level_at(now);
         self.filled_at = now;
@@ -120,7 +123,7 @@
         self.limit = limit;
     }
 
-    /// Sets the share; none takes away what was saved.
+    /// Sets the share. If there is none, saved tokens are dropped.
     pub fn set_share(&mut self, share: Option<HolderShare>, now: Instant) {
         self.level = match share {
             Some(share) if self.rate <= 0.0 => share.first_level,
@@ -136,7 +139,7 @@
         self.level_at(now) >= 1.0
     }
 
-    /// Takes the token of a request; false if there is none.
+    /// Takes a token for a request; false if there is none.
     pub fn try_take(&mut self, now: Instant) -> bool {
         if !self.has_token(now) {
             return false;
@@ -146,17 +149,17 @@
         true
     }
 
-    /// Takes back the token of a request that was not sent.
+    /// Returns the token of a request that was not sent.
     pub fn give_back(&mut self) {
         self.level = (self.level + 1.0).min(self.capacity());
     }
 
-    /// When the next request may be sent: by this daemon, or on average by any, where it holds no
-    /// share. None if hardly any is.
+    /// When this daemon may send the next request or, if it has no share, when any daemon is expected
+    /// to. None if it has no share and the limit is too low for requests other than probes.
     pub fn next_token(&self, now: Instant) -> Option<Instant> {
         let wait_s = match self.rate > 0.0 {
             true => (1.0 - self.level_at(now)).max(0.0) / self.rate,
-            false if self.limit < ASKING_RATE => return None,
+            false if self.limit < MIN_PROBE_RATE => return None,
             false => 1.0 / used_rate(self.limit),
         };
         Some(now + Duration::from_secs_f64(wait_s))
@@ -168,6 +171,6 @@
     }
 
     fn capacity(&self) -> f64 {
-        1.0 + self.rate * SAVED_FOR.as_secs_f64()
+        1.0 + self.rate * BURST_TIME.as_secs_f64()
     }
 }
--- a/src/gateway/policy/endpoint/room_forecast.rs
+++ b/src/gateway/policy/endpoint/room_forecast.rs
@@ -1,37 +1,36 @@
-//! When the endpoints of a service will have room, for what clients are told that were refused.
+//! When the endpoints of a service will have room: sets the retry time of refused requests.
 
 use tokio::time::Instant;
 
 /// When one endpoint will have room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointRoom {
-    /// It has some.
+    /// It has room now.
     Now,
-    /// It wants no requests of this daemon until then.
+    /// It takes no requests of this daemon before this time.
     At(Instant),
-    /// It is full; when a request ends there isn't known.
+    /// It is full, and it is not known when one of its requests will end.
     Unknown,
 }
 
 /// When a service will have room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoomForecast {
-    /// An endpoint has some.
+    /// An endpoint has room now.
     Now,
-    /// All endpoints want no requests of this daemon, by back-offs or limits: the first from `first`
-    /// on, the last from `last` on.
+    /// No endpoint takes requests of this daemon now, because of back-offs or limits.
     Later {
-        /// When the first may be asked again.
+        /// When the first of them takes requests again.
         first: Instant,
-        /// When the last may.
+        /// When the last of them does.
         last: Instant,
     },
-    /// All are full, or there is none.
+    /// No endpoint has room now and some are full, or there are no endpoints.
     Unknown,
 }
 
 impl RoomForecast {
-    /// The forecast for endpoints with this room.
+    /// Forecast for a service whose endpoints have this room.
     pub fn of(endpoints: impl Iterator<Item = EndpointRoom>) -> Self {
         let mut times = Vec::new();
         let mut is_any_unknown = false;
--- a/src/gateway/policy/endpoint/service_room.rs
+++ b/src/gateway/policy/endpoint/service_room.rs
@@ -1,10 +1,10 @@
-//! How much room the endpoints of a service have.
+//! Room of the endpoints of a service.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// Room of a service's endpoints, for the log of a request that found none.
+/// Room of a service's endpoints, logged with a request that found none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display)]
 #[display(
     "{endpoints} endpoints, {running} running of {slots} slots, {backing_off} backing off, \
@@ -14,14 +14,14 @@
 pub struct ServiceRoom {
     /// Endpoints that take requests.
     pub endpoints: u32,
-    /// Those that want no requests for a while.
+    /// Those that have asked for a back-off.
     pub backing_off: u32,
-    /// Those whose limit leaves nothing for this daemon now.
+    /// Those whose limit leaves no request for this daemon now.
     pub at_limit: u32,
-    /// Requests that they run at once.
+    /// Requests that they can run at once.
     pub slots: u32,
-    /// Requests of all daemons there.
+    /// Requests of all daemons that run there.
     pub running: u32,
-    /// Age of the oldest load that counts.
+    /// Age of the oldest load report in use.
     pub report_age: Duration,
 }
