--- a/src/gateway/policy/endpoint/endpoint_choice.rs
+++ b/src/gateway/policy/endpoint/endpoint_choice.rs
@@ -5,17 +5,18 @@
 //! prefilling this prompt causes to other requests at the endpoint.
 //!
 //! An endpoint that asked for a back-off, or whose limit leaves no request for this daemon now, is
-//! not a candidate. One that refused requests recently, or fails more often than others, is avoided by
-//! requests that could not be retried elsewhere. Loads are this daemon's own and those that others
-//! reported up to two seconds ago; reported uncached tokens are reduced by what the endpoint should
-//! have read since. If reports are missing, an endpoint looks idle until it refuses requests.
+//! not a candidate. One that refused requests recently, or fails more often than others, is avoided
+//! by requests that could not be retried elsewhere. Loads are this daemon's own and those that
+//! others reported up to two seconds ago; reported uncached tokens are reduced by what the endpoint
+//! should have read since. If reports are missing, an endpoint looks idle until it refuses
+//! requests.
 //!
-//! Requests that share parts of their prompts have an affinity endpoint, which all daemons derive by
-//! rendezvous hashing. It is expected to have cached the shared parts, so these requests go there
-//! unless its wait exceeds what the cache saves.
+//! Requests that share parts of their prompts have an affinity endpoint, which all daemons derive
+//! by rendezvous hashing. It is expected to have cached the shared parts, so these requests go
+//! there unless its wait exceeds what the cache saves.
 //!
-//! The native path has its own rule (`native::decide::routing`): its endpoints report their load and
-//! cache, which those of the platform do only at a price.
+//! The native path has its own rule (`native::decide::routing`): its endpoints report their load
+//! and cache, which those of the platform do only at a price.
 
 use std::{rc::Rc, time::Duration};
 
@@ -32,27 +33,28 @@
     ids::{SharedName, hash_parts},
 };
 
-/// Wait added at an endpoint whose slots are all in use, in milliseconds, and in proportion if fewer
-/// are. Full batches matter less than cached prompts.
+/// Wait added at an endpoint whose slots are all in use, in milliseconds, and in proportion if
+/// fewer are. Full batches matter less than cached prompts.
 const FULL_BATCH_MS: f64 = 40.0;
 /// Wait for each request that exceeds an endpoint's slots, in milliseconds.
 const QUEUED_REQUEST_MS: f64 = 60.0;
 /// Wait added for an endpoint in another zone, in milliseconds: decides between endpoints that are
 /// otherwise equal.
 const OTHER_ZONE_MS: f64 = 4.0;
-/// Cost of an endpoint that may refuse or fail, for a request that could not be retried elsewhere, in
-/// milliseconds: above any wait that a client would accept, so that the endpoint is chosen only if no
-/// other has room. Requests that can be retried show whether the endpoint works again.
+/// Cost of an endpoint that may refuse or fail, for a request that could not be retried elsewhere,
+/// in milliseconds: above any wait that a client would accept, so that the endpoint is chosen only
+/// if no other has room. Requests that can be retried show whether the endpoint works again.
 const PROBE_RISK_MS: f64 = 100_000.0;
 /// Fraction of a prompt's shared parts that the affinity endpoint is expected to have cached.
 const AFFINITY_HIT_RATIO: f64 = 1.0;
 /// Delay that prefilling a prompt causes to other requests at the endpoint, as a multiple of the
 /// prefill time: all running and queued requests there are delayed.
 const DELAY_TO_OTHERS: f64 = 1.5;
-/// Loads of other daemons up to this age count as fresh, as they are in a fleet of one gossip group.
+/// Loads of other daemons up to this age count as fresh, as they are in a fleet of one gossip
+/// group.
 const FRESH_LOAD_AGE: Duration = Duration::from_millis(500);
-/// Upper bound of a random wait added to each cost, in milliseconds: keeps daemons that see the same
-/// loads from all choosing the same endpoint.
+/// Upper bound of a random wait added to each cost, in milliseconds: keeps daemons that see the
+/// same loads from all choosing the same endpoint.
 const NOISE_MS: f64 = 3.0;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
@@ -171,8 +173,8 @@
     }
 }
 
-/// Whether the request avoids endpoints that fail more often than others: if it could not be retried
-/// after a failure, unless most of the candidates fail more often.
+/// Whether the request avoids endpoints that fail more often than others: if it could not be
+/// retried after a failure, unless most of the candidates fail more often.
 fn avoids_failures(candidates: &[&EndpointStatus], query: &ChoiceQuery<'_>, now: Instant) -> bool {
     let outliers = candidates.iter().filter(|status| status.failures.is_outlier(now)).count();
     !query.may_retry_after_failure && outliers * 2 <= candidates.len()
@@ -245,9 +247,9 @@
     candidates.iter().max_by_key(weight).map(|status| status.record.id.clone())
 }
 
-/// Candidates without a limit that don't fail more often than others, or all candidates if there are
-/// none. An affinity endpoint should be able to take all requests with its shared parts: one that it
-/// can't take, or fails, has to be prefilled again at another endpoint.
+/// Candidates without a limit that don't fail more often than others, or all candidates if there
+/// are none. An affinity endpoint should be able to take all requests with its shared parts: one
+/// that it can't take, or fails, has to be prefilled again at another endpoint.
 fn unrestricted<'a>(candidates: &[&'a EndpointStatus], now: Instant) -> Vec<&'a EndpointStatus> {
     let is_unrestricted =
         |status: &&&EndpointStatus| status.limit.is_none() && !status.failures.is_outlier(now);
--- a/src/gateway/policy/endpoint/endpoint_pause.rs
+++ b/src/gateway/policy/endpoint/endpoint_pause.rs
@@ -1,5 +1,5 @@
-//! When to send the next requests to an endpoint that has refused one, or that fails more often than
-//! others.
+//! When to send the next requests to an endpoint that has refused one, or that fails more often
+//! than others.
 //!
 //! | event | pause | after the pause |
 //! |---|---|---|
@@ -10,8 +10,8 @@
 //! | refusal or failure reported by another daemon | none, but one that began here starts again | slow start |
 //!
 //! Slow start: at first one request at a time is sent; the number doubles with each one that the
-//! endpoint has run, until it reaches the endpoint's slots. Without this, an endpoint that refuses or
-//! fails requests immediately looks idle and attracts the requests that others would serve.
+//! endpoint has run, until it reaches the endpoint's slots. Without this, an endpoint that refuses
+//! or fails requests immediately looks idle and attracts the requests that others would serve.
 //!
 //! During the slow start after a refusal or failure, requests that could not be retried elsewhere
 //! avoid the endpoint for some seconds. They don't after the end of a limit.
@@ -32,15 +32,16 @@
 const FIRST_PAUSE: Duration = Duration::from_millis(60);
 /// Longest such pause: an endpoint that has recovered is used again within it.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Most doublings: keeps the power of two within 32 bits. The pause reaches `LONGEST_PAUSE` earlier.
+/// Most doublings: keeps the power of two within 32 bits. The pause reaches `LONGEST_PAUSE`
+/// earlier.
 const DOUBLING_LIMIT: u32 = 8;
-/// Longest back-off that is accepted; a longer one counts as a refusal without a time. Above an hour
-/// the unit is more likely wrong, and the endpoint must not be lost because of it.
+/// Longest back-off that is accepted; a longer one counts as a refusal without a time. Above an
+/// hour the unit is more likely wrong, and the endpoint must not be lost because of it.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(3_600);
 
-/// Time after a pause, or after another daemon's last report, in which requests that can't be retried
-/// elsewhere avoid the endpoint. It is bounded because an endpoint must not be avoided forever if no
-/// request can be retried.
+/// Time after a pause, or after another daemon's last report, in which requests that can't be
+/// retried elsewhere avoid the endpoint. It is bounded because an endpoint must not be avoided
+/// forever if no request can be retried.
 const AVOIDED_FOR: Duration = Duration::from_secs(4);
 /// Time after a request of this daemon has run at an endpoint in which reports that the endpoint
 /// refuses requests are ignored: the refusal may be meant for the reporting daemon alone.
@@ -135,9 +136,10 @@
         self.begin_probe(ProbeCause::Failed, now);
     }
 
-    /// Another daemon reports that the endpoint refused or failed a request at `at`. If this daemon has
-    /// seen the same, its pause starts again at `at` and lasts `stretch` times as long (1 to 2, random
-    /// at each daemon). One daemon's request thus shows all others that the endpoint still refuses.
+    /// Another daemon reports that the endpoint refused or failed a request at `at`. If this daemon
+    /// has seen the same, its pause starts again at `at` and lasts `stretch` times as long (1 to 2,
+    /// random at each daemon). One daemon's request thus shows all others that the endpoint still
+    /// refuses.
     pub fn not_served_elsewhere(&mut self, at: Instant, stretch: f64) {
         if self.consecutive_failures > 0 {
             let again = Some(at + self.pause_length().mul_f64(stretch));
@@ -222,8 +224,8 @@
         self.probe.is_none_or(takes_more) && !self.is_paused(now)
     }
 
-    /// Whether the endpoint has run, refused or failed another request after `begun`. The result of a
-    /// request begun then, which may have waited for seconds, is out of date.
+    /// Whether the endpoint has run, refused or failed another request after `begun`. The result of
+    /// a request begun then, which may have waited for seconds, is out of date.
     pub fn has_newer_result(&self, begun: Instant) -> bool {
         self.ran_at.max(self.not_served_at).is_some_and(|at| at > begun)
     }
--- a/src/gateway/policy/endpoint/endpoint_starts.rs
+++ b/src/gateway/policy/endpoint/endpoint_starts.rs
@@ -1,9 +1,9 @@
 //! Keeps a new list from replacing the start of an endpoint by an earlier one.
 //!
-//! An endpoint may restart under its id and then reports a later start time. Entries and lists arrive
-//! on several paths, so an entry of an earlier start may arrive after that of a later one; it is
-//! ignored. Daemons of the previous release send lists without start times; their entries are taken
-//! for the known start.
+//! An endpoint may restart under its id and then reports a later start time. Entries and lists
+//! arrive on several paths, so an entry of an earlier start may arrive after that of a later one;
+//! it is ignored. Daemons of the previous release send lists without start times; their entries are
+//! taken for the known start.
 
 pub mod lost_entries;
 
@@ -11,7 +11,8 @@
 
 use crate::gateway::endpoint::{EndpointList, EndpointRecord};
 
-/// Returns `list` with each record of an earlier start replaced by that of `held`, the current list.
+/// Returns `list` with each record of an earlier start replaced by that of `held`, the current
+/// list.
 pub fn keep_latest_starts(mut list: EndpointList, held: &EndpointList) -> EndpointList {
     let starts: HashMap<&str, &Rc<EndpointRecord>> =
         held.endpoints.iter().map(|record| (&*record.id, record)).collect();
--- a/src/gateway/policy/endpoint/endpoint_starts/lost_entries.rs
+++ b/src/gateway/policy/endpoint/endpoint_starts/lost_entries.rs
@@ -1,7 +1,7 @@
 //! Which endpoints to use after the store was restored from a copy and lacks newer entries.
 //!
-//! A list of a new era may show an older state. Until endpoints have had time to write their entries
-//! again (the rewrite period), the state that this daemon knew before takes precedence:
+//! A list of a new era may show an older state. Until endpoints have had time to write their
+//! entries again (the rewrite period), the state that this daemon knew before takes precedence:
 //!
 //! | before the loss | in the new era | effect |
 //! |---|---|---|
@@ -9,8 +9,8 @@
 //! | listed as ready | missing | it stays in use until its entry is listed again or the period ends |
 //! | removed | listed | it is not used until the period ends: if the endpoint has ended, its entry expires by then |
 //!
-//! Inputs are the lists in the order in which they are applied. A daemon that started after the loss
-//! doesn't know the earlier state; the others report to it which endpoints drain.
+//! Inputs are the lists in the order in which they are applied. A daemon that started after the
+//! loss doesn't know the earlier state; the others report to it which endpoints drain.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
--- a/src/gateway/policy/endpoint/endpoint_status.rs
+++ b/src/gateway/policy/endpoint/endpoint_status.rs
@@ -16,8 +16,8 @@
 };
 use crate::gateway::endpoint::{EndpointRecord, EndpointState};
 
-/// Requests that may queue for each slot of an endpoint without an engine: they are short, so a queue
-/// empties quickly.
+/// Requests that may queue for each slot of an endpoint without an engine: they are short, so a
+/// queue empties quickly.
 const PLAIN_QUEUE_PER_SLOT: f64 = 2.0;
 
 /// State of one endpoint.
--- a/src/gateway/policy/endpoint/endpoint_status/restriction.rs
+++ b/src/gateway/policy/endpoint/endpoint_status/restriction.rs
@@ -33,8 +33,8 @@
     /// It has refused requests without a known reason; rest of the pause.
     #[display("has refused requests, gets none for {} ms more", _0.as_millis())]
     Refusing(Duration),
-    /// It fails more often than the other endpoints of its service; fraction of this daemon's requests
-    /// that fail.
+    /// It fails more often than the other endpoints of its service; fraction of this daemon's
+    /// requests that fail.
     #[display("fails {:.0}% of the requests of this daemon", _0 * PERCENT)]
     Failing(f64),
     /// It is in a slow start; cause, and time since its beginning.
--- a/src/gateway/policy/endpoint/endpoint_table.rs
+++ b/src/gateway/policy/endpoint/endpoint_table.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Applies a new list. Endpoints that stay in it keep their state unless they have restarted. An
-    /// endpoint that was missing for a while gets the signals back that it sent earlier.
+    /// Applies a new list. Endpoints that stay in it keep their state unless they have restarted.
+    /// An endpoint that was missing for a while gets the signals back that it sent earlier.
     pub fn set_list(&mut self, list: &EndpointList, now: Instant) {
         let mut previous = std::mem::take(&mut self.endpoints);
         let starts = list.endpoints.iter().map(|record| NumberedStart {
@@ -140,8 +140,8 @@
         used.map(|status| (&status.record.id, status.own))
     }
 
-    /// Whether the table has this start of an endpoint. Results of attempts at an earlier start don't
-    /// apply to it.
+    /// Whether the table has this start of an endpoint. Results of attempts at an earlier start
+    /// don't apply to it.
     pub fn knows_start(&self, endpoint: &EndpointRecord) -> bool {
         let known = self.endpoints.get(&endpoint.id);
         known.is_some_and(|status| status.record.is_same_start(endpoint))
--- a/src/gateway/policy/endpoint/endpoint_table/attempt_results.rs
+++ b/src/gateway/policy/endpoint/endpoint_table/attempt_results.rs
@@ -86,8 +86,9 @@
         }
     }
 
-    /// Records the end of an attempt that began at `begun`. `load` is the part of its load that is still
-    /// counted. Returns whether the endpoint has thereby begun to fail more often than others.
+    /// Records the end of an attempt that began at `begun`. `load` is the part of its load that is
+    /// still counted. Returns whether the endpoint has thereby begun to fail more often than
+    /// others.
     pub fn end(
         &mut self,
         id: &str,
@@ -119,9 +120,9 @@
         }
     }
 
-    /// Records that an endpoint has failed a request that began at `begun`. One that fails more often
-    /// than others gets requests as after a refusal; otherwise it would look idle and attract the
-    /// requests that others would serve.
+    /// Records that an endpoint has failed a request that began at `begun`. One that fails more
+    /// often than others gets requests as after a refusal; otherwise it would look idle and attract
+    /// the requests that others would serve.
     pub fn record_failure(
         &mut self,
         id: &str,
@@ -148,8 +149,8 @@
         (!was_outlier).then_some(FoundFailing { fraction })
     }
 
-    /// Records that another start, of this or another endpoint, has responded at this one's address:
-    /// this one has ended and is never chosen again.
+    /// Records that another start, of this or another endpoint, has responded at this one's
+    /// address: this one has ended and is never chosen again.
     pub fn mark_ended(&mut self, id: &str) {
         if let Some(status) = self.endpoints.get_mut(id) {
             status.has_ended = true;
@@ -199,8 +200,8 @@
         self.signals.record(EndpointWarning { start, kind, at: now }, now)
     }
 
-    /// Applies another daemon's warning. Returns the endpoint's id if it is listed and the warning is
-    /// new.
+    /// Applies another daemon's warning. Returns the endpoint's id if it is listed and the warning
+    /// is new.
     ///
     /// A warning without a start time counts only if the endpoint's start time is not known here
     /// either: the endpoint may have restarted since.
--- a/src/gateway/policy/endpoint/endpoint_table/limits.rs
+++ b/src/gateway/policy/endpoint/endpoint_table/limits.rs
@@ -1,5 +1,5 @@
-//! Limits that endpoints report for the requests from all daemons together, and this daemon's shares
-//! of them.
+//! Limits that endpoints report for the requests from all daemons together, and this daemon's
+//! shares of them.
 
 use rand::Rng;
 use tokio::time::Instant;
@@ -53,9 +53,9 @@
         self.apply_limit(id, now)
     }
 
-    /// Applies another daemon's report of a limit. Returns the change, if any. A report without a start
-    /// time counts only if the endpoint's start time is not known here either: the endpoint may have
-    /// restarted since.
+    /// Applies another daemon's report of a limit. Returns the change, if any. A report without a
+    /// start time counts only if the endpoint's start time is not known here either: the endpoint
+    /// may have restarted since.
     pub fn receive_limit(&mut self, limit: EndpointLimit, now: Instant) -> Option<LimitChange> {
         let NumberedStart { endpoint, born } = limit.start;
         let known = self.endpoints.values().find(|status| status.number == endpoint);
--- a/src/gateway/policy/endpoint/failure_rate.rs
+++ b/src/gateway/policy/endpoint/failure_rate.rs
@@ -2,21 +2,22 @@
 //! other endpoints of the service (an outlier).
 //!
 //! Failures are responses of the endpoint itself with a status of 500 or above, broken connections
-//! and timeouts; `docs/design/endpoint-failures.md` lists what counts. A request that fails at every
-//! endpoint tells nothing about any of them, so an endpoint is an outlier only if its fraction of
-//! failures is well above the median of the others. If most endpoints fail, there is no outlier.
+//! and timeouts; `docs/design/endpoint-failures.md` lists what counts. A request that fails at
+//! every endpoint tells nothing about any of them, so an endpoint is an outlier only if its
+//! fraction of failures is well above the median of the others. If most endpoints fail, there is no
+//! outlier.
 //!
-//! Inputs are this daemon's own attempts of the last seconds. An endpoint without attempts counts as
-//! one without failures. `endpoint_pause` and `endpoint_choice` decide what an outlier is sent. The
-//! native path ejects after consecutive failures (`endpoint_health`): its daemons have few endpoints
-//! each, and the engines report their state.
+//! Inputs are this daemon's own attempts of the last seconds. An endpoint without attempts counts
+//! as one without failures. `endpoint_pause` and `endpoint_choice` decide what an outlier is sent.
+//! The native path ejects after consecutive failures (`endpoint_health`): its daemons have few
+//! endpoints each, and the engines report their state.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time after which a result counts half. Results expire because an endpoint that is avoided gets no
-/// request whose success would show that it works again.
+/// Time after which a result counts half. Results expire because an endpoint that is avoided gets
+/// no request whose success would show that it works again.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 /// Weight of failures below which they are ignored: a single one counts for four seconds.
 const MIN_FAILURES: f64 = 0.25;
@@ -42,7 +43,8 @@
         self.successes += 1.0;
     }
 
-    /// A request has failed; `others` are the failure fractions of the other endpoints of the service.
+    /// A request has failed; `others` are the failure fractions of the other endpoints of the
+    /// service.
     pub fn failed(&mut self, others: Vec<f64>, now: Instant) {
         self.decay(now);
         self.failures += 1.0;
--- a/src/gateway/policy/endpoint/load_reports.rs
+++ b/src/gateway/policy/endpoint/load_reports.rs
@@ -17,8 +17,8 @@
 
 /// Age above which loads of other daemons are ignored, since they have changed by then.
 const LOAD_KEPT: Duration = Duration::from_secs(2);
-/// Age at which a report is dropped with its totals of tokens sent: much longer than `LOAD_KEPT`, since
-/// the sum of the totals falls then.
+/// Age at which a report is dropped with its totals of tokens sent: much longer than `LOAD_KEPT`,
+/// since the sum of the totals falls then.
 const REPORT_KEPT: Duration = Duration::from_secs(20);
 
 /// The newest report of each source.
@@ -34,7 +34,8 @@
     pub fn apply(&mut self, from: ReportSource, report: ReportedLoads) {
         let now = report.at;
         if let ReportSource::Group { number, .. } = from {
-            // A new representative reports for the same group, so its report replaces the former one's.
+            // A new representative reports for the same group, so its report replaces the former
+            // one's.
             let is_same_group = |other: &ReportSource| match other {
                 ReportSource::Group { number: group, .. } => *group == number,
                 ReportSource::Daemon(_) => false,
--- a/src/gateway/policy/endpoint/prefill_rate.rs
+++ b/src/gateway/policy/endpoint/prefill_rate.rs
@@ -35,8 +35,8 @@
 }
 
 impl PrefillRate {
-    /// Adds a sample: `taken` is the time to the first event of a prompt with `uncached` uncached tokens
-    /// that was the only one at its endpoint.
+    /// Adds a sample: `taken` is the time to the first event of a prompt with `uncached` uncached
+    /// tokens that was the only one at its endpoint.
     pub fn learn(&mut self, uncached: u64, taken: Duration) {
         if uncached < MIN_TOKENS {
             return;
--- a/src/gateway/policy/endpoint/prompt_cache.rs
+++ b/src/gateway/policy/endpoint/prompt_cache.rs
@@ -9,8 +9,8 @@
 
 /// Parts remembered for each endpoint: some tens of kilobytes.
 const PARTS_KEPT: usize = 1_024;
-/// Newest prompts whose parts are kept when the map is full. All older parts are dropped at once, so
-/// that the scan is rare.
+/// Newest prompts whose parts are kept when the map is full. All older parts are dropped at once,
+/// so that the scan is rare.
 const PROMPTS_KEPT: u64 = PARTS_KEPT as u64 / 4;
 
 /// End of one part within a prompt.
--- a/src/gateway/policy/endpoint/request_limit.rs
+++ b/src/gateway/policy/endpoint/request_limit.rs
@@ -1,35 +1,35 @@
 //! How many requests this daemon may send to an endpoint that has reported a limit, in requests per
 //! second from all daemons together.
 //!
-//! No daemon learns in time what the others send, so the limit is divided. Some daemons hold a share
-//! of it: the first ones by rendezvous hashing over the daemons that are known to run. The others
-//! send no requests there. A holder's token bucket fills at the rate of its share, and each request
-//! takes a token. Shares follow the demand that the holders have reported, and are equal if one has
-//! not reported.
+//! No daemon learns in time what the others send, so the limit is divided. Some daemons hold a
+//! share of it: the first ones by rendezvous hashing over the daemons that are known to run. The
+//! others send no requests there. A holder's token bucket fills at the rate of its share, and each
+//! request takes a token. Shares follow the demand that the holders have reported, and are equal if
+//! one has not reported.
 //!
 //! If every daemon had a share, the tokens saved by all of them could be used at once: 87 requests
-//! from 87 daemons to an endpoint that takes one per second. The number of holders therefore depends
-//! on the limit alone. Daemons with different membership lists disagree on the holders until gossip
-//! reaches them, and until then the shares may exceed the limit. A new holder therefore begins with
-//! less than one token.
+//! from 87 daemons to an endpoint that takes one per second. The number of holders therefore
+//! depends on the limit alone. Daemons with different membership lists disagree on the holders
+//! until gossip reaches them, and until then the shares may exceed the limit. A new holder
+//! therefore begins with less than one token.
 //!
-//! Inputs are the limit that the endpoint has sent to any daemon, and the daemons and their demand as
-//! of the last gossip round. The native path has no such limits: its endpoints report their load.
-//! Quotas of accounts (`policy::request::quota`) are much larger than one request, so there every
-//! daemon may spend from the whole until the others' reports arrive.
+//! Inputs are the limit that the endpoint has sent to any daemon, and the daemons and their demand
+//! as of the last gossip round. The native path has no such limits: its endpoints report their
+//! load. Quotas of accounts (`policy::request::quota`) are much larger than one request, so there
+//! every daemon may spend from the whole until the others' reports arrive.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Holders in addition to one per request per second of the limit. With fewer holders, fewer requests
-/// arrive at once; with more, more daemons can use the endpoint.
+/// Holders in addition to one per request per second of the limit. With fewer holders, fewer
+/// requests arrive at once; with more, more daemons can use the endpoint.
 const BASE_HOLDERS: f64 = 3.0;
 /// Fraction of a limit that is used; the rest allows for requests in transit and for daemons with
 /// different membership lists.
 const USED_FRACTION: f64 = 0.95;
-/// Least rate at which all daemons together send requests, per second, even if the limit is lower or 0:
-/// only a response shows that the limit has ended.
+/// Least rate at which all daemons together send requests, per second, even if the limit is lower
+/// or 0: only a response shows that the limit has ended.
 const MIN_PROBE_RATE: f64 = 0.1;
 /// Limits of this value or above are ignored, in requests per second.
 const MAX_LIMIT: f64 = 1e6;
@@ -39,8 +39,8 @@
 /// started gets a token without waiting until its averaged demand has risen.
 const BASE_DEMAND: f64 = 1.0;
 
-/// Returns the limit that an endpoint has reported, in requests per second; none if it is too great to
-/// be meant as a limit.
+/// Returns the limit that an endpoint has reported, in requests per second; none if it is too great
+/// to be meant as a limit.
 pub fn plausible_limit(named: f64) -> Option<f64> {
     (named < MAX_LIMIT).then_some(named)
 }
@@ -72,8 +72,8 @@
     }
 }
 
-/// Rate at which one of `holders` daemons may send requests, per second. `others` is the demand of the
-/// other holders in requests per second; none for those that have not reported.
+/// Rate at which one of `holders` daemons may send requests, per second. `others` is the demand of
+/// the other holders in requests per second; none for those that have not reported.
 pub fn holder_rate(limit: f64, own_demand: f64, others: &[Option<f64>], holders: usize) -> f64 {
     let used = used_rate(limit);
     let weight = |demand: f64| demand + BASE_DEMAND;
@@ -154,8 +154,9 @@
         self.level = (self.level + 1.0).min(self.capacity());
     }
 
-    /// When this daemon may send the next request or, if it has no share, when any daemon is expected
-    /// to. None if it has no share and the limit is too low for requests other than probes.
+    /// When this daemon may send the next request or, if it has no share, when any daemon is
+    /// expected to. None if it has no share and the limit is too low for requests other than
+    /// probes.
     pub fn next_token(&self, now: Instant) -> Option<Instant> {
         let wait_s = match self.rate > 0.0 {
             true => (1.0 - self.level_at(now)).max(0.0) / self.rate,
--- a/src/gateway/policy/endpoint/signal_ledger.rs
+++ b/src/gateway/policy/endpoint/signal_ledger.rs
@@ -9,17 +9,19 @@
 //!
 //! Draining applies to all daemons, so the others stop sending requests too. A refusal and its
 //! back-off may be meant for the daemon that received it, so the others only take more care
-//! (`endpoint_pause`). Without these reports, each of 87 daemons would find out by refused requests.
+//! (`endpoint_pause`). Without these reports, each of 87 daemons would find out by refused
+//! requests.
 //!
 //! A limit applies to all daemons together, so the others apply it as soon as they receive it. A
-//! response without a limit ends it if its request was sent after the last response with a limit had
-//! arrived; otherwise it may have overtaken that response. Of two reports that may be from the same
-//! time, the one with the smaller limit counts.
+//! response without a limit ends it if its request was sent after the last response with a limit
+//! had arrived; otherwise it may have overtaken that response. Of two reports that may be from the
+//! same time, the one with the smaller limit counts.
 //!
 //! Nothing else revokes a signal. A list may be older than the response, or lack the endpoint for a
-//! while, if the store is unavailable or the list comes from a daemon that lags behind. Responses may
-//! overtake each other, so of two back-offs the one that ends later counts. Entries are identified by
-//! the endpoint's number and start; if the start is not known (0), by the number alone.
+//! while, if the store is unavailable or the list comes from a daemon that lags behind. Responses
+//! may overtake each other, so of two back-offs the one that ends later counts. Entries are
+//! identified by the endpoint's number and start; if the start is not known (0), by the number
+//! alone.
 
 mod active_signals;
 
@@ -36,11 +38,11 @@
 /// Time for which other daemons are sent the report that an endpoint drains, or that its limit has
 /// ended: some gossip rounds of a large fleet. Daemons that start later learn it from the endpoint.
 const REPORTED_FOR: Duration = Duration::from_secs(10);
-/// Time for which other daemons are sent the report that an endpoint has not served a request: a gossip
-/// round of a large fleet.
+/// Time for which other daemons are sent the report that an endpoint has not served a request: a
+/// gossip round of a large fleet.
 const NOT_SERVED_REPORTED_FOR: Duration = Duration::from_secs(2);
-/// Time for which signals of an unlisted endpoint are kept: longer than the store is unavailable and
-/// than lists lag behind.
+/// Time for which signals of an unlisted endpoint are kept: longer than the store is unavailable
+/// and than lists lag behind.
 const UNLISTED_KEPT: Duration = Duration::from_secs(3_600);
 /// Most warnings in one message. If there are more, daemons also learn from the lists.
 const MAX_WARNINGS: usize = 64;
@@ -62,7 +64,8 @@
 pub enum WarningKind {
     /// The endpoint drains.
     Draining,
-    /// The endpoint asks for a back-off, refuses requests although it seemed to have room, or fails them.
+    /// The endpoint asks for a back-off, refuses requests although it seemed to have room, or fails
+    /// them.
     NotServing,
 }
 
@@ -73,8 +76,8 @@
     pub start: NumberedStart,
     /// Kind of the warning.
     pub kind: WarningKind,
-    /// When a daemon received the response with the signal: the first one with the draining signal, or
-    /// the newest refusal or failure.
+    /// When a daemon received the response with the signal: the first one with the draining signal,
+    /// or the newest refusal or failure.
     pub at: Instant,
 }
 
@@ -101,8 +104,8 @@
 }
 
 impl SignalLedger {
-    /// Records a warning, from a response to this daemon or from another daemon. Returns whether it is
-    /// new.
+    /// Records a warning, from a response to this daemon or from another daemon. Returns whether it
+    /// is new.
     pub fn record(&mut self, warning: EndpointWarning, now: Instant) -> bool {
         let Some(entry) = self.entry_of(warning.start, now) else { return false };
         match warning.kind {
@@ -136,8 +139,8 @@
         }
     }
 
-    /// Limits to report to the other daemons: valid ones and, for a while, those that have ended. If
-    /// there are too many for a message, a random sample.
+    /// Limits to report to the other daemons: valid ones and, for a while, those that have ended.
+    /// If there are too many for a message, a random sample.
     pub fn limits(&self, now: Instant, rng: &mut impl Rng) -> Vec<EndpointLimit> {
         let reported = self.by_endpoint.iter().filter_map(|(endpoint, entry)| {
             let start = NumberedStart { endpoint: *endpoint, born: entry.born };
@@ -149,7 +152,8 @@
         reported.sample(rng, MAX_LIMITS)
     }
 
-    /// Signals that apply to a start: its own, or those of a later start that no list has shown yet.
+    /// Signals that apply to a start: its own, or those of a later start that no list has shown
+    /// yet.
     pub fn of(&self, start: NumberedStart) -> ActiveSignals {
         let entry = self.by_endpoint.get(&start.endpoint);
         let applicable = entry.filter(|entry| entry.born == 0 || start.born <= entry.born);
--- a/src/gateway/policy/endpoint/signal_ledger/active_signals.rs
+++ b/src/gateway/policy/endpoint/signal_ledger/active_signals.rs
@@ -1,14 +1,14 @@
-//! Valid signals of one start of an endpoint, from its responses to this daemon or to others, and the
-//! rules by which a new signal replaces an earlier one.
+//! Valid signals of one start of an endpoint, from its responses to this daemon or to others, and
+//! the rules by which a new signal replaces an earlier one.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Reports of different daemons whose times differ by less may be about the same response: times are
-/// sent as ages, which are too small by the duration of the message, at most a gossip call's timeout.
-/// Without this tolerance a refusal would come back to the daemon that reported it as a later one,
-/// again and again.
+/// Reports of different daemons whose times differ by less may be about the same response: times
+/// are sent as ages, which are too small by the duration of the message, at most a gossip call's
+/// timeout. Without this tolerance a refusal would come back to the daemon that reported it as a
+/// later one, again and again.
 const REPORT_SKEW: Duration = Duration::from_millis(400);
 
 /// Limit in a response of an endpoint, or its absence.
@@ -63,9 +63,9 @@
     pub(super) fn receive_limit(&mut self, observation: LimitObservation) {
         match self.limit {
             Some(known) if observation.at + REPORT_SKEW <= known.at => {}
-            // Reported ages are too small by the duration of the message, so either observation may be
-            // the later one. If the limit has ended, the earlier time is kept: otherwise daemons would
-            // pass the report around with a later time at each step.
+            // Reported ages are too small by the duration of the message, so either observation may
+            // be the later one. If the limit has ended, the earlier time is kept: otherwise daemons
+            // would pass the report around with a later time at each step.
             Some(known) if observation.at <= known.at + REPORT_SKEW => {
                 let limit = least_limit(known.limit, observation.limit);
                 let at =
