--- a/src/endpoint_health.rs
+++ b/src/endpoint_health.rs
@@ -1,48 +1,48 @@
-//! Decides whether an endpoint may be given requests, from the results of earlier attempts at
-//! it alone: ejection after failures in a row, then one probe at a time until one succeeds.
+//! Decides whether an endpoint may be given requests, from the results of earlier attempts at this
+//! endpoint only: ejection after consecutive failures, then one probe at a time until one succeeds.
 //!
 //! The native path keeps one `EndpointHealth` for each endpoint (`native::decide::routing`); the
 //! gateway compares endpoints with each other (`gateway::policy::endpoint::failure_rate`), since
-//! its daemons share many. An endpoint without results counts as healthy; results are not shared
-//! between daemons.
+//! its daemons share many endpoints. An endpoint without results counts as healthy; results are not
+//! shared between daemons.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Failures in a row after which an endpoint is ejected.
+/// Consecutive failures after which an endpoint is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First ejection; each further one without a success in between is twice as long.
+/// Duration of the first ejection, doubled by each further one without a success in between.
 const EJECT_FIRST: Duration = Duration::from_secs(1);
 /// Longest ejection: a recovered endpoint gets requests again within it.
 const EJECT_LONGEST: Duration = Duration::from_secs(30);
-/// Most doublings; the ejection has reached `EJECT_LONGEST` long before. The power of two stays
-/// within 32 bits.
+/// Most doublings: keeps the power of two within 32 bits. The ejection reaches `EJECT_LONGEST`
+/// earlier.
 const DOUBLING_LIMIT: u32 = 8;
 
-/// What the end of an attempt says about the endpoint's health.
+/// Result of an attempt with respect to the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The endpoint responded.
     Succeeded,
-    /// It failed, broke or timed out.
+    /// The endpoint failed, the connection broke, or the attempt timed out.
     Failed,
-    /// Nothing: the endpoint refused before starting, or the daemon ended the attempt.
+    /// No effect: the endpoint refused before starting, or the daemon ended the attempt.
     Neutral,
 }
 
 /// Whether an endpoint may be given requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
-    /// Takes requests.
+    /// It takes requests.
     Healthy,
-    /// The ejection is over; one request may go to it as a probe.
+    /// The ejection is over; one request may be sent as a probe.
     Probing,
-    /// Ejected for now.
+    /// It is ejected, or a probe is in progress.
     Ejected,
 }
 
-/// Record of one endpoint's health.
+/// Health of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointHealth {
     failures: u32,
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Failures in a row, up to the ejection, however long ago.
+    /// Consecutive failures since the last success or ejection, however old.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// A request was sent to an ejected endpoint.
+    /// Records that a probe was sent.
     pub fn begin_probe(&mut self) {
         self.probing = true;
     }
 
-    /// Records a finished attempt. A failed probe ejects at once.
+    /// Records a finished attempt. A failed probe ejects immediately.
     pub fn record(&mut self, result: AttemptResult, now: Instant) {
         let probed = std::mem::take(&mut self.probing);
         match result {
--- a/src/gateway/policy.rs
+++ b/src/gateway/policy.rs
@@ -1,8 +1,10 @@
-//! The rules of the gateway, a file each: inputs and the time in, a decision out. No I/O.
+//! Decision rules of the gateway, one per file. They take inputs and the time and return a
+//! decision, without I/O.
 //!
-//! `request`: admitted or refused, how long it may take, retried or ended. `endpoint`: which one.
-//! `daemon`: ready or not, who asks the store, what is fetched from peers. `leader`: the lease,
-//! usage reports, how many endpoints are ordered and where.
+//! - `request`: admission, time limits, retries and the end of a request.
+//! - `endpoint`: the choice of an endpoint.
+//! - `daemon`: readiness, which daemons read the store, what is fetched from peers.
+//! - `leader`: the lease, usage reports, how many endpoints to order and in which zones.
 
 pub mod daemon;
 pub mod endpoint;
--- a/src/gateway/policy/leader.rs
+++ b/src/gateway/policy/leader.rs
@@ -1,4 +1,4 @@
-//! Rules of the leader: who holds the lease, what is reported, what is ordered.
+//! Rules of the leader: the lease, usage reports and orders of endpoints.
 
 pub mod endpoint_orders;
 pub mod fleet_size;
