--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -1,27 +1,30 @@
-//! Decides when a daemon may acquire the leader lease, when the holder renews it, and until
-//! when the holder may act. The native path's planner has a lease of its own
-//! (`native::serve::planning::planner`), without a fence: its plans do no harm when two hold it.
+//! Decides when a daemon may acquire the leader lease, when the holder renews it, and until when
+//! the holder may act. The native path's planner has its own lease
+//! (`native::serve::planning::planner`), without a fence: its plans do no harm if two daemons hold
+//! it.
 //!
-//! The lease is an object in the store, written only at the revision that was read; its fence
-//! rises with every new holder. Clocks of daemons are never compared: each measures by its own
-//! steady clock from the moment at which it called the store, which is before the store
-//! responded. The holder acts for `ACTIVE_FRACTION` of the lease after a renewal and gives a call
-//! to the cloud up after a second. Others acquire the lease only after they have seen the object
-//! unchanged for a whole lease and [`ACQUIRE_MARGIN`], so the two can't overlap.
+//! The lease is an object in the store, written only at the revision that was read; its fence rises
+//! with every new holder. Clocks of daemons are never compared: each daemon measures with its own
+//! monotonic clock from the start of its call to the store, which is before the store's response.
+//! The holder acts for `ACTIVE_FRACTION` of the lease after a renewal, and its calls to the cloud
+//! time out after a second. Others acquire the lease only after they have seen the object unchanged
+//! for a whole lease and [`ACQUIRE_MARGIN`], so two holders can't act at the same time.
 //!
-//! A record that another writer has spoilt or removed is replaced like one that is no longer
-//! renewed, with a fence above all former ones. Of a removed one the fence is known by gossip only.
+//! A record that another writer has corrupted or removed is replaced like one that is no longer
+//! renewed, with a fence above all former ones. The fence of a removed record is known by gossip
+//! only.
 //!
-//! A store that was restored from a copy may show the record of a former holder, an older renewal, or
-//! none. Whoever held the lease last may still act, so that such a record counts as lost, whatever
-//! it says: others wait the whole time from when they first see it. Each era of the store has fences
-//! of its own, above those of all earlier eras, so that none that was lost is used again, even if
-//! no daemon remembers it. The holder itself goes on, over the copy, if its lease has not run out.
+//! A store that was restored from a copy may have the record of a former holder, an older renewal,
+//! or no record. The last holder may still act, so such a record counts as lost, whatever its
+//! content: others wait the whole time from when they first see it. Each era of the store has its
+//! own range of fences, above those of all earlier eras, so that a lost fence is never used again,
+//! even if no daemon remembers it. The holder itself continues and overwrites the restored record,
+//! if its lease has not run out.
 //!
-//! Renewals are also reported by gossip, so that daemons other than the holder read the store
-//! only when these reports stop. If the object then still holds the renewal that was reported
-//! last, it has been unchanged since that renewal began, and the wait counts from there.
-//! Gossip never makes a daemon the holder.
+//! Renewals are also reported by gossip, so that daemons other than the holder read the store only
+//! when these reports stop. If the object then still has the renewal that was reported last, it has
+//! been unchanged since the start of that renewal, and the wait counts from there. Gossip never
+//! makes a daemon the holder.
 
 use std::{fmt, time::Duration};
 
@@ -32,39 +35,39 @@
     store_position::{StoreEra, StorePosition},
 };
 
-/// Time beyond the lease that others wait before they acquire it: the holder's last call is over by
-/// then.
+/// Time that others wait in addition to the lease before they acquire it: the holder's last call
+/// has ended by then.
 pub const ACQUIRE_MARGIN: Duration = Duration::from_millis(400);
-/// Fraction of the lease after which its holder no longer acts without a renewal: leaves the
-/// holder's last call its second.
+/// Fraction of the lease after which its holder no longer acts without a renewal: leaves a second
+/// for the holder's last call.
 const ACTIVE_FRACTION: f64 = 0.7;
-/// Fraction of the lease after which the holder renews it: leaves time for a second try while the
-/// holder may still act.
+/// Fraction of the lease after which the holder renews it: leaves time for a second attempt while
+/// the holder may still act.
 const RENEW_FRACTION: f64 = 0.35;
 /// Fence of the first holder: 0 means in gossip messages that no lease is known.
 const FIRST_FENCE: u64 = 1;
-/// Fences of one era of the store: more than the writes in an era, each of which may raise the fence.
-const FENCES_AN_ERA: u64 = 1 << 32;
+/// Fences per era of the store: more than the writes in an era, each of which may raise the fence.
+const FENCES_PER_ERA: u64 = 1 << 32;
 
 /// Lowest fence that a new holder in this era may use.
 pub fn first_fence(era: StoreEra) -> u64 {
-    era.0.saturating_mul(FENCES_AN_ERA).saturating_add(FIRST_FENCE)
+    era.0.saturating_mul(FENCES_PER_ERA).saturating_add(FIRST_FENCE)
 }
 
-/// What this daemon knows of the lease.
+/// State of the lease as known to this daemon.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderLease {
-    /// Fence of the newest holder known.
+    /// Fence of the newest known holder.
     pub fence: u64,
     /// Name of that holder.
     pub holder: Option<SharedName>,
-    /// Number of its newest renewal known.
+    /// Number of its newest known renewal.
     pub renewals: u64,
-    /// Start of that renewal, at the latest.
+    /// Upper bound of the start of that renewal.
     pub renewed_at: Option<Instant>,
     /// Whether this daemon is the holder.
     pub own: bool,
-    /// First usage window that no holder has reported yet; 0 if not known.
+    /// First usage window that no holder has reported to the cloud yet; 0 if not known.
     pub next_window: u64,
 }
 
@@ -77,7 +80,7 @@
     pub renewals: u64,
     /// Name of the holder.
     pub holder: SharedName,
-    /// Start of the renewal, at the latest.
+    /// Upper bound of the start of the renewal.
     pub renewed_at: Instant,
 }
 
@@ -89,8 +92,8 @@
         self.own && self.renewed_at.is_some_and(is_active)
     }
 
-    /// Applies a peer's report of a renewal. Messages that were late make a renewal look
-    /// younger, so of two reports of the same renewal the earlier start is the better one.
+    /// Applies a peer's report of a renewal. Delayed messages make a renewal look newer than it is,
+    /// so of two reports of the same renewal the earlier start is kept.
     pub fn observe(&mut self, renewal: LeaseRenewal) {
         let known = (self.fence, self.renewals);
         let reported = (renewal.fence, renewal.renewals);
@@ -105,18 +108,18 @@
         self.set(LeaseRenewal { renewed_at, ..renewal });
     }
 
-    /// Records a renewal of this daemon that the store has confirmed.
+    /// Records a renewal by this daemon that the store has confirmed.
     pub fn acquire_or_renew(&mut self, renewal: LeaseRenewal) {
         self.set(renewal);
         self.own = true;
     }
 
-    /// Notes that a usage window is reported, so that it is not reported again.
+    /// Records that a usage window was reported, so that it is not reported again.
     pub fn mark_reported(&mut self, window: u64) {
         self.advance_next_window(window.saturating_add(1));
     }
 
-    /// Notes that all windows before this one have been reported.
+    /// Records that all windows before this one were reported.
     pub fn advance_next_window(&mut self, window: u64) {
         self.next_window = self.next_window.max(window);
     }
@@ -128,72 +131,72 @@
         self.renewed_at = Some(renewal.renewed_at);
     }
 
-    /// When another's renewal began, at the latest, if it is the newest one known.
+    /// Upper bound of the start of another daemon's renewal, if it is the newest one known.
     pub fn renewal_start(&self, fence: u64, renewals: u64) -> Option<Instant> {
         let is_newest = !self.own && fence == self.fence && renewals == self.renewals;
         self.renewed_at.filter(|_| is_newest)
     }
 
-    /// Whether no renewal has been reported for so long that the store has to be read.
+    /// Whether the store has to be read, because no renewal was reported for a whole lease.
     pub fn is_renewal_overdue(&self, lease: Duration, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < lease;
         !self.renewed_at.is_some_and(is_recent)
     }
 }
 
-/// Whose the lease object in the store is.
+/// Owner of the lease object in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseOwner {
-    /// This process: it wrote the object, and the store's response was lost.
+    /// This process: it wrote the object, but the store's response was lost.
     ThisProcess,
-    /// An earlier process on this VM. It has ended: this one could not listen at its address
-    /// otherwise.
+    /// An earlier process on this VM. It has ended, since otherwise this one could not listen at
+    /// its address.
     EarlierProcess,
     /// Another daemon.
     Other,
 }
 
-/// The lease object as another than its holder sees it.
+/// The lease object as seen by a daemon that does not hold the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedLease {
     /// Fence.
     pub fence: u64,
-    /// Whose it is.
+    /// Owner.
     pub owner: LeaseOwner,
     /// Whether the holder has released it.
     pub released: bool,
-    /// For how long this daemon has seen it unchanged.
+    /// Time for which this daemon has seen it unchanged.
     pub unchanged_for: Duration,
 }
 
 impl ObservedLease {
-    /// A lease whose record is spoilt or gone. Its holder can't renew it any more, and acts until its
-    /// last renewal is too old.
+    /// A lease whose record is corrupt or missing. Its holder can't renew it any more, and acts
+    /// until its last renewal is too old.
     pub fn of_lost_record(fence: u64, unchanged_for: Duration) -> Self {
         Self { fence, owner: LeaseOwner::Other, released: false, unchanged_for }
     }
 }
 
-/// Fence of a lease whose record is spoilt: none that was ever used is higher. Each fence took a write
-/// of its own in its era, and each write raises the store's revision.
+/// Returns an upper bound of all fences used so far, for a lease whose record is corrupt. It holds
+/// because each fence took its own write in its era, and each write raises the store's revision.
 pub fn highest_possible_fence(known: u64, position: StorePosition) -> u64 {
     known.max(first_fence(position.era()).saturating_add(position.revision()))
 }
 
-/// What to do about a lease that this daemon does not hold.
+/// Decision about a lease that this daemon does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireDecision {
-    /// Write it with this fence.
+    /// Write it with a new fence.
     Acquire {
-        /// Fence.
+        /// The new fence.
         fence: u64,
     },
-    /// Read it again after this time.
+    /// Read it again after this delay.
     Wait(Duration),
 }
 
-/// Whether to acquire the lease, while the store is in `era`; `observed` is none if there never was
-/// one, as far as known.
+/// Decides whether to acquire the lease while the store is in `era`. `observed` is none if no lease
+/// is known to have existed.
 pub fn decide_acquire(
     observed: Option<ObservedLease>,
     lease: Duration,
@@ -216,20 +219,20 @@
     }
 }
 
-/// What the holder does with its lease.
+/// Decision of the holder about its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldDecision {
     /// Stop acting as the holder.
     Lose(LossReason),
-    /// Give it up, so that another may acquire it at once.
+    /// Release it, so that another daemon may acquire it immediately.
     Release,
-    /// Renew it before anything else.
+    /// Renew it now.
     Renew,
-    /// It is recent enough.
+    /// Keep it; the last renewal is recent enough.
     Keep,
 }
 
-/// What the holder does with a lease that it renewed `age` ago.
+/// Decides what the holder does with a lease that it renewed `age` ago.
 pub fn decide_hold(age: Duration, lease: Duration, is_leaving: bool) -> HoldDecision {
     if age > lease {
         // Another daemon may hold it by now.
@@ -247,7 +250,7 @@
 /// Why a daemon is no longer the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// The record that it goes on from is not known.
+    /// The record that the renewal would have to replace is not known.
     UnknownRecord,
     /// It was not renewed in time.
     NotRenewed,
--- a/src/gateway/policy/leader/usage_counts.rs
+++ b/src/gateway/policy/leader/usage_counts.rs
@@ -1,10 +1,10 @@
 //! Counts of the requests that began to run, by account and window of the wall clock.
 //!
-//! Own counts are exact. Those of other daemons are as of their last gossip message: within the
-//! own gossip group each daemon reports for itself, other groups report sums through their
-//! representatives. A daemon that has just started receives from the others of its group what
-//! daemons that have ended since had counted. Which window is complete enough to be reported to
-//! the cloud is decided by `usage_reports`.
+//! Own counts are exact. Those of other daemons are as of their last gossip message: in the own
+//! gossip group each daemon reports its own counts, other groups report sums through their
+//! representatives. A daemon that has just started receives the counts of daemons that have ended
+//! from the others of its group. `usage_reports` decides which window is complete enough to be
+//! reported to the cloud.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,14 +13,14 @@
     ids::{IncarnationId, SharedName},
 };
 
-/// Windows kept: more than twice the windows that are ever reported (`REPORTABLE_WINDOWS` of
+/// Windows kept: more than twice the windows that are still reported (`REPORTABLE_WINDOWS` of
 /// `usage_reports`).
 const WINDOWS_KEPT: u64 = 8;
 
 /// Counts of one window by account.
 pub type WindowCounts = BTreeMap<SharedName, u64>;
 
-/// Counts of this daemon and, as far as reported, of the others.
+/// Counts of this daemon and those that others have reported.
 #[derive(Debug, Default)]
 pub struct UsageCounts {
     own: BTreeMap<u64, WindowCounts>,
@@ -37,7 +37,7 @@
         *counts.entry(account.clone()).or_default() += 1;
     }
 
-    /// Drops own windows before `oldest`, and the daemons that have reported none since: they
+    /// Drops own windows before `oldest`, and the daemons that have reported no later window: they
     /// have ended.
     fn drop_before(&mut self, oldest: u64) {
         let is_kept = |window: &u64| *window >= oldest;
@@ -50,8 +50,8 @@
         &self.own
     }
 
-    /// Receives the counts of another daemon or group, which replace those it reported of the
-    /// same window before.
+    /// Receives the counts of another daemon or group, which replace its earlier ones of the same
+    /// window.
     pub fn receive(&mut self, from: ReportSource, window: u64, counts: WindowCounts) {
         self.drop_former_representatives(from);
         let windows = self.reported.entry(from).or_default();
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Receives what a third daemon has passed on of a daemon of the own group. Counts only rise,
-    /// so the highest of each account is the newest.
+    /// Receives counts of a daemon of the own group that a third daemon has passed on. Counts only
+    /// rise, so the highest one of each account is the newest.
     pub fn receive_relayed(
         &mut self,
         incarnation: IncarnationId,
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Drops what a group's former representative reported, which would count the group twice.
+    /// Drops the reports of a group's former representative, which would count the group twice.
     fn drop_former_representatives(&mut self, from: ReportSource) {
         let ReportSource::Group { number, representative } = from else { return };
         self.reported.retain(|other, _| match other {
--- a/src/gateway/policy/leader/wall_clock.rs
+++ b/src/gateway/policy/leader/wall_clock.rs
@@ -1,29 +1,30 @@
-//! Time of day, by which usage windows are numbered, that does not follow sudden jumps of the
-//! system's clock.
+//! Wall clock for the numbers of usage windows that does not follow sudden jumps of the system's
+//! clock.
 //!
-//! The time is carried forward by the steady clock and compared with the system's clock in
-//! every gossip interval. Small differences are followed at once; a larger one is followed only
-//! after it has lasted for `JUMP_ACCEPTED_AFTER`, so that a clock that is set wrong for a few
-//! seconds does not move requests into windows that were reported already.
+//! The time is advanced by the monotonic clock and compared with the system's clock in every gossip
+//! interval. Small differences are applied immediately; a larger one is applied only after it has
+//! lasted for `JUMP_ACCEPTED_AFTER`, so that a clock that is wrong for a few seconds does not move
+//! requests into windows that were already reported.
 
 use crate::true_time;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A jump that lasts this long is followed: longer than the windows that are still reported.
+/// Time after which a jump is applied: longer than the windows that are still reported.
 const JUMP_ACCEPTED_AFTER: Duration = Duration::from_secs(20);
 /// Differences up to this many milliseconds are ordinary drift.
 const MAX_DRIFT_MS: i64 = 100;
 
-/// A different origin that the system's clock shows.
+/// A jump of the system's clock that is not applied yet.
 #[derive(Clone, Copy, Debug)]
 struct ClockJump {
+    /// Wall time of `SteadyWallClock::start` according to the system's clock.
     origin_ms: i64,
     since: Instant,
 }
 
-/// Wall clock that is carried forward by the steady one.
+/// Wall clock that is advanced by the monotonic clock.
 #[derive(Debug)]
 pub struct SteadyWallClock {
     start: Instant,
@@ -38,24 +39,24 @@
         Self { start: now, origin_ms: wall_ms as i64, jump: None }
     }
 
-    /// Compares with the system's clock, which reads `wall_ms` now.
+    /// Compares it with the system's clock, which reads `wall_ms` now.
     pub fn compare(&mut self, wall_ms: u64, now: Instant) {
         let origin_ms = wall_ms as i64 - self.elapsed_ms(now);
         if (origin_ms - self.origin_ms).abs() <= MAX_DRIFT_MS {
-            self.follow(origin_ms);
+            self.apply(origin_ms);
             return;
         }
         match self.jump {
             Some(jump) if (jump.origin_ms - origin_ms).abs() <= MAX_DRIFT_MS => {
                 if now.saturating_duration_since(jump.since) >= JUMP_ACCEPTED_AFTER {
-                    self.follow(origin_ms);
+                    self.apply(origin_ms);
                 }
             }
             _ => self.jump = Some(ClockJump { origin_ms, since: now }),
         }
     }
 
-    fn follow(&mut self, origin_ms: i64) {
+    fn apply(&mut self, origin_ms: i64) {
         self.origin_ms = origin_ms;
         self.jump = None;
     }
