--- a/src/gateway/policy/leader/endpoint_orders.rs
+++ b/src/gateway/policy/leader/endpoint_orders.rs
@@ -1,14 +1,14 @@
-//! Decides which orders of endpoints the leader sends now: where the planned number differs
-//! from what is held and from what was ordered already.
+//! Decides which endpoint orders the leader sends now: those for zones where the planned number
+//! differs from the listed one and from the last order.
 //!
-//! Inputs are the endpoint list and the load of a service as this daemon knows them (endpoint
-//! entries and loads of other daemons are up to a second or two old), the service's fleet
-//! settings, and the results of earlier orders. How many endpoints are required is decided by
-//! `fleet_size`, in which zones by `zone_plan`.
+//! Inputs are the endpoint list and the load of a service as known to this daemon (endpoint entries
+//! and loads of other daemons are up to one or two seconds old), the service's fleet settings, and
+//! the results of earlier orders. `fleet_size` decides how many endpoints are required, `zone_plan`
+//! in which zones.
 //!
-//! New endpoints need their start time until they are listed, so an accepted order counts as
-//! held until then; if the list still differs some time later, it is sent again. Orders for
-//! fewer endpoints wait a little, so that short dips of the load change nothing.
+//! New endpoints are listed only after their start time, so until then the endpoints of an accepted
+//! order count as held; if the list still differs some time later, the order is sent again. Orders
+//! for fewer endpoints are delayed, so that short dips of the load have no effect.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,21 +24,21 @@
 };
 use crate::{gateway::configuration::FleetSpec, ids::SharedName};
 
-/// Time between two looks at the load of a service: five gossip intervals.
+/// Time between two observations of a service: five gossip intervals.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time beyond the endpoints' start time after which an accepted order is sent again if the list
-/// still shows another number: entries of new endpoints appear over about a heartbeat.
-const LISTED_AFTER: Duration = Duration::from_millis(2_500);
-/// An order for fewer reclaimable endpoints waits until it has been planned for this long: they are
+/// Time in addition to the endpoints' start time after which an accepted order is sent again if the
+/// list still has another number: entries of new endpoints appear within about a heartbeat.
+const RESEND_DELAY: Duration = Duration::from_millis(2_500);
+/// Time for which fewer reclaimable endpoints must be planned before they are ordered: they are
 /// cheap, and a dip may be short.
 const FEWER_RECLAIMABLE_AFTER: Duration = Duration::from_secs(4);
-/// An order for fewer on-demand endpoints waits until it has been planned for this long: they are
-/// dear.
+/// Time for which fewer on-demand endpoints must be planned before they are ordered: they are
+/// expensive.
 const FEWER_ON_DEMAND_AFTER: Duration = Duration::from_millis(500);
-/// Weight of the newest look in the averaged load: about 1 s until half of a change shows.
+/// Weight of the newest observation in the averaged load: half of a change shows after about 1 s.
 const NEWEST_LOAD_WEIGHT: f64 = 0.3;
 
-/// Endpoints of one price class that one zone should hold.
+/// Order for the number of endpoints of one price class that one zone should hold.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneOrder {
     /// Service.
@@ -51,7 +51,7 @@
     pub count: u32,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResult {
     /// The cloud has accepted it.
@@ -89,23 +89,23 @@
     observed_at: Option<Instant>,
     prompt_tokens_sent: u64,
     demand: ServiceDemand,
-    /// Which endpoints were at risk at the last look.
+    /// Reclaim risk at the last observation.
     risk: ReclaimRisk,
 }
 
-/// Orders of all services at the daemon that holds the lease.
+/// Orders for all services, at the daemon that holds the lease.
 #[derive(Debug, Default)]
 pub struct EndpointOrders {
     services: HashMap<SharedName, ServiceFleet>,
     sent: BTreeMap<OrderKey, SentOrder>,
     fewer_since: BTreeMap<OrderKey, Instant>,
     listed_before: BTreeMap<OrderKey, u32>,
-    /// Required endpoints as the former holder found them, by service.
+    /// Required endpoints according to the former holder, by service.
     required_before: BTreeMap<SharedName, f64>,
 }
 
 impl EndpointOrders {
-    /// Orders of a new holder, which starts from the required endpoints of the former one.
+    /// State of a new holder, which starts from the required endpoints of the former one.
     pub fn after(required_before: BTreeMap<SharedName, f64>) -> Self {
         Self { required_before, ..Self::default() }
     }
@@ -124,18 +124,18 @@
         self.services.get(service).map_or(0.0, |fleet| fleet.planner.required())
     }
 
-    /// Which endpoints of a service were at risk at the last look.
+    /// Reclaim risk of a service at the last observation.
     pub fn risk(&self, service: &str) -> ReclaimRisk {
         self.services.get(service).map_or_else(ReclaimRisk::default, |fleet| fleet.risk)
     }
 
-    /// Whether the load of a service has to be looked at now.
+    /// Whether a service has to be observed now.
     pub fn is_observation_due(&self, service: &str, now: Instant) -> bool {
         let observed_at = self.services.get(service).and_then(|fleet| fleet.observed_at);
         observed_at.is_none_or(|at| now.saturating_duration_since(at) >= OBSERVE_INTERVAL)
     }
 
-    /// Applies a look at a service, and returns its orders that are due now.
+    /// Applies an observation of a service and returns its orders that are due now.
     pub fn due(
         &mut self,
         service: &SharedName,
@@ -164,20 +164,20 @@
                 continue;
             }
             let key = OrderKey { service: service.clone(), zone: zone.clone(), class };
-            if self.is_due(&key, counts, spec.start_time + LISTED_AFTER, now) {
+            if self.is_due(&key, counts, spec.start_time + RESEND_DELAY, now) {
                 due.push(ZoneOrder { service: service.clone(), zone, class, count: planned });
             }
         }
         due
     }
 
-    /// Whether to send an order for the planned number. An accepted order is sent again only
-    /// when `listed_after` has passed.
+    /// Whether to send an order for the planned number. An accepted order is sent again only after
+    /// `resend_delay`.
     fn is_due(
         &mut self,
         key: &OrderKey,
         counts: ZoneCounts,
-        listed_after: Duration,
+        resend_delay: Duration,
         now: Instant,
     ) -> bool {
         if self.waits_to_shrink(key, counts, now) {
@@ -186,7 +186,7 @@
         let ZoneCounts { planned, listed } = counts;
         let before = self.listed_before.insert(key.clone(), listed).unwrap_or(listed);
         if listed < before && listed < planned {
-            // The cloud has reclaimed some: ordering again at once shows whether it has others.
+            // The cloud has reclaimed some. Ordering again immediately shows whether it has others.
             return true;
         }
         match self.sent.get(key) {
@@ -194,7 +194,7 @@
             Some(order) if !order.accepted => true,
             Some(order) if order.count != planned => true,
             Some(order) => {
-                listed != planned && now.saturating_duration_since(order.at) > listed_after
+                listed != planned && now.saturating_duration_since(order.at) > resend_delay
             }
         }
     }
@@ -217,7 +217,7 @@
         now.saturating_duration_since(since) < wait
     }
 
-    /// Records what became of an order.
+    /// Records the result of an order.
     pub fn finish(&mut self, order: &ZoneOrder, result: OrderResult, now: Instant) {
         let ZoneOrder { service, zone, class, count } = order.clone();
         let key = OrderKey { service, zone, class };
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Applies the load of this moment.
+    /// Applies an observation of the load.
     fn observe(&mut self, observed: &ObservedService, now: Instant) {
         let elapsed = self.observed_at.map(|at| now.saturating_duration_since(at));
         self.observed_at = Some(now);
@@ -257,7 +257,8 @@
             Some(elapsed) if sent >= self.prompt_tokens_sent => {
                 (sent - self.prompt_tokens_sent) as f64 / elapsed.as_secs_f64()
             }
-            // The first look, or the sum fell because a daemon was lost: no rate is known.
+            // No rate is known: this is the first observation, or the sum fell because the reports
+            // of a lost daemon were dropped.
             _ => self.demand.prefill_rate,
         };
         self.prompt_tokens_sent = sent;
--- a/src/gateway/policy/leader/fleet_size.rs
+++ b/src/gateway/policy/leader/fleet_size.rs
@@ -1,12 +1,12 @@
 //! Decides how many endpoints a service requires.
 //!
-//! Inputs are the load of the service (prefill and running requests), what is held in each
-//! zone, and which zones refused reclaimable capacity lately. Where they are held is decided by
-//! `zone_plan`. The native path plans VMs by expected cost (`native::decide::fleet`).
+//! Inputs are the load of the service (prefill and running requests), the endpoints held in each
+//! zone, and the zones that recently refused reclaimable capacity. `zone_plan` decides in which
+//! zones endpoints are held. The native path plans VMs by expected cost (`native::decide::fleet`).
 //!
-//! The required number follows the load upwards at once and decays slowly. Before any load was
-//! seen it is estimated from the endpoints that are held, and never lowered: a leader that has
-//! just started must not release endpoints because it knows nothing yet.
+//! The required number follows an increase of the load immediately and decays slowly. Before any
+//! load is observed, it is estimated from the held endpoints and never lowered: a leader that has
+//! just started must not release endpoints because it has no observations yet.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,51 +18,52 @@
 use super::zone_plan::{EndpointTargets, ReclaimRisk, ZoneHolding, ZonePlan};
 use crate::{gateway::configuration::FleetSpec, ids::SharedName};
 
-/// Fraction of an endpoint's prefill rate at which it is full enough.
+/// Targeted utilization of an endpoint's prefill rate.
 const PREFILL_UTILIZATION: f64 = 0.5;
-/// Fraction of an endpoint's slots at which it is full enough.
+/// Targeted utilization of an endpoint's slots.
 const SLOT_UTILIZATION: f64 = 0.6;
-/// Fraction by which the required number decays in a second, so that a burst finds what the last
-/// one needed.
+/// Fraction by which the required number decays per second: slow, so that a burst still finds the
+/// endpoints that the last one needed.
 const DECAY_PER_S: f64 = 0.05;
 /// Fraction of the endpoints held at the start that is assumed to be required.
 const INITIAL_FRACTION: f64 = 0.85;
-/// The required number is at most this multiple of the endpoints that serve: the load that full
-/// endpoints show is partly their own slowness.
+/// The required number is at most this multiple of the endpoints that serve: full endpoints are
+/// slow, which by itself increases the observed load.
 const GROWTH_LIMIT: f64 = 1.5;
-/// A planner that has just started orders only more reclaimable endpoints, which are cheap, until
-/// the list of endpoints has not grown for this long: endpoints that have just started, or whose
-/// entries were lost, are listed over about a heartbeat.
+/// A planner that has just started orders only additional reclaimable endpoints, which are cheap,
+/// until the list of endpoints has not grown for this time: endpoints that have just started, or
+/// whose entries were lost, are listed within about a heartbeat.
 const SETTLE_TIME: Duration = Duration::from_millis(1_000);
-/// A planner that has just started gives all orders after this time, however the list grows: five
-/// times `SETTLE_TIME`.
+/// A planner gives all kinds of orders after this time even if the list still grows: five times
+/// `SETTLE_TIME`.
 const SETTLE_LIMIT: Duration = Duration::from_secs(5);
-/// Reclaimable capacity counts as scarce for this long after an order was refused.
+/// Time after a refused order for which reclaimable capacity counts as scarce.
 const SCARCE_FOR: Duration = Duration::from_secs(6);
-/// A zone that refused reclaimable capacity is not asked again sooner: bounds the calls to the
-/// cloud.
+/// Time after a refused order in which no reclaimable endpoints are ordered in the zone: bounds the
+/// calls to the cloud.
 const REFUSED_FOR: Duration = Duration::from_secs(2);
 
 /// Load of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceDemand {
-    /// Uncached prompt tokens sent to endpoints in a second.
+    /// Uncached prompt tokens sent to endpoints per second.
     pub prefill_rate: f64,
-    /// Prompt tokens that one endpoint reads in a second.
+    /// Prompt tokens that one endpoint prefills per second.
     pub endpoint_prefill_rate: f64,
-    /// Requests that run.
+    /// Running requests.
     pub running: f64,
-    /// Requests that an endpoint runs at once.
+    /// Requests that one endpoint can run at once.
     pub slots: f64,
 }
 
 impl ServiceDemand {
-    /// Endpoints that serve this load within the utilization limits.
+    /// Number of endpoints that serve this load within the targeted utilization.
     pub fn endpoints(&self) -> f64 {
         let for_prefill =
             self.prefill_rate / (self.endpoint_prefill_rate * PREFILL_UTILIZATION).max(1.0);
         let for_slots = self.running / (self.slots * SLOT_UTILIZATION).max(1.0);
-        // Not the sum: prefill slows the running requests, so they show it already.
+        // Not the sum: prefill slows the running requests down, so their number already includes
+        // it.
         for_prefill.max(for_slots)
     }
 }
@@ -78,7 +79,8 @@
 #[derive(Debug)]
 pub struct EndpointPlanner {
     required: f64,
-    /// Whether the required number is estimated from held endpoints, until load is seen.
+    /// Whether the required number is estimated from held endpoints because no load was observed
+    /// yet.
     is_estimated: bool,
     started_at: Instant,
     /// Whether the list of endpoints has stopped growing since the start.
@@ -103,9 +105,9 @@
         }
     }
 
-    /// Notes what is held. Until the list has stopped growing after the start, and while no load
-    /// has been seen, the required number is raised to a fraction of it; what is listed later was
-    /// ordered.
+    /// Records the held endpoints. Until the list has stopped growing after the start, and while no
+    /// load was observed, the required number is raised to a fraction of them. Endpoints listed
+    /// later have been ordered by this planner.
     pub fn estimate_from_held(&mut self, held: &BTreeMap<SharedName, ZoneHolding>, now: Instant) {
         let on_demand: u32 = held.values().map(|holding| holding.on_demand).sum();
         let reclaimable: u32 = held.values().map(|holding| holding.reclaimable).sum();
@@ -115,12 +117,12 @@
         if !self.is_estimated || self.is_settled {
             return;
         }
-        // Beside on-demand ones, reclaimable ones were held as a reserve.
+        // If there are on-demand endpoints, the reclaimable ones were held as a reserve.
         let held = if on_demand > 0 { on_demand } else { reclaimable };
         self.required = self.required.max(f64::from(held) * INITIAL_FRACTION);
     }
 
-    /// Whether the planner has seen enough to give orders of any kind; it then stays so.
+    /// Whether the planner may give all kinds of orders. Once true, it stays true.
     pub fn is_settled(&mut self, now: Instant) -> bool {
         let running = now.saturating_duration_since(self.started_at);
         let unchanged = now.saturating_duration_since(self.largest_list.since);
@@ -134,8 +136,8 @@
         self.required
     }
 
-    /// Applies the load of this moment, with `serving` endpoints that take requests. Without
-    /// any load the required number stays.
+    /// Applies an observation of the load, with `serving` endpoints that take requests. Without
+    /// load the required number does not change.
     pub fn observe(&mut self, demand: &ServiceDemand, serving: usize, now: Instant) {
         self.refused_at.retain(|_, at| now.saturating_duration_since(*at) < SCARCE_FOR);
         let elapsed_s = now.saturating_duration_since(self.updated_at).as_secs_f64();
@@ -148,19 +150,19 @@
         }
     }
 
-    /// Notes that a zone has no reclaimable capacity now.
+    /// Records that a zone has no reclaimable capacity now.
     pub fn record_capacity_refusal(&mut self, zone: &SharedName, now: Instant) {
         self.refused_at.insert(zone.clone(), now);
     }
 
-    /// Zones that are not asked for reclaimable capacity now.
+    /// Zones in which no reclaimable endpoints are ordered now.
     pub fn refused_zones(&self, now: Instant) -> BTreeSet<SharedName> {
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) < REFUSED_FOR;
         let zones = self.refused_at.iter().filter(|(_, at)| is_recent(at));
         zones.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// What to hold, given what is held and which of it may be reclaimed.
+    /// Plans the endpoints to hold, given those that are held and the risk that they are reclaimed.
     pub fn plan(
         &self,
         spec: &FleetSpec,
--- a/src/gateway/policy/leader/reclaim_wave.rs
+++ b/src/gateway/policy/leader/reclaim_wave.rs
@@ -1,12 +1,13 @@
-//! Notices when the cloud reclaims a whole zone of endpoints, as a warning for the other zones.
+//! Detects that the cloud reclaims all endpoints of a zone, which puts the other zones at risk.
 //!
-//! Reclaims come in waves, one zone after another within seconds, and replacements take a start
-//! time to serve. Waiting for the next zone's notice is therefore too late: from the first zone
-//! on, reclaimable endpoints anywhere count as endangered for a while.
+//! Reclaims come in waves, one zone after another within seconds, and replacements need the start
+//! time before they serve. Waiting for the next zone's notice would therefore be too late: after
+//! the first zone, reclaimable endpoints of all zones count as at risk for a while.
 //!
-//! Inputs are the endpoints held in each zone whenever their list changes, up to a second old.
-//! All daemons look, so that a leader that takes over within a wave knows of it. The first look after a start
-//! has nothing to compare with, so a zone lost before it goes unnoticed.
+//! Inputs are the endpoints held in each zone whenever their list changes, up to a second old. All
+//! daemons observe them, so that a leader that takes over during a wave knows of it. The first
+//! observation after a start can't be compared with an earlier one, so a zone lost before it is not
+//! detected.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -18,8 +19,9 @@
 use super::zone_plan::{ReclaimRisk, ZoneHolding};
 use crate::ids::SharedName;
 
-/// A wave is over when no zone was lost for this multiple of the endpoints' start time.
+/// A wave is over if no zone was lost for this multiple of the endpoints' start time.
 const WAVE_START_TIMES: f64 = 2.5;
+
 /// Waves of all services, as this daemon has seen them.
 #[derive(Debug, Default)]
 pub struct ReclaimWaves {
@@ -27,7 +29,7 @@
 }
 
 impl ReclaimWaves {
-    /// Notes what is held of a service now.
+    /// Records the endpoints of a service that are held now.
     pub fn observe(
         &mut self,
         service: &SharedName,
@@ -37,24 +39,24 @@
         self.by_service.entry(service.clone()).or_default().observe(held, now);
     }
 
-    /// Which zones of a service have to be expected to go; see [`ReclaimWave::risk`].
+    /// Reclaim risk of a service; see [`ReclaimWave::risk`].
     pub fn risk(&self, service: &str, start_time: Duration, now: Instant) -> ReclaimRisk {
         let wave = self.by_service.get(service);
         wave.map_or_else(ReclaimRisk::default, |wave| wave.risk(start_time, now))
     }
 }
 
-/// Zones of one service lost lately.
+/// Recent loss of zones of one service.
 #[derive(Debug, Default)]
 pub struct ReclaimWave {
-    /// Zones that held reclaimable endpoints at the last look.
+    /// Zones that held reclaimable endpoints at the last observation.
     occupied: BTreeSet<SharedName>,
     /// When the last zone was lost.
     lost_at: Option<Instant>,
 }
 
 impl ReclaimWave {
-    /// Notes what is held now.
+    /// Records the endpoints that are held now.
     pub fn observe(&mut self, held: &BTreeMap<SharedName, ZoneHolding>, now: Instant) {
         let occupied = held.iter().filter(|(_, holding)| holding.reclaimable > 0);
         let occupied: BTreeSet<SharedName> = occupied.map(|(zone, _)| zone.clone()).collect();
@@ -64,7 +66,7 @@
         self.occupied = occupied;
     }
 
-    /// Which zones have to be expected to go, where new endpoints serve after `start_time`.
+    /// Which zones are at risk, if new endpoints serve after `start_time`.
     pub fn risk(&self, start_time: Duration, now: Instant) -> ReclaimRisk {
         let lasts = start_time.mul_f64(WAVE_START_TIMES);
         let is_under_way = |at| now.saturating_duration_since(at) < lasts;
--- a/src/gateway/policy/leader/zone_plan.rs
+++ b/src/gateway/policy/leader/zone_plan.rs
@@ -1,33 +1,32 @@
 //! Decides how many endpoints of which price class each zone should hold.
 //!
 //! Inputs are the required number (`fleet_size`), the zones where reclaimable capacity is
-//! scarce, the service's fleet settings, and what is held in each zone.
+//! scarce, the service's fleet settings, and the endpoints held in each zone.
 //!
-//! Reclaimable endpoints cost a fraction of on-demand ones, but a whole zone of them can be
-//! reclaimed at once and may then not be available for a while. They are spread evenly over
-//! the zones, enough that the required number is still there when the largest zone has gone.
-//! On-demand endpoints are held only where reclaimable ones are not available and too few would be
-//! left.
+//! Reclaimable endpoints cost a fraction of on-demand ones, but all of a zone can be reclaimed at
+//! once, and new ones may then not be available for a while. They are spread evenly over the zones,
+//! so many that the required number remains when the largest zone is reclaimed. On-demand endpoints
+//! are held only if reclaimable ones are not available and too few would remain.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{gateway::configuration::FleetSpec, ids::SharedName};
 
-/// Fraction of the required number that must still be there when the next zone is reclaimed.
+/// Fraction of the required number that must remain when the next zone is reclaimed.
 const CRITICAL_FRACTION: f64 = 0.65;
-/// Price of an endpoint in a zone whose price is not configured.
+/// Relative price of an endpoint in a zone without a configured price.
 const DEFAULT_PRICE: f64 = 1.0;
 
 /// Price class of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PriceClass {
-    /// Cheap; the cloud may reclaim it.
+    /// Cheap, but the cloud may reclaim it.
     Reclaimable,
-    /// Stays until it is released.
+    /// Kept until it is released.
     OnDemand,
 }
 
-/// Endpoints of one service in one zone that are not leaving.
+/// Endpoints of one service in one zone that are not draining.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneHolding {
     /// Reclaimable ones.
@@ -37,7 +36,7 @@
 }
 
 impl ZoneHolding {
-    /// Those of one price class.
+    /// Number of endpoints of one price class.
     pub fn of(self, class: PriceClass) -> u32 {
         match class {
             PriceClass::Reclaimable => self.reclaimable,
@@ -56,26 +55,26 @@
     AllZones,
 }
 
-/// Numbers to hold, by zone and class.
+/// Number of endpoints to hold, by zone and price class.
 pub type EndpointTargets = BTreeMap<(SharedName, PriceClass), u32>;
 
-/// What the numbers of one service are decided from.
+/// Inputs of the plan for one service.
 #[derive(Clone, Debug)]
 pub struct ZonePlan<'a> {
     /// Required endpoints.
     pub required: f64,
     /// Zones where reclaimable capacity is scarce.
     pub scarce: BTreeSet<&'a SharedName>,
-    /// Which reclaimable endpoints may go.
+    /// Which reclaimable endpoints are expected to be reclaimed.
     pub risk: ReclaimRisk,
     /// Fleet settings.
     pub spec: &'a FleetSpec,
-    /// What is held in each zone where the service may run.
+    /// Endpoints held in each zone where the service may run.
     pub held: &'a BTreeMap<SharedName, ZoneHolding>,
 }
 
 impl<'a> ZonePlan<'a> {
-    /// Numbers to hold.
+    /// Number of endpoints to hold, by zone and price class.
     pub fn targets(&self) -> EndpointTargets {
         match self.spec.reclaimable_price {
             Some(share) if share < 1.0 => self.mixed_targets(),
@@ -83,15 +82,15 @@
         }
     }
 
-    /// Reclaimable endpoints evenly over the zones; on-demand ones for what is missing, in the
-    /// cheapest zones first. On-demand ones that are held stay until enough reclaimable ones
-    /// serve in their place.
+    /// Spreads reclaimable endpoints evenly over the zones and adds on-demand ones for those that
+    /// are missing, in the cheapest zones first. Held on-demand endpoints stay until enough
+    /// reclaimable ones replace them.
     fn mixed_targets(&self) -> EndpointTargets {
         let per_zone = self.reclaimable_per_zone();
         let mut missing = self.missing();
         let is_calm = self.scarce.is_empty() && self.risk == ReclaimRisk::OneZone;
         if is_calm && per_zone < self.spec.max {
-            // Reclaimable capacity is available and starts as fast: no more on-demand ones.
+            // No additional on-demand ones: reclaimable capacity is available and starts as fast.
             missing = missing.min(self.held.values().map(|holding| holding.on_demand).sum());
         }
         let half = missing.div_ceil(2);
@@ -99,7 +98,8 @@
         let mut targets = EndpointTargets::new();
         for (place, zone) in by_price.iter().enumerate() {
             let zones_left = (by_price.len() - place) as u32;
-            // As many as possible in cheap zones, but at most half in one, unless few are left.
+            // As many as possible in cheap zones, but at most half in one, unless few zones are
+            // left.
             let share = missing.div_ceil(zones_left).max(half.min(missing));
             let on_demand = self.on_demand_in_zone(zone, share, per_zone);
             missing = missing.saturating_sub(on_demand);
@@ -111,19 +111,19 @@
         targets
     }
 
-    /// Reclaimable endpoints for each zone, so that the others suffice when one is reclaimed.
+    /// Reclaimable endpoints for each zone, so that the other zones suffice when one is reclaimed.
     fn reclaimable_per_zone(&self) -> u32 {
         let remaining_zones = (self.held.len().max(1) - 1).max(1) as f64;
         let wanted = (self.required / remaining_zones).ceil() as u32;
         wanted.clamp(self.spec.min.max(1), self.spec.max)
     }
 
-    /// On-demand endpoints for a zone that should hold `share` of the missing ones: within the
-    /// zone's limits, both classes together.
+    /// On-demand endpoints for a zone that should hold `share` of the missing ones, such that both
+    /// classes together are within the zone's limits.
     fn on_demand_in_zone(&self, zone: &SharedName, share: u32, reclaimable_per_zone: u32) -> u32 {
         let holding = self.held[zone];
         let reserved = match self.scarce.contains(zone) {
-            // None are available here; room reserved for them would stay empty.
+            // No reclaimable ones are available here, so room reserved for them would stay unused.
             true => holding.reclaimable,
             false => holding.reclaimable.max(reclaimable_per_zone),
         };
@@ -132,10 +132,10 @@
         share.max(floor).min(room.max(floor))
     }
 
-    /// On-demand endpoints that are required because reclaimable ones are missing: enough for
-    /// all of the load now, and for its critical part (all of it while reclaimable capacity is
-    /// scarce) when the zone with most reclaimable ones goes next. While all zones may go, enough
-    /// for all of the load without any reclaimable ones.
+    /// On-demand endpoints that are required because reclaimable ones are missing: enough for the
+    /// whole load now, and for its critical part (the whole load while reclaimable capacity is
+    /// scarce) when the zone with the most reclaimable ones is reclaimed next. While all zones are
+    /// at risk, enough for the whole load without any reclaimable ones.
     fn missing(&self) -> u32 {
         if self.risk == ReclaimRisk::AllZones {
             return self.required.ceil() as u32;
@@ -143,7 +143,7 @@
         let reclaimable: u32 = self.held.values().map(|holding| holding.reclaimable).sum();
         let largest = self.held.values().map(|holding| holding.reclaimable).max().unwrap_or(0);
         let remaining = f64::from(reclaimable - largest);
-        // What goes while capacity is scarce cannot be replaced by reclaimable ones.
+        // While capacity is scarce, reclaimed endpoints can't be replaced by reclaimable ones.
         let critical = if self.scarce.is_empty() { CRITICAL_FRACTION } else { 1.0 };
         let short_of_critical = self.required * critical - remaining;
         let short_of_all = self.required - f64::from(reclaimable);
