--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -11,7 +11,8 @@
 use crate::{
     errors::StepError,
     gateway::policy::leader::leader_lease::{
-        AcquireDecision, LeaseOwner, ObservedLease, decide_acquire, first_fence, spoilt_fence,
+        AcquireDecision, LeaseOwner, ObservedLease, decide_acquire, first_fence,
+        highest_possible_fence,
     },
     ids::SharedName,
     platform::store::WriteCondition,
@@ -52,9 +53,9 @@
         if self.context.is_leaving() || !is_able {
             return Ok(AcquireResult::NotAcquired);
         }
-        let is_silent = self.context.lease.borrow().is_silent(self.lease(), now);
+        let is_renewal_overdue = self.context.lease.borrow().is_renewal_overdue(self.lease(), now);
         let ran_here = self.record().is_some_and(|record| self.is_earlier_process(record));
-        if !is_silent && !ran_here {
+        if !is_renewal_overdue && !ran_here {
             self.seen = None;
             return Ok(AcquireResult::NotAcquired);
         }
@@ -86,7 +87,7 @@
             }),
             LeaseSight::Spoilt(spoilt) => {
                 let known = self.context.lease.borrow().fence;
-                let fence = spoilt_fence(known, spoilt.position);
+                let fence = highest_possible_fence(known, spoilt.position);
                 Some(ObservedLease::of_lost_record(fence, unchanged_for(spoilt.since)))
             }
             LeaseSight::Absent(_) => {
--- a/src/gateway/request/attempt/response_evaluation.rs
+++ b/src/gateway/request/attempt/response_evaluation.rs
@@ -17,7 +17,7 @@
     gateway::{
         context::GatewayContext,
         policy::{
-            endpoint::request_limit::believed_limit,
+            endpoint::request_limit::plausible_limit,
             request::{
                 refusal::status_promises_not_run,
                 retries::{AttemptFailure, is_endpoint_failure},
@@ -78,7 +78,7 @@
     // An endpoint announces a limit when it is overloaded and can't serve more requests than that.
     match (metadata.meaning, metadata.signals.limit) {
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::PerSecond(limit)) => {
-            guard.endpoint_limits(believed_limit(limit));
+            guard.endpoint_limits(plausible_limit(limit));
         }
         (ResponseMeaning::Ran | ResponseMeaning::NotRun, LimitSignal::Absent) => {
             guard.endpoint_limits(None);
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -13,7 +13,7 @@
         gossip::endpoint_signals::limits::apply_response_limit,
         policy::endpoint::{
             endpoint_load::RunLoad,
-            endpoint_table::attempt_results::{FoundFailing, RequestIntake, RunTickets},
+            endpoint_table::attempt_results::{FoundFailing, RequestIntake, RunPermits},
         },
     },
     true_time,
@@ -26,8 +26,8 @@
     endpoint: Rc<EndpointRecord>,
     load: RunLoad,
     begun: Instant,
-    /// The probe ticket is taken out when the endpoint responds.
-    tickets: RunTickets,
+    /// The probe permit is taken out when the endpoint responds.
+    permits: RunPermits,
     /// Whether the request has been sent, or may have been.
     is_sent: bool,
     /// Whether no other prompt was known to be waiting at the endpoint when the run began, so that
@@ -50,14 +50,14 @@
         let begun = true_time::now();
         let mut endpoints = context.endpoints.borrow_mut();
         let was_idle = endpoints.is_idle(&endpoint.id, begun);
-        let tickets = endpoints.begin(&endpoint.id, parts, load, begun);
+        let permits = endpoints.begin(&endpoint.id, parts, load, begun);
         drop(endpoints);
         Self {
             context,
             endpoint: endpoint.clone(),
             load,
             begun,
-            tickets,
+            permits,
             is_sent: false,
             was_idle,
             has_failed: false,
@@ -74,10 +74,10 @@
         if !endpoints.may_be_sent(&self.endpoint, now) {
             return false;
         }
-        if !self.tickets.has_token {
-            self.tickets.has_token = endpoints.try_take_token(&self.endpoint.id, now);
+        if !self.permits.has_token {
+            self.permits.has_token = endpoints.try_take_token(&self.endpoint.id, now);
         }
-        self.is_sent = self.tickets.has_token;
+        self.is_sent = self.permits.has_token;
         self.is_sent
     }
 
@@ -94,7 +94,7 @@
     /// Records that the endpoint refused the request; `backoff` is the time for which it wants no
     /// others.
     pub fn endpoint_refused(&mut self, backoff: Option<Duration>) {
-        self.tickets.probe = None;
+        self.permits.probe = None;
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
             endpoints.record_refusal(&self.endpoint.id, backoff, true_time::now());
@@ -107,18 +107,18 @@
         if self.has_failed {
             return;
         }
-        let ticket = self.tickets.probe.take();
+        let permit = self.permits.probe.take();
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
             let now = true_time::now();
-            endpoints.record_intake(&self.endpoint.id, ticket, RequestIntake::Ran, now);
+            endpoints.record_intake(&self.endpoint.id, permit, RequestIntake::Ran, now);
         }
     }
 
     /// Records that the endpoint ran the request and failed.
     pub fn endpoint_failed(&mut self) {
         self.has_failed = true;
-        self.tickets.probe = None;
+        self.permits.probe = None;
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
             let found = endpoints.record_failure(&self.endpoint.id, self.begun, true_time::now());
@@ -209,11 +209,11 @@
             return;
         }
         let now = true_time::now();
-        if self.tickets.has_token && !self.is_sent {
+        if self.permits.has_token && !self.is_sent {
             endpoints.give_back_token(&self.endpoint.id);
         }
-        let ticket = self.tickets.probe.take();
-        endpoints.record_intake(&self.endpoint.id, ticket, RequestIntake::Unknown, now);
+        let permit = self.permits.probe.take();
+        endpoints.record_intake(&self.endpoint.id, permit, RequestIntake::Unknown, now);
         let found = endpoints.end(&self.endpoint.id, self.load, self.result, self.begun, now);
         report_failing(&self.context, &self.endpoint, found);
     }
--- a/tests/gateway/leader_rules.rs
+++ b/tests/gateway/leader_rules.rs
@@ -12,11 +12,11 @@
             endpoint_orders::{EndpointOrders, OrderResult, ZoneOrder},
             leader_lease::{
                 ACQUIRE_MARGIN, AcquireDecision, HoldDecision, LeaseOwner, LossReason,
-                ObservedLease, decide_acquire, decide_hold, first_fence, spoilt_fence,
+                ObservedLease, decide_acquire, decide_hold, first_fence, highest_possible_fence,
             },
             observed_service::ObservedService,
             reclaim_wave::ReclaimWaves,
-            usage_reports::{due_window, has_heard_counts},
+            usage_reports::{due_window, has_received_counts},
             zone_plan::{PriceClass, ReclaimRisk, ZoneHolding},
         },
     },
@@ -68,7 +68,7 @@
             next,
             eq(AcquireDecision::Acquire { fence: first_fence(StoreEra(era)).max(8) })
         );
-        highest = spoilt_fence(0, StorePosition::new(StoreEra(era), 1_000_000));
+        highest = highest_possible_fence(0, StorePosition::new(StoreEra(era), 1_000_000));
     }
 }
 
@@ -112,7 +112,7 @@
         (1_000, 1_800, false),
         (3_600, 1_800, true),
     ] {
-        let has_heard = has_heard_counts(millis(age_ms), millis(report_age_ms));
+        let has_heard = has_received_counts(millis(age_ms), millis(report_age_ms));
         expect_that!(has_heard, eq(heard), "{age_ms} ms, reports {report_age_ms} ms old");
     }
 }
--- a/tests/gateway/limit_rules.rs
+++ b/tests/gateway/limit_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of limits that endpoints name: which word holds, for which start, what a share allows, and
+//! Rules of limits that endpoints name: which observation holds, for which start, what a share allows, and
 //! what follows when a limit ends. Times are given, nothing waits.
 
 use googletest::prelude::*;
@@ -11,9 +11,9 @@
         endpoint_choice::{ChoiceQuery, ChoiceResult},
         endpoint_load::{RunLoad, endpoint_number},
         endpoint_table::EndpointTable,
-        request_limit::{HolderShare, LimitBucket, believed_limit, holder_count, holder_rate},
+        request_limit::{HolderShare, LimitBucket, holder_count, holder_rate, plausible_limit},
         room_forecast::RoomForecast,
-        signal_ledger::{EndpointLimit, LimitWord, NumberedStart},
+        signal_ledger::{EndpointLimit, LimitObservation, NumberedStart},
     },
 };
 
@@ -31,12 +31,12 @@
 }
 
 fn names(table: &mut EndpointTable, id: &str, limit: Option<f64>, at: Instant) {
-    table.record_limit(id, LimitWord { limit, at }, at);
+    table.record_limit(id, LimitObservation { limit, at }, at);
 }
 
 fn reported(id: &str, born: u64, limit: Option<f64>, at: Instant) -> EndpointLimit {
     let start = NumberedStart { endpoint: endpoint_number(id), born };
-    EndpointLimit { start, word: LimitWord { limit, at } }
+    EndpointLimit { start, observation: LimitObservation { limit, at } }
 }
 
 fn limit_of(table: &EndpointTable, id: &str) -> Option<f64> {
@@ -100,7 +100,7 @@
     expect_that!(limit_of(&table, "i-0"), some(eq(1.6)));
     table.receive_limit(reported("i-0", BORN, None, now + seconds(1.0)), now);
     expect_that!(limit_of(&table, "i-0"), none());
-    // Those that still hold the earlier word bring nothing back.
+    // Those that still hold the earlier observation bring nothing back.
     table.receive_limit(reported("i-0", BORN, Some(1.6), now + seconds(0.3)), now);
     expect_that!(limit_of(&table, "i-0"), none());
 }
@@ -134,7 +134,7 @@
         table.receive_limit(told, at);
         told = table.limits(at, &mut rng)[0];
     }
-    expect_that!(told.word.limit, none());
+    expect_that!(told.observation.limit, none());
 }
 
 #[googletest::test]
@@ -173,8 +173,8 @@
     expect_that!(chosen(&table, &[], now + seconds(1.9)), none());
     let later = now + seconds(2.1);
     expect_that!(chosen(&table, &[], later), some(eq("i-0")));
-    let tickets = table.begin("i-0", &[], RunLoad::default(), later);
-    expect_true!(tickets.has_token);
+    let permits = table.begin("i-0", &[], RunLoad::default(), later);
+    expect_true!(permits.has_token);
     expect_that!(chosen(&table, &[], later), none());
     // Nothing was sent.
     table.give_back_token("i-0");
@@ -188,8 +188,8 @@
 fn request_that_was_chosen_before_the_limit_was_known_needs_a_token() {
     let now = start();
     let mut table = table(&["i-0"], now);
-    let tickets = table.begin("i-0", &[], RunLoad::default(), now);
-    expect_false!(tickets.has_token);
+    let permits = table.begin("i-0", &[], RunLoad::default(), now);
+    expect_false!(permits.has_token);
     expect_true!(table.try_take_token("i-0", now));
     names(&mut table, "i-0", Some(1.6), now);
     expect_false!(table.try_take_token("i-0", now));
@@ -269,8 +269,8 @@
 
 #[googletest::test]
 fn limits_beyond_belief_are_none() {
-    expect_that!(believed_limit(1e12), none());
-    expect_that!(believed_limit(0.0), some(eq(0.0)));
+    expect_that!(plausible_limit(1e12), none());
+    expect_that!(plausible_limit(0.0), some(eq(0.0)));
 }
 
 #[googletest::test]
