--- a/src/gateway/policy/endpoint/signal_ledger.rs
+++ b/src/gateway/policy/endpoint/signal_ledger.rs
@@ -41,8 +41,8 @@
 /// Time for which other daemons are sent the report that an endpoint has not served a request: a
 /// gossip round of a large fleet.
 const NOT_SERVED_REPORTED_FOR: Duration = Duration::from_secs(2);
-/// Time for which signals of an unlisted endpoint are kept: longer than the store is unavailable
-/// and than lists lag behind.
+/// Time for which signals of an unlisted endpoint are kept: longer than store outages and than the
+/// delay of lists.
 const UNLISTED_KEPT: Duration = Duration::from_secs(3_600);
 /// Most warnings in one message. If there are more, daemons also learn from the lists.
 const MAX_WARNINGS: usize = 64;
