--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -267,10 +267,10 @@
 impl fmt::Display for LossReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::UnknownRecord => "unknown",
+            Self::UnknownRecord => "record not known",
             Self::NotRenewed => "not renewed in time",
             Self::Leaving => "leaving",
-            Self::OtherHolder => "another holds it",
+            Self::OtherHolder => "another daemon holds it",
             Self::Fenced => "fenced",
             Self::StoreLost => "store restored from a copy",
         })
