--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -1,4 +1,4 @@
-//! Acquires the lease when `policy::leader::leader_lease` allows it.
+//! Acquires the leader lease when `policy::leader::leader_lease` allows it.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::{
-    lease_keeper::LeaseKeeper, lease_record::LeaseRecord, lease_sight::LeaseSight, quarantine,
+    lease_keeper::LeaseKeeper, lease_object::LeaseObject, lease_record::LeaseRecord, quarantine,
 };
 use crate::{
     errors::StepError,
@@ -19,77 +19,82 @@
     true_time,
 };
 
-/// Longest random time added to a wait for the lease, in milliseconds, so that daemons do not all
-/// try at once.
-const ACQUIRE_SPREAD_MS: u64 = 300;
+/// Longest random delay added to a wait for the lease, in milliseconds, so that daemons do not all
+/// try to acquire it at once.
+const ACQUIRE_JITTER_MS: u64 = 300;
 
-/// What became of a try to acquire the lease.
+/// Result of an attempt to acquire the lease.
 #[derive(Debug)]
 pub enum AcquireResult {
-    /// This daemon holds it.
+    /// This daemon holds the lease now.
     Acquired {
-        /// Required endpoints by service, as the former holder found them.
+        /// Required endpoints by service, as the former holder calculated them.
         required_endpoints: BTreeMap<SharedName, f64>,
     },
-    /// Another daemon holds it or was faster.
+    /// Another daemon holds the lease or acquired it first, or this daemon must not acquire it.
     NotAcquired,
-    /// It may be free at this time.
+    /// The lease may be free at this time.
     RetryAt(Instant),
 }
 
 impl LeaseKeeper {
-    /// Acquires the lease if it is free. A daemon that is leaving or has no configuration
-    /// leaves it to others.
+    /// Acquires the lease if it is free. A daemon that is leaving, has no configuration or lags behind
+    /// its peers does not try.
     ///
     /// # Errors
     ///
     /// The store failed or did not respond in time.
     pub async fn try_acquire(&mut self) -> Result<AcquireResult, StepError> {
         let now = true_time::now();
-        // Peers know of holders that a store restored from a copy no longer shows.
+        // Peers know about holders that are missing from a store restored from a copy.
         let has_peer_contact = self.context.knows_what_peers_know(now);
-        let is_able = has_peer_contact && self.context.configuration().is_some();
-        if self.context.is_leaving() || !is_able {
+        let can_lead = has_peer_contact && self.context.configuration().is_some();
+        if self.context.is_leaving() || !can_lead {
             return Ok(AcquireResult::NotAcquired);
         }
-        let is_silent = self.context.lease.borrow().is_silent(self.lease(), now);
-        let ran_here = self.record().is_some_and(|record| self.is_earlier_process(record));
-        if !is_silent && !ran_here {
+        let is_silent = self.context.lease.borrow().is_silent(self.lease_duration(), now);
+        let held_by_earlier_process =
+            self.record().is_some_and(|record| self.is_earlier_process(record));
+        if !is_silent && !held_by_earlier_process {
             self.seen = None;
             return Ok(AcquireResult::NotAcquired);
         }
         let object = self.store.read().await?;
-        let sight = self.observe(object, now);
-        match decide_acquire(self.observed(&sight, now), self.lease(), self.context.store.era()) {
-            AcquireDecision::Acquire { fence } => self.acquire(fence, sight).await,
+        let lease_object = self.observe(object, now);
+        match decide_acquire(
+            self.observed_lease(&lease_object, now),
+            self.lease_duration(),
+            self.context.store.era(),
+        ) {
+            AcquireDecision::Acquire { fence } => self.acquire(fence, lease_object).await,
             AcquireDecision::Wait(wait) => {
-                let spread = rand::rng().random_range(0..ACQUIRE_SPREAD_MS);
-                Ok(AcquireResult::RetryAt(now + wait + Duration::from_millis(spread)))
+                let jitter = rand::rng().random_range(0..ACQUIRE_JITTER_MS);
+                Ok(AcquireResult::RetryAt(now + wait + Duration::from_millis(jitter)))
             }
         }
     }
 
-    /// What the object says of the lease; none if there never was one, as far as known.
-    fn observed(&self, sight: &LeaseSight, now: Instant) -> Option<ObservedLease> {
+    /// The lease as read from the store; none if, as far as known, there never was one.
+    fn observed_lease(&self, lease_object: &LeaseObject, now: Instant) -> Option<ObservedLease> {
         let unchanged_for = |since: Instant| now.saturating_duration_since(since);
-        match sight {
-            LeaseSight::Seen(seen) if self.is_lost(&seen.record) => {
+        match lease_object {
+            LeaseObject::Present(seen) if self.may_be_superseded(&seen.record) => {
                 let fence = self.context.lease.borrow().fence.max(seen.record.fence);
-                let since = self.own_last_renewal().unwrap_or(seen.since);
+                let since = self.own_last_renewal().unwrap_or(seen.unchanged_since);
                 Some(ObservedLease::of_lost_record(fence, unchanged_for(since)))
             }
-            LeaseSight::Seen(seen) => Some(ObservedLease {
+            LeaseObject::Present(seen) => Some(ObservedLease {
                 fence: seen.record.fence,
                 owner: self.owner_of(&seen.record),
                 released: seen.record.released,
-                unchanged_for: unchanged_for(seen.since),
+                unchanged_for: unchanged_for(seen.unchanged_since),
             }),
-            LeaseSight::Spoilt(spoilt) => {
+            LeaseObject::Corrupt(corrupt) => {
                 let known = self.context.lease.borrow().fence;
-                let fence = spoilt_fence(known, spoilt.position);
-                Some(ObservedLease::of_lost_record(fence, unchanged_for(spoilt.since)))
+                let fence = spoilt_fence(known, corrupt.position);
+                Some(ObservedLease::of_lost_record(fence, unchanged_for(corrupt.unchanged_since)))
             }
-            LeaseSight::Absent(_) => {
+            LeaseObject::Absent(_) => {
                 let lease = self.context.lease.borrow();
                 let renewed_at = lease.renewed_at?;
                 let era_began = self.era.and_then(|era| era.began_at).unwrap_or(renewed_at);
@@ -99,29 +104,30 @@
         }
     }
 
-    /// Whether a later renewal than that of the record has been made, or may have been: the store was
+    /// Whether there is, or may be, a later renewal than the record, which the store lost when it was
     /// restored from a copy.
-    fn is_lost(&self, record: &LeaseRecord) -> bool {
+    fn may_be_superseded(&self, record: &LeaseRecord) -> bool {
         let lease = self.context.lease.borrow();
-        self.is_copied(record) || record.order() < (lease.fence, lease.renewals)
+        self.is_from_earlier_era(record) || record.order() < (lease.fence, lease.renewals)
     }
 
-    /// When this process began its last renewal, if nobody is known to have acquired the lease since.
+    /// When this process began its last renewal; none if another daemon is known to have acquired the
+    /// lease since.
     fn own_last_renewal(&self) -> Option<Instant> {
-        let (record, began_at) = self.written.as_ref()?;
+        let (record, began_at) = self.last_written.as_ref()?;
         (record.fence == self.context.lease.borrow().fence).then_some(*began_at)
     }
 
-    /// First window that is not left out. A window that a lost record held may have been reported.
+    /// First usage window to report. Earlier windows are skipped if a lost record may have reported them.
     fn first_window(&self, former: Option<&LeaseRecord>) -> u64 {
         let known = former.filter(|former| self.knows_reports(former));
         known.map_or_else(|| self.current_window(), |former| former.first_window)
     }
 
-    /// Whether this daemon knows which windows have been reported since the record was written.
+    /// Whether this daemon knows which usage windows have been reported since the record was written.
     fn knows_reports(&self, record: &LeaseRecord) -> bool {
         let is_own = record.incarnation == self.context.incarnation.0;
-        is_own || !self.is_copied(record) || self.context.lease.borrow().next_window > 0
+        is_own || !self.is_from_earlier_era(record) || self.context.lease.borrow().next_window > 0
     }
 
     fn current_window(&self) -> u64 {
@@ -144,16 +150,20 @@
         record.holder == settings.name && record.address == Some(settings.peer_address)
     }
 
-    /// Writes the lease as this daemon's, if the object is still as in `sight`. The former
-    /// holder's requirements and report are carried over.
-    async fn acquire(&mut self, fence: u64, sight: LeaseSight) -> Result<AcquireResult, StepError> {
-        let (condition, former) = match sight {
-            LeaseSight::Seen(seen) => (seen.condition, Some(seen.record)),
-            LeaseSight::Spoilt(spoilt) => (WriteCondition::At(spoilt.position), None),
-            LeaseSight::Absent(era) => (WriteCondition::Absent(era), None),
+    /// Writes the lease with this daemon as its holder, unless the object has changed since it was read
+    /// as `lease_object`. The former holder's required endpoints and report are carried over.
+    async fn acquire(
+        &mut self,
+        fence: u64,
+        lease_object: LeaseObject,
+    ) -> Result<AcquireResult, StepError> {
+        let (condition, former) = match lease_object {
+            LeaseObject::Present(seen) => (seen.condition, Some(seen.record)),
+            LeaseObject::Corrupt(corrupt) => (WriteCondition::At(corrupt.position), None),
+            LeaseObject::Absent(era) => (WriteCondition::Absent(era), None),
         };
-        // What this process has written itself goes before what a copy holds of it.
-        let written = self.written.as_ref().map(|(record, _)| record.clone());
+        // A record that this process wrote may be newer than the one in a restored store.
+        let written = self.last_written.as_ref().map(|(record, _)| record.clone());
         let is_first = former.is_none() && fence == first_fence(StoreEra::default());
         let former = former.into_iter().chain(written).max_by_key(LeaseRecord::order);
         let renewals = first_renewal(fence, former.as_ref());
@@ -187,9 +197,10 @@
     }
 }
 
-/// Number of the write that acquires the lease. A process that acquires its own lease again keeps
-/// the fence and goes on counting: others know a renewal by fence and number. Numbered from 0
-/// again, one of six others acquired the lease within 2 s while its holder renewed it.
+/// Renewal number of the write that acquires the lease. A process that acquires its own lease again
+/// keeps the fence and continues the numbering, since other daemons identify a renewal by fence and
+/// number. When numbering restarted at 0, one of six other daemons acquired the lease within 2 s
+/// although its holder was renewing it.
 fn first_renewal(fence: u64, former: Option<&LeaseRecord>) -> u64 {
     let own = former.filter(|former| former.fence == fence);
     own.map_or(0, |former| former.renewals + 1)
--- a/src/gateway/leader/lease_keeper.rs
+++ b/src/gateway/leader/lease_keeper.rs
@@ -1,17 +1,17 @@
-//! Holds the lease: renews, releases and loses it as `policy::leader::leader_lease` decides, and applies
-//! what the store shows of it.
+//! Maintains the lease: renews, releases and loses it as `policy::leader::leader_lease` decides, and
+//! applies the lease record read from the store to the daemon's state.
 //!
-//! Owns the object as last read. A write whose outcome is not known (time limit, lost response)
-//! is followed by a read before anything else is done with the lease. If the store was restored
-//! from a copy meanwhile, the holder goes on from what it has written itself.
+//! Owns the lease object as last read. After a write whose outcome is not known (timeout, lost
+//! response), the object is read before anything else is done with the lease. If the store was restored
+//! from a copy meanwhile, the holder continues from the record that it wrote itself.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use tokio::time::Instant;
 
 use super::{
+    lease_object::{CorruptLease, LeaseObject, ObservedEra, StoredLease},
     lease_record::{LeaseRecord, UsageReport},
-    lease_sight::{LeaseSight, SeenEra, SeenLease, SpoiltLease},
     lease_store::LeaseStore,
     quarantine,
 };
@@ -30,44 +30,45 @@
     true_time,
 };
 
-/// The lease as one daemon keeps it.
+/// One daemon's client of the leader lease.
 pub struct LeaseKeeper {
     pub(super) context: Rc<GatewayContext>,
     pub(super) store: LeaseStore,
-    pub(super) seen: Option<SeenLease>,
-    /// The object, if it was spoilt when it was last read.
-    spoilt: Option<SpoiltLease>,
-    /// Era of the store when the object was last read.
-    pub(super) era: Option<SeenEra>,
-    /// What this process has written last, and when it began to.
-    pub(super) written: Option<(LeaseRecord, Instant)>,
+    pub(super) seen: Option<StoredLease>,
+    /// The object, if it was corrupt when it was last read.
+    corrupt: Option<CorruptLease>,
+    /// Newest era of the store seen when reading the object.
+    pub(super) era: Option<ObservedEra>,
+    /// The last record that this process wrote, and when that write began.
+    pub(super) last_written: Option<(LeaseRecord, Instant)>,
     /// Whether the outcome of the last write is not known.
     pub(super) is_write_unconfirmed: bool,
 }
 
 impl LeaseKeeper {
-    /// Keeper that has read nothing yet.
+    /// Creates a keeper that has not read the lease yet.
     pub fn new(context: Rc<GatewayContext>) -> Self {
         let store = LeaseStore::new(context.clone());
         Self {
             context,
             store,
             seen: None,
-            spoilt: None,
+            corrupt: None,
             era: None,
-            written: None,
+            last_written: None,
             is_write_unconfirmed: false,
         }
     }
 
-    /// Reads what the last holder wrote of the fleet: quotas depend on it from the start.
+    /// Reads the fleet size and the throttled accounts that the last holder wrote: quotas depend on them
+    /// from the start.
     ///
     /// # Errors
     ///
-    /// The store failed or did not respond within the time limit.
+    /// The store failed or did not respond in time.
     pub async fn read_at_start(&mut self) -> Result<(), StepError> {
         let asked_at = true_time::now();
-        let object = self.store.read_within_limit().await?;
+        let object = self.store.read_with_timeout().await?;
         self.observe(object, asked_at);
         Ok(())
     }
@@ -79,95 +80,96 @@
 
     /// Whether this daemon may act as the leader now.
     pub fn may_act(&self) -> bool {
-        self.context.lease.borrow().may_act(self.lease(), true_time::now())
+        self.context.lease.borrow().may_act(self.lease_duration(), true_time::now())
     }
 
-    /// The record that the lease holds, if this daemon has read or written it.
+    /// The lease record as this daemon last read or wrote it.
     pub fn record(&self) -> Option<&LeaseRecord> {
         self.seen.as_ref().map(|seen| &seen.record)
     }
 
-    /// This daemon and its fence, as calls to the cloud carry them.
+    /// Name and fence that calls to the cloud carry.
     pub fn holder(&self) -> LeaseHolder {
         let fence = self.context.lease.borrow().fence;
         LeaseHolder { name: self.context.settings.name.clone(), fence }
     }
 
-    pub(super) fn lease(&self) -> Duration {
+    pub(super) fn lease_duration(&self) -> Duration {
         self.context.settings.bounds.lease
     }
 
-    /// Applies the lease object that was requested at `asked_at`.
+    /// Applies the lease object that the store returned to a request sent at `asked_at`.
     pub(super) fn observe(
         &mut self,
         object: Option<StoredObject>,
         asked_at: Instant,
-    ) -> LeaseSight {
+    ) -> LeaseObject {
         self.observe_era(asked_at);
         let Some(object) = object else {
             self.observe_no_record();
-            return LeaseSight::Absent(self.context.store.era());
+            return LeaseObject::Absent(self.context.store.era());
         };
         let record: LeaseRecord = match serde_json::from_str(&object.value) {
             Ok(record) => record,
             Err(error) => {
                 spdlog::error!("lease record not decoded: {}", error);
                 self.observe_no_record();
-                return LeaseSight::Spoilt(self.observe_spoilt(object.position, asked_at));
+                return LeaseObject::Corrupt(self.observe_corrupt(object.position, asked_at));
             }
         };
-        self.spoilt = None;
+        self.corrupt = None;
         self.context.fleet_size.set(Some(record.daemons.max(1)));
         quarantine::restore_requests(&self.context, &record.quarantined);
         self.context.quotas.borrow_mut().set_throttled_before(record.throttled.iter().cloned());
-        if let Some(report) = record.report.as_ref().filter(|_| !self.is_copied(&record)) {
+        if let Some(report) = record.report.as_ref().filter(|_| !self.is_from_earlier_era(&record))
+        {
             self.context.lease.borrow_mut().note_reported(report.window);
         }
         let condition = WriteCondition::At(object.position);
-        let since = match &self.seen {
-            Some(seen) if seen.condition == condition => seen.since,
-            _ if self.is_copied(&record) => asked_at,
+        let unchanged_since = match &self.seen {
+            Some(seen) if seen.condition == condition => seen.unchanged_since,
+            _ if self.is_from_earlier_era(&record) => asked_at,
             _ => self.renewal_start(&record).unwrap_or(asked_at).min(asked_at),
         };
-        let seen = SeenLease { condition, record, since };
+        let seen = StoredLease { condition, record, unchanged_since };
         self.seen = Some(seen.clone());
-        LeaseSight::Seen(Box::new(seen))
+        LeaseObject::Present(Box::new(seen))
     }
 
     fn observe_era(&mut self, asked_at: Instant) {
         let era = self.context.store.era();
-        let known = *self.era.get_or_insert(SeenEra { era, began_at: None });
+        let known = *self.era.get_or_insert(ObservedEra { era, began_at: None });
         if era > known.era {
-            self.era = Some(SeenEra { era, began_at: Some(asked_at) });
+            self.era = Some(ObservedEra { era, began_at: Some(asked_at) });
         }
     }
 
-    /// Nothing is known of the former holder's fleet: there never was one and all daemons are just
-    /// starting, or its record is lost.
+    /// Falls back to the daemons known by gossip: either there has been no holder yet and all daemons are
+    /// just starting, or the former holder's record is lost.
     fn observe_no_record(&self) {
         let known = self.known_daemons();
         self.context.fleet_size.set(self.context.fleet_size.get().or(Some(known)));
         self.context.quotas.borrow_mut().set_throttled_before([]);
     }
 
-    fn observe_spoilt(&mut self, position: StorePosition, asked_at: Instant) -> SpoiltLease {
-        let known = self.spoilt.filter(|known| known.position == position);
-        let spoilt = known.unwrap_or(SpoiltLease { position, since: asked_at });
-        self.spoilt = Some(spoilt);
-        spoilt
+    fn observe_corrupt(&mut self, position: StorePosition, asked_at: Instant) -> CorruptLease {
+        let known = self.corrupt.filter(|known| known.position == position);
+        let corrupt = known.unwrap_or(CorruptLease { position, unchanged_since: asked_at });
+        self.corrupt = Some(corrupt);
+        corrupt
     }
 
-    /// Whether the record was written before the store was restored from a copy.
-    pub(super) fn is_copied(&self, record: &LeaseRecord) -> bool {
+    /// Whether the record was written before the store was last restored from a copy.
+    pub(super) fn is_from_earlier_era(&self, record: &LeaseRecord) -> bool {
         record.era < self.context.store.era()
     }
 
-    /// When gossip says that the renewal in `record` began, if it knows of no later one.
+    /// When the renewal in `record` began according to gossip; none if gossip has reported a later one.
     fn renewal_start(&self, record: &LeaseRecord) -> Option<Instant> {
         self.context.lease.borrow().renewal_start(record.fence, record.renewals)
     }
 
-    /// What to do with the lease that this daemon holds; a lost or released one is dealt with.
+    /// Decides what to do with the lease that this daemon holds, and carries out a loss or release.
     ///
     /// # Errors
     ///
@@ -183,7 +185,7 @@
         };
         let renewed_at = self.context.lease.borrow().renewed_at.unwrap_or(now);
         let age = now.saturating_duration_since(renewed_at);
-        let decision = decide_hold(age, self.lease(), self.context.is_leaving());
+        let decision = decide_hold(age, self.lease_duration(), self.context.is_leaving());
         match decision {
             HoldDecision::Lose(reason) => self.lose(reason),
             HoldDecision::Release => self.release(seen).await?,
@@ -193,11 +195,11 @@
     }
 
     /// Renews the lease and writes `report` and the required endpoints into it. Returns whether
-    /// this daemon still holds it.
+    /// this daemon still holds the lease.
     ///
     /// # Errors
     ///
-    /// The store failed or did not respond in time; the outcome is not known.
+    /// The store failed or did not respond in time; the outcome of the write is not known.
     pub async fn renew(
         &mut self,
         report: Option<UsageReport>,
@@ -216,7 +218,8 @@
         self.write(seen.condition, record).await
     }
 
-    /// Writes the lease; on success this daemon holds it from when the call was made.
+    /// Writes the lease. Returns whether that succeeded; this daemon then holds the lease from the time
+    /// at which the call began.
     pub(super) async fn write(
         &mut self,
         condition: WriteCondition,
@@ -244,18 +247,18 @@
         if let Some(report) = &record.report {
             lease.note_reported(report.window);
         }
-        self.written = Some((record.clone(), started_at));
+        self.last_written = Some((record.clone(), started_at));
         let condition = WriteCondition::At(position);
-        self.seen = Some(SeenLease { condition, record, since: started_at });
+        self.seen = Some(StoredLease { condition, record, unchanged_since: started_at });
         Ok(true)
     }
 
-    /// Releases the lease on the way out. From here on this daemon acts no more, whatever
-    /// becomes of the write.
-    async fn release(&mut self, seen: SeenLease) -> Result<(), StepError> {
+    /// Releases the lease before the daemon stops. This daemon no longer acts as the leader, even if the
+    /// write fails.
+    async fn release(&mut self, seen: StoredLease) -> Result<(), StepError> {
         self.lose(LossReason::Leaving);
         let record = LeaseRecord { released: true, ..seen.record };
-        // After a conflict another daemon holds it already.
+        // A conflict means that another daemon already holds the lease.
         self.store.write("release lease", seen.condition, &record).await.map(drop)
     }
 
--- a/src/gateway/leader/lease_record.rs
+++ b/src/gateway/leader/lease_record.rs
@@ -1,6 +1,6 @@
-//! What the holder of the leader lease writes into the store for its successor.
+//! The lease record, which the holder of the leader lease writes into the store for its successor.
 //!
-//! The names of the fields on the wire are part of the stored form and stay as they are.
+//! The serialized field names are part of the stored format and must not change.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -11,10 +11,10 @@
 };
 
 /// A usage report. It is written into the lease before it is sent, so that a successor that
-/// sends it again sends the same counts.
+/// repeats it sends the same counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Number of the window.
+    /// Number of the usage window.
     pub window: u64,
     /// Requests by account.
     pub counts: WindowCounts,
@@ -23,11 +23,11 @@
 /// A request that crashes endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedRequest {
-    /// Its fingerprint, as text.
+    /// Fingerprint of the request, as text.
     pub fingerprint: String,
-    /// Trials since it is refused.
+    /// Trials since the request was quarantined.
     pub trials: u32,
-    /// Milliseconds from its newest crash to the write of this record.
+    /// Age of the newest crash when this record was written.
     pub crash_age_ms: u64,
 }
 
@@ -40,22 +40,22 @@
 pub struct LeaseRecord {
     /// Name of the holder's VM.
     pub holder: SharedName,
-    /// Where the holder listens for peers.
+    /// Address at which the holder listens for peers.
     #[serde(default)]
     pub address: Option<SocketAddr>,
-    /// Start of the holder's process.
+    /// Incarnation id of the holder's process.
     pub incarnation: u64,
-    /// Rises with every holder.
+    /// Fencing number; rises with every new holder.
     pub fence: u64,
-    /// Renewals by this holder; a renewal always changes the object.
+    /// Renewals by this holder. Counting them makes each renewal change the object.
     pub renewals: u64,
-    /// Era of the store in which it was written; 0 from daemons of earlier releases.
+    /// Era of the store in which the record was written; 0 from daemons of earlier releases.
     #[serde(default)]
     pub era: StoreEra,
-    /// Whether the holder has released it: another may acquire it at once.
+    /// Whether the holder has released the lease: another daemon may acquire it at once.
     #[serde(default)]
     pub released: bool,
-    /// Daemons that the holder knew of.
+    /// Number of daemons that the holder knew of.
     #[serde(default)]
     pub daemons: usize,
     /// Accounts that were throttled at the last renewal.
@@ -64,10 +64,11 @@
     /// Required endpoints by service.
     #[serde(default, rename = "needs")]
     pub required_endpoints: BTreeMap<SharedName, f64>,
-    /// Requests that crash endpoints: daemons that start after all have ended know them from here.
+    /// Quarantined requests, for daemons that start after all others have ended.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub quarantined: Vec<QuarantinedRequest>,
-    /// Windows before this one are not reported: a former holder, whose record is lost, may have.
+    /// Earlier windows are not reported, since a former holder whose record is lost may have reported
+    /// them.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub first_window: u64,
     /// The newest report.
@@ -75,7 +76,7 @@
 }
 
 impl LeaseRecord {
-    /// What orders the writes of all holders: fence, and number of the renewal.
+    /// Sort key that orders the writes of all holders: fence, then renewal number.
     pub fn order(&self) -> (u64, u64) {
         (self.fence, self.renewals)
     }
--- a/src/gateway/leader/lease_store.rs
+++ b/src/gateway/leader/lease_store.rs
@@ -1,4 +1,4 @@
-//! The lease object in the store: one read and one conditional write, with a time limit.
+//! Reads and writes the lease object in the store, with timeouts.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,9 +15,9 @@
 const LEASE_KIND: &str = "gateway-leases";
 /// Name of the lease's object.
 const LEASE_NAME: &str = "duties";
-/// Time limit of a write or a read: two calls fit between the renewal of a 3 s lease and the end of
-/// the holder's right to act.
-pub const STORE_LIMIT: Duration = Duration::from_millis(650);
+/// Timeout of a write or a read: two calls fit between the time at which a 3 s lease is renewed and the
+/// time at which its holder has to stop acting.
+pub const STORE_TIMEOUT: Duration = Duration::from_millis(650);
 
 /// Reads and writes the lease object.
 pub struct LeaseStore {
@@ -25,12 +25,12 @@
 }
 
 impl LeaseStore {
-    /// Client of the daemon's store.
+    /// Uses the store client of `context`.
     pub fn new(context: Rc<GatewayContext>) -> Self {
         Self { context }
     }
 
-    /// The object, if there is one; no other time limit than the store client's.
+    /// Reads the object, if there is one, with only the store client's timeout.
     ///
     /// # Errors
     ///
@@ -39,20 +39,20 @@
         self.context.store.read(LEASE_KIND, LEASE_NAME).await
     }
 
-    /// The object, if there is one.
+    /// Reads the object, if there is one.
     ///
     /// # Errors
     ///
-    /// The store failed or did not respond within [`STORE_LIMIT`].
-    pub async fn read_within_limit(&self) -> Result<Option<StoredObject>, StepError> {
-        timeout(STORE_LIMIT, self.read()).await.map_err(|_| self.timed_out("read lease"))?
+    /// The store failed or did not respond within [`STORE_TIMEOUT`].
+    pub async fn read_with_timeout(&self) -> Result<Option<StoredObject>, StepError> {
+        timeout(STORE_TIMEOUT, self.read()).await.map_err(|_| self.timeout_error("read lease"))?
     }
 
-    /// Writes the object if `condition` holds; `step` names the write in errors.
+    /// Writes the object if `condition` holds; errors name the write by `step`.
     ///
     /// # Errors
     ///
-    /// The store failed or did not respond within [`STORE_LIMIT`]; the write may have been done.
+    /// The store failed or did not respond within [`STORE_TIMEOUT`]; the write may have been done.
     pub async fn write(
         &self,
         step: &'static str,
@@ -60,12 +60,12 @@
         record: &LeaseRecord,
     ) -> Result<WriteResult, StepError> {
         let writing = self.context.store.write(LEASE_KIND, LEASE_NAME, condition, record);
-        timeout(STORE_LIMIT, writing).await.map_err(|_| self.timed_out(step))?
+        timeout(STORE_TIMEOUT, writing).await.map_err(|_| self.timeout_error(step))?
     }
 
-    /// Error of a step that took longer than [`STORE_LIMIT`].
-    pub fn timed_out(&self, step: &'static str) -> StepError {
-        let cause = FailureCause::TimedOut(STORE_LIMIT.as_millis() as u64);
+    /// Error for a step that took longer than [`STORE_TIMEOUT`].
+    pub fn timeout_error(&self, step: &'static str) -> StepError {
+        let cause = FailureCause::TimedOut(STORE_TIMEOUT.as_millis() as u64);
         StepError::new(step, self.context.settings.store_address.to_string(), cause)
     }
 }
--- a/src/gateway/leader/quarantine.rs
+++ b/src/gateway/leader/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that crash endpoints, as the leader keeps them in the lease record: daemons that start
-//! after all others have ended know them from there.
+//! Stores quarantined requests (those that crash endpoints) in the lease record and restores them from
+//! it, for daemons that start after all others have ended.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use crate::gateway::{context::GatewayContext, policy::request::crash_ledger::MAX_REPORTED};
 use crate::true_time;
 
-/// The requests that this daemon knows to be quarantined, as many as fit into a report, the
-/// newest ones.
+/// The quarantined requests that this daemon knows of: the [`MAX_REPORTED`] that crashed last, as many as
+/// fit into a report.
 pub fn stored_requests(context: &GatewayContext) -> Vec<QuarantinedRequest> {
     let now = true_time::now();
     let ledger = context.crashes.borrow();
@@ -26,13 +26,13 @@
     stored
 }
 
-/// Quarantines the requests of a record that this daemon knows nothing of. The record may have
-/// been written some time ago: they then look younger, and their trials come later.
+/// Quarantines the requests of a lease record that this daemon does not know yet. If the record is
+/// old, their crashes look more recent than they are, and their trials come later.
 pub fn restore_requests(context: &GatewayContext, stored: &[QuarantinedRequest]) {
     let now = true_time::now();
     for QuarantinedRequest { fingerprint, trials, crash_age_ms } in stored {
         let Ok(request) = fingerprint.parse() else {
-            spdlog::warn!("stored fingerprint not read", kv: { fingerprint: });
+            spdlog::warn!("fingerprint in the lease record not parsed", kv: { fingerprint: });
             continue;
         };
         let crashed = now.checked_sub(Duration::from_millis(*crash_age_ms)).unwrap_or(now);
