--- a/src/gateway/leader/endpoint_orders.rs
+++ b/src/gateway/leader/endpoint_orders.rs
@@ -1,4 +1,4 @@
-//! Collects what `policy::leader::endpoint_orders` decides from, and translates its orders for the
+//! Collects the inputs of `policy::leader::endpoint_orders` and converts its orders to the form of the
 //! cloud's API.
 
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
 
-/// What this daemon knows of a service's endpoints and load, and which of them are at risk.
+/// What this daemon knows about a service's endpoints, their load and the current reclaim risk.
 pub fn observe_service(
     context: &GatewayContext,
     service: &Service,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Endpoints of a service that are not leaving, in every zone where it may run.
+/// Number of ready endpoints of a service in each zone where it may run.
 pub fn holdings(context: &GatewayContext, service: &Service) -> BTreeMap<SharedName, ZoneHolding> {
     let mut held = BTreeMap::new();
     if let Some(spec) = &service.fleet {
@@ -59,7 +59,7 @@
     held
 }
 
-/// An order in the form of the cloud's client.
+/// Converts an order for the cloud client.
 pub fn cloud_order(order: &ZoneOrder) -> EndpointOrder {
     EndpointOrder {
         service: order.service.clone(),
--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -1,11 +1,10 @@
 //! Runs the tasks of the daemon that holds the leader lease: usage reports and endpoint orders.
 //!
-//! Every daemon runs this loop; one that is not the holder tries to acquire the lease. The
-//! holder writes each report into the lease and lets the other daemons know before it sends it, so
-//! that a successor can only send the same counts again, or none if the store has lost the report.
-//! Calls to the cloud carry the fence of the lease. When the store
-//! fails, the holder stops acting once its last renewal is too old; reports and orders then
-//! wait until some daemon can write the lease.
+//! Every daemon runs this loop; a daemon that is not the holder tries to acquire the lease. Before the
+//! holder sends a report, it writes it into the lease and waits until the other daemons know its window,
+//! so that a successor can only send the same counts again, or none if the store has lost the report.
+//! Calls to the cloud carry the fence of the lease. When the store fails, the holder stops acting once
+//! its last renewal is too old; reports and orders then wait until some daemon can write the lease.
 
 use std::{ops::Range, rc::Rc, time::Duration};
 
@@ -39,31 +38,32 @@
 
 /// Name of the service.
 pub const NAME: &str = "leader-tasks";
-/// Time between two looks at what is due: one gossip interval.
+/// Interval between checks for due tasks: one gossip interval.
 const TICK: Duration = Duration::from_millis(100);
-/// Pause after a call that failed: a few tries within the time that a holder may act without a
-/// renewal.
+/// Pause after a failed call. It allows a few attempts within the time that a holder may act without
+/// a renewal.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Random factor of that pause, so that daemons do not retry all at once.
-const RETRY_SPREAD: Range<f64> = 0.8..1.5;
+/// Random factor of [`RETRY_PAUSE`], so that daemons do not retry all at once.
+const RETRY_JITTER: Range<f64> = 0.8..1.5;
 
-/// Leader tasks of one daemon.
+/// State of the leader tasks of one daemon.
 struct LeaderTasks {
     context: Rc<GatewayContext>,
     cloud: CloudClient,
     lease: LeaseKeeper,
-    /// Newest window that this process has reported.
+    /// Newest usage window that this process has reported to the cloud.
     sent_window: Option<u64>,
-    /// When the other daemons know the report in the lease.
-    report_told_at: Instant,
-    next_try: Instant,
+    /// When the other daemons will have learned of the report in the lease.
+    report_shared_at: Instant,
+    next_attempt_at: Instant,
     orders: EndpointOrders,
     waves: ReclaimWaves,
-    /// Position of the endpoint list that `waves` has seen.
+    /// Position of the endpoint list last passed to `waves`.
     watched_position: StorePosition,
 }
 
-/// Carries out the leader tasks, or waits for the lease, until the daemon stops.
+/// Runs the leader tasks while this daemon holds the lease and tries to acquire it otherwise, until
+/// the daemon stops.
 pub async fn run(context: Rc<GatewayContext>) {
     let Some(address) = context.settings.cloud_address else {
         return std::future::pending().await;
@@ -72,8 +72,8 @@
         cloud: CloudClient::new(address),
         lease: LeaseKeeper::new(context.clone()),
         sent_window: None,
-        report_told_at: true_time::now(),
-        next_try: true_time::now(),
+        report_shared_at: true_time::now(),
+        next_attempt_at: true_time::now(),
         orders: EndpointOrders::default(),
         waves: ReclaimWaves::default(),
         watched_position: StorePosition::NONE,
@@ -94,7 +94,7 @@
     async fn tick(&mut self) {
         let now = true_time::now();
         self.watch_reclaims(now);
-        if now < self.next_try {
+        if now < self.next_attempt_at {
             return;
         }
         let result = match self.lease.is_holder() {
@@ -103,13 +103,13 @@
         };
         if let Err(error) = result {
             spdlog::warn!("leader task", kv: { outcome = "failed", error: = error });
-            let spread = rand::rng().random_range(RETRY_SPREAD);
-            self.next_try = true_time::now() + RETRY_PAUSE.mul_f64(spread);
+            let jitter = rand::rng().random_range(RETRY_JITTER);
+            self.next_attempt_at = true_time::now() + RETRY_PAUSE.mul_f64(jitter);
         }
     }
 
-    /// Looks at what is held when the list of endpoints has changed, also at daemons that do not
-    /// hold the lease: whoever acquires it has to know of reclaims.
+    /// Passes the endpoint counts to `waves` when the endpoint list has changed. Daemons that do not hold
+    /// the lease do this too, since whichever acquires it must know about recent reclaims.
     fn watch_reclaims(&mut self, now: Instant) {
         let position = self.context.endpoint_list.borrow().position;
         if position == self.watched_position {
@@ -129,13 +129,13 @@
             AcquireResult::Acquired { required_endpoints } => {
                 self.orders = EndpointOrders::after(required_endpoints);
             }
-            AcquireResult::RetryAt(at) => self.next_try = at,
+            AcquireResult::RetryAt(at) => self.next_attempt_at = at,
             AcquireResult::NotAcquired => {}
         }
         Ok(())
     }
 
-    /// Renews the lease, orders, and reports.
+    /// Renews the lease if necessary, orders endpoints and sends the usage report.
     async fn lead(&mut self) -> Result<(), StepError> {
         let is_renewal_due = match self.lease.check_hold().await? {
             HoldDecision::Lose(_) | HoldDecision::Release => return Ok(()),
@@ -152,15 +152,15 @@
             }
             if is_new {
                 let now = true_time::now();
-                self.report_told_at = now + self.context.sharing(now).report_age;
+                self.report_shared_at = now + self.context.sharing(now).report_age;
             }
         }
-        // Orders first: a report has seconds until it is late.
+        // Orders go first: a report may be sent seconds later without being late.
         self.order_endpoints().await?;
         self.send_report().await
     }
 
-    /// The next report that is due, once the one before has been sent.
+    /// The next usage report that is due; none until the report before it has been sent.
     fn due_report(&self, record: &LeaseRecord) -> Option<UsageReport> {
         if !self.context.settings.leader_tasks.contains(&LeaderTask::UsageReports) {
             return None;
@@ -181,7 +181,7 @@
         Some(UsageReport { window, counts: self.context.usage.borrow().total(window) })
     }
 
-    /// Whether this process has reported the window, or a later one is known to be reported.
+    /// Whether this process has reported the window, or a later window is known to be reported.
     fn is_reported(&self, window: u64) -> bool {
         let is_sent = self.sent_window.is_some_and(|sent| window <= sent);
         is_sent || window + 1 < self.context.lease.borrow().next_window
@@ -190,8 +190,8 @@
     async fn send_report(&mut self) -> Result<(), StepError> {
         let report = self.lease.record().and_then(|record| record.report.clone());
         let Some(report) = report else { return Ok(()) };
-        let is_told = true_time::now() >= self.report_told_at;
-        if self.is_reported(report.window) || !is_told || !self.lease.may_act() {
+        let is_shared = true_time::now() >= self.report_shared_at;
+        if self.is_reported(report.window) || !is_shared || !self.lease.may_act() {
             return Ok(());
         }
         let holder = self.lease.holder();
@@ -219,7 +219,7 @@
         }
         let holder = self.lease.holder();
         let cloud_orders: Vec<EndpointOrder> = due.iter().map(cloud_order).collect();
-        // All at once: one that gets no response must hold up neither the others nor the
+        // Sent concurrently: an order that gets no response must delay neither the others nor the
         // renewal of the lease.
         let calls = cloud_orders.iter().map(|order| self.cloud.order(&holder, order));
         let responses = join_all(calls).await;
@@ -229,7 +229,7 @@
         Ok(())
     }
 
-    /// Orders that are due, over all services.
+    /// Orders that are due for all services.
     fn due_orders(&mut self, now: Instant) -> Vec<ZoneOrder> {
         let Some(configuration) = self.context.configuration() else { return Vec::new() };
         let mut due = Vec::new();
@@ -246,8 +246,7 @@
         due
     }
 
-    /// Records what became of an order. A failed one is not an error of the lease: it stays
-    /// due.
+    /// Logs and records the outcome of an order. A failed order stays due; the lease is not affected.
     fn finish_order(&mut self, order: &ZoneOrder, response: Result<CloudOutcome, StepError>) {
         let outcome = match &response {
             Ok(outcome) => format!("{outcome:?}"),
