--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -102,7 +102,7 @@
     /// Requests in progress.
     pub active: OpenCount,
     /// When a call to the store last failed.
-    pub store_failed: Cell<Option<Instant>>,
+    pub store_failed_at: Cell<Option<Instant>>,
     /// Decides whether this daemon watches the store.
     pub watcher_election: RefCell<WatcherElection>,
     /// Era of the store as last logged.
@@ -157,7 +157,7 @@
 
     /// Whether a call to the store has failed lately.
     pub fn store_fails(&self, now: Instant) -> bool {
-        is_store_failing(self.store_failed.get(), now)
+        is_store_failing(self.store_failed_at.get(), now)
     }
 
     /// Whether this daemon watches the store itself; logs when that changes.
@@ -181,7 +181,7 @@
     }
 
     /// Whether this daemon knows what its peers know.
-    pub fn knows_what_peers_know(&self, now: Instant) -> bool {
+    pub fn is_up_to_date_with_peers(&self, now: Instant) -> bool {
         let is_lagging = self.catch_up.borrow().configuration_lag(now).is_some();
         let has_configuration = self.configuration.borrow().current.is_some();
         let mut contact = self.peer_contact.borrow_mut();
@@ -196,7 +196,7 @@
     }
 
     /// Whether the number of daemons is known well enough to give out shares of quotas.
-    pub fn knows_fleet(&self, now: Instant) -> bool {
+    pub fn knows_fleet_size(&self, now: Instant) -> bool {
         daemon_count::is_known(self.fleet_size.get(), self.age(now))
     }
 
@@ -235,8 +235,8 @@
             is_stopping: self.is_leaving(),
             has_endpoint_list: !self.endpoint_list.borrow().position.is_none(),
             has_configuration: self.configuration.borrow().current.is_some(),
-            knows_daemon_count: self.knows_fleet(now),
-            has_peer_contact: self.knows_what_peers_know(now),
+            knows_daemon_count: self.knows_fleet_size(now),
+            has_peer_contact: self.is_up_to_date_with_peers(now),
             accepts_connections: self.client_connections.get() < MAX_CLIENT_CONNECTIONS,
             keys: self.key_freshness(now),
         })
--- a/src/gateway/context/store_contents.rs
+++ b/src/gateway/context/store_contents.rs
@@ -86,7 +86,7 @@
         self.endpoint_texts.borrow_mut().push(text);
         let now = true_time::now();
         self.expect_peers_at_start(self.endpoint_list.borrow().position.is_none(), now);
-        self.note_endpoint_era(list.position.era(), now);
+        self.observe_endpoint_era(list.position.era(), now);
         self.entry_memory.borrow_mut().apply(list, now);
         self.use_endpoints(now);
         true
@@ -101,7 +101,7 @@
 
     /// Notes an era in which endpoints are listed. In a new one those that drain are remembered: the
     /// store may no longer say so.
-    pub fn note_endpoint_era(&self, era: StoreEra, now: Instant) {
+    pub fn observe_endpoint_era(&self, era: StoreEra, now: Instant) {
         let drained = self.entry_memory.borrow_mut().begin_era(era);
         let mut endpoints = self.endpoints.borrow_mut();
         for start in drained {
@@ -111,7 +111,7 @@
     }
 
     /// Uses other endpoints once those that a restored copy of the store lacks had time to write again.
-    pub fn end_write_again(&self, now: Instant) {
+    pub fn end_rewrite_period(&self, now: Instant) {
         if self.entry_memory.borrow_mut().ends_write_again(now) {
             self.use_endpoints(now);
             let count = self.endpoint_list.borrow().endpoints.len();
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -127,7 +127,7 @@
         metrics,
         kernel,
         active: OpenCount::default(),
-        store_failed: Cell::new(None),
+        store_failed_at: Cell::new(None),
         watcher_election: RefCell::new(WatcherElection::new(settings.bounds.apply_limit)),
         store_era: Cell::default(),
         store_watch: Cell::new(None),
--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -108,7 +108,7 @@
         context.wall_clock.borrow_mut().compare(wall_clock_ms(), now);
         context.peer_contact.borrow_mut().begin_interval(now);
         context.crashes.borrow_mut().forget_old(now);
-        context.end_write_again(now);
+        context.end_rewrite_period(now);
         divide_if_due(&context, now);
         let fetches = start_fetches(&context, now);
         for address in addresses_to_call(&context, &fetches, now) {
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -63,7 +63,7 @@
     let reported =
         HeldVersions { configuration: configuration.version, endpoints: endpoint_position };
     apply_configuration(context, address, &configuration, called_at);
-    context.note_endpoint_era(endpoint_position.era(), now);
+    context.observe_endpoint_era(endpoint_position.era(), now);
     if let Some(sent) = endpoints {
         apply_endpoints(context, address, endpoint_position, sent);
     }
--- a/src/gateway/gossip/outgoing.rs
+++ b/src/gateway/gossip/outgoing.rs
@@ -38,7 +38,7 @@
 /// This daemon's message, with the parts that the other side wants.
 pub fn own_message(context: &GatewayContext, wants: RequestedParts) -> GossipMessage {
     let now = true_time::now();
-    let is_starting = !context.knows_what_peers_know(now);
+    let is_starting = !context.is_up_to_date_with_peers(now);
     let configuration = context.configuration.borrow();
     let list = context.endpoint_list.borrow();
     GossipMessage {
--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -47,7 +47,7 @@
     pub async fn try_acquire(&mut self) -> Result<AcquireResult, StepError> {
         let now = true_time::now();
         // Peers know about holders that are missing from a store restored from a copy.
-        let has_peer_contact = self.context.knows_what_peers_know(now);
+        let has_peer_contact = self.context.is_up_to_date_with_peers(now);
         let can_lead = has_peer_contact && self.context.configuration().is_some();
         if self.context.is_leaving() || !can_lead {
             return Ok(AcquireResult::NotAcquired);
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -133,7 +133,7 @@
     head: &CallHead,
     now: Instant,
 ) -> Result<(), Refusal> {
-    if account.quota.rate.is_some() && !context.knows_fleet(now) {
+    if account.quota.rate.is_some() && !context.knows_fleet_size(now) {
         return Err(Refusal::FleetUnknown);
     }
     let units = quota_units(&account.quota, head.tokens);
--- a/src/gateway/request/attempt/choice.rs
+++ b/src/gateway/request/attempt/choice.rs
@@ -38,7 +38,7 @@
         return Ok(());
     }
     let refusal = |reason: NoAttempt| reason.refusal(attempts.may_have_run, admitted.route.target);
-    if !context.knows_what_peers_know(true_time::now()) {
+    if !context.is_up_to_date_with_peers(true_time::now()) {
         return Err(refusal(NoAttempt::NoPeerContact));
     }
     match crash_watch::judge(context, admitted) {
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -56,7 +56,7 @@
             spdlog::warn!("store", kv: { outcome = "lost", error: = error });
             self.lost_at = Some(true_time::now());
         }
-        context.store_failed.set(Some(true_time::now()));
+        context.store_failed_at.set(Some(true_time::now()));
         context.metrics.count("store_failures", 1);
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
