--- a/src/gateway/configuration_state.rs
+++ b/src/gateway/configuration_state.rs
@@ -78,12 +78,12 @@
     }
 
     /// Whether the store has shown this one last.
-    pub fn is_shown(&self, position: StorePosition) -> bool {
+    pub fn is_last_read(&self, position: StorePosition) -> bool {
         position == self.shown.position
     }
 
     /// Notes what the store shows now, and its version, if it can be read.
-    pub fn show(&mut self, position: StorePosition, version: Option<u64>, now: Instant) {
+    pub fn record_read(&mut self, position: StorePosition, version: Option<u64>, now: Instant) {
         let before = std::mem::replace(&mut self.shown, ShownConfiguration { position, version });
         let is_new_era = position.era() > before.position.era();
         if is_new_era && !before.position.is_none() {
@@ -105,23 +105,23 @@
     }
 
     /// Notes that what the store showed last was still all when it was asked at `asked_at`.
-    pub fn prove_shown(&mut self, asked_at: Instant) {
+    pub fn confirm_last_read(&mut self, asked_at: Instant) {
         let is_newest = self.shown.version.is_some_and(|shown| shown <= self.version());
-        if is_newest && self.doubt_left(asked_at).is_none() {
+        if is_newest && self.untrusted_time_left(asked_at).is_none() {
             self.proof = self.proof.max(Some(asked_at));
         }
     }
 
     /// Time from `now` on in which what the store shows proves nothing, if there is any left: it shows
     /// what it was restored from.
-    pub fn doubt_left(&self, now: Instant) -> Option<Duration> {
+    pub fn untrusted_time_left(&self, now: Instant) -> Option<Duration> {
         let copy = self.copy.filter(|copy| copy.position == self.shown.position)?;
         let left = (copy.seen_at + WRITE_AGAIN_TIME).saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Notes that a peer knows of a proof for a version.
-    pub fn prove_version(&mut self, version: u64, proof: Option<Instant>) {
+    pub fn confirm_version(&mut self, version: u64, proof: Option<Instant>) {
         if version > 0 && version == self.version() {
             self.proof = self.proof.max(proof);
         }
--- a/src/gateway/context/store_contents.rs
+++ b/src/gateway/context/store_contents.rs
@@ -38,13 +38,13 @@
         let now = true_time::now();
         let mut state = self.configuration.borrow_mut();
         let is_shown = source == ConfigurationSource::Store;
-        if is_shown && state.is_shown(position) {
+        if is_shown && state.is_last_read(position) {
             return;
         }
         let decoded = platform::configuration::decode(&text);
         if is_shown {
             let version = decoded.as_ref().ok().map(|decoded| decoded.version);
-            state.show(position, version, now);
+            state.record_read(position, version, now);
             self.expect_peers_at_start(state.current.is_none(), now);
         }
         let decoded = match decoded {
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -142,7 +142,7 @@
         let source = ConfigurationSource::Peer(sender);
         context.apply_configuration(source, summary.position, text);
     }
-    context.configuration.borrow_mut().prove_version(summary.version, proof);
+    context.configuration.borrow_mut().confirm_version(summary.version, proof);
 }
 
 /// The text of a configuration as the operators wrote it; none if it was not sent, is not newer
--- a/src/gateway/store_watch/configuration_watch.rs
+++ b/src/gateway/store_watch/configuration_watch.rs
@@ -90,8 +90,8 @@
     let asked_at = true_time::now();
     let is_single_group = context.peers.borrow().is_single_group();
     let wait = watch_wait(context.settings.bounds.apply_limit, is_single_group);
-    let doubt_left = context.configuration.borrow().doubt_left(asked_at);
-    let wait = doubt_left.map_or(wait, |left| left.min(wait));
+    let untrusted_time_left = context.configuration.borrow().untrusted_time_left(asked_at);
+    let wait = untrusted_time_left.map_or(wait, |left| left.min(wait));
     match context.store.watch(CONFIGURATION_KIND, position, wait).await? {
         WatchResult::HistoryGone => Ok(NextCall::List),
         WatchResult::Changes(changes, next) => {
@@ -99,13 +99,13 @@
             let written: Vec<&StoredObject> = written.collect();
             match written.last() {
                 Some(object) => apply_configuration(context, object, asked_at),
-                None => context.configuration.borrow_mut().prove_shown(asked_at),
+                None => context.configuration.borrow_mut().confirm_last_read(asked_at),
             }
             // Each change came whole. If they come faster than the link carries them, a further
             // watch would bring more each time; a list holds only the newest.
             Ok(match written.len() {
                 // A list proves at once what a watch proves after its wait.
-                0 | 1 if doubt_left.is_some() => NextCall::List,
+                0 | 1 if untrusted_time_left.is_some() => NextCall::List,
                 0 | 1 => NextCall::Watch(next),
                 _ => NextCall::ListOften,
             })
@@ -123,5 +123,5 @@
 fn apply_configuration(context: &GatewayContext, object: &StoredObject, asked_at: Instant) {
     let text = Bytes::copy_from_slice(object.value.as_bytes());
     context.apply_configuration(ConfigurationSource::Store, object.position, text);
-    context.configuration.borrow_mut().prove_shown(asked_at);
+    context.configuration.borrow_mut().confirm_last_read(asked_at);
 }
--- a/tests/gateway/store_positions.rs
+++ b/tests/gateway/store_positions.rs
@@ -39,9 +39,9 @@
 
 /// The store shows a configuration, asked at `asked_at`.
 fn show(state: &mut ConfigurationState, place: StorePosition, number: u64, asked_at: Instant) {
-    state.show(place, Some(number), asked_at);
+    state.record_read(place, Some(number), asked_at);
     state.apply(version(number), place);
-    state.prove_shown(asked_at);
+    state.confirm_last_read(asked_at);
 }
 
 proptest! {
@@ -94,11 +94,11 @@
     show(&mut state, at(1, 600), 14, start);
     expect_that!(state.proof, some(eq(start)));
     show(&mut state, at(2, 5), 14, start + seconds(3));
-    expect_that!(state.doubt_left(start + seconds(4)), some(eq(seconds(1))));
-    expect_that!(state.doubt_left(start + seconds(5)), none());
-    state.prove_shown(start + seconds(4));
+    expect_that!(state.untrusted_time_left(start + seconds(4)), some(eq(seconds(1))));
+    expect_that!(state.untrusted_time_left(start + seconds(5)), none());
+    state.confirm_last_read(start + seconds(4));
     expect_that!(state.proof, some(eq(start)));
-    state.prove_shown(start + seconds(6));
+    state.confirm_last_read(start + seconds(6));
     expect_that!(state.proof, some(eq(start + seconds(6))));
 }
 
@@ -117,12 +117,12 @@
 fn proof_of_a_peer_counts_for_its_version_only() {
     let start = Instant::now();
     let mut state = ConfigurationState::default();
-    state.prove_version(0, Some(start));
+    state.confirm_version(0, Some(start));
     expect_that!(state.proof, none());
     state.apply(version(14), at(1, 600));
-    state.prove_version(10, Some(start));
+    state.confirm_version(10, Some(start));
     expect_that!(state.proof, none());
-    state.prove_version(14, Some(start));
+    state.confirm_version(14, Some(start));
     expect_that!(state.proof, some(eq(start)));
 }
 
