--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -1,12 +1,12 @@
-//! Keeps configuration and endpoint list up to date from the store: one list call, then watches
-//! that wait for changes.
+//! Keeps the configuration and the endpoint list up to date from the store: a list call, followed by
+//! watches (long polls) that wait for changes.
 //!
-//! In a fleet of several gossip groups only the watchers of each group call the store, and others
-//! that stand in for them (`policy::daemon::store_watchers`). A daemon that has not called for a
-//! while lists everything again, over a new connection: a watch from where it left off would bring
-//! every change since, each with the whole configuration, and the old connection may be silent.
-//! While the store fails, each loop retries with growing pauses, and the daemon goes on with
-//! what it has and what peers report.
+//! In a fleet of several gossip groups only the watcher of each group and the daemons that stand in for
+//! it call the store (`policy::daemon::store_watchers`). A daemon that has not called for a while lists
+//! everything again over a new connection: a watch from its last position would return every change
+//! since then, each with the whole configuration, and the old connection may be dead. While the store
+//! fails, each loop retries with growing pauses, and the daemon continues with the data that it has and
+//! that its peers report.
 
 use std::{ops::Range, time::Duration};
 
@@ -21,22 +21,22 @@
 pub mod endpoint_watch;
 mod foreign_entries;
 
-/// Time between two looks whether this daemon has to call the store itself: a gossip interval.
+/// Interval between checks whether this daemon has to call the store itself: one gossip interval.
 const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a first failed call; each further one is twice as long.
+/// Pause after the first failed call; it doubles with each further failure.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause after failed calls: a change must be found soon after the store is back.
+/// Longest pause after failed calls: changes must be found soon after the store is back.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
-/// Doublings after which the pause no longer grows: keeps the product in range.
+/// Number of failures after which the pause is no longer doubled, so that the product cannot overflow.
 const MAX_DOUBLINGS: u32 = 6;
 /// Random factor of a pause, so that daemons do not retry all at once.
-const RETRY_SPREAD: Range<f64> = 0.5..1.0;
+const RETRY_JITTER: Range<f64> = 0.5..1.0;
 
-/// Pauses between calls while the store fails.
+/// Calculates the pauses between calls while the store fails.
 #[derive(Debug, Default)]
 struct RetryPauses {
     failures: u32,
-    /// When the first call failed.
+    /// When the first of these calls failed.
     lost_at: Option<Instant>,
 }
 
@@ -61,13 +61,13 @@
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
         let pause = (FIRST_RETRY_PAUSE * 2_u32.pow(doublings)).min(MAX_RETRY_PAUSE);
-        let spread = rand::rng().random_range(RETRY_SPREAD);
-        sleep(pause.mul_f64(spread)).await;
+        let jitter = rand::rng().random_range(RETRY_JITTER);
+        sleep(pause.mul_f64(jitter)).await;
     }
 }
 
-/// Waits until this daemon has to call the store itself; says whether it had to wait. Calls then go
-/// over new connections.
+/// Waits until this daemon has to call the store itself. Returns whether it had to wait; the next calls
+/// then use new connections.
 async fn wait_until_watcher(context: &GatewayContext) -> bool {
     let mut has_waited = false;
     while !context.watches_store(true_time::now()) {
--- a/src/gateway/store_watch/configuration_watch.rs
+++ b/src/gateway/store_watch/configuration_watch.rs
@@ -1,6 +1,6 @@
-//! Keeps the configuration up to date, with proofs that it is the newest one.
+//! Keeps the configuration up to date and records when it was last confirmed as the newest one.
 //!
-//! A configuration that can't be decoded is logged, and the former one kept.
+//! If a configuration can't be decoded, this is logged and the former one stays in use.
 
 use std::rc::Rc;
 
@@ -25,12 +25,12 @@
 /// Name of the service.
 pub const NAME: &str = "configuration-watch";
 
-/// The next call about the configuration.
+/// Next call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextCall {
-    /// Lists, then watches.
+    /// Lists once, then watches.
     List,
-    /// Lists again and again, as long as each list brings a newer configuration.
+    /// Lists repeatedly as long as each list returns a newer configuration.
     ListOften,
     /// Watches from this position.
     Watch(StorePosition),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Makes a call; returns the one that follows.
+/// Makes a call and returns the one to make next.
 async fn make_call(context: &GatewayContext, call: NextCall) -> Result<NextCall, StepError> {
     match call {
         NextCall::List => Ok(NextCall::Watch(list_configuration(context).await?)),
@@ -101,10 +101,11 @@
                 Some(object) => apply_configuration(context, object, asked_at),
                 None => context.configuration.borrow_mut().confirm_last_read(asked_at),
             }
-            // Each change came whole. If they come faster than the link carries them, a further
-            // watch would bring more each time; a list holds only the newest.
+            // Each change contains the whole configuration. If changes come faster than the link
+            // can transfer them, each further watch would return more of them; a list returns
+            // only the newest.
             Ok(match written.len() {
-                // A list proves at once what a watch proves after its wait.
+                // A list confirms the configuration at once, a watch only after its wait.
                 0 | 1 if untrusted_time_left.is_some() => NextCall::List,
                 0 | 1 => NextCall::Watch(next),
                 _ => NextCall::ListOften,
--- a/src/gateway/store_watch/endpoint_watch.rs
+++ b/src/gateway/store_watch/endpoint_watch.rs
@@ -1,7 +1,7 @@
 //! Keeps the list of endpoints up to date.
 //!
-//! An entry that no endpoint has written names none to use: the endpoint gets no new requests, and
-//! those that run there finish. All other entries hold.
+//! An entry that was not written by an endpoint is not used: that endpoint gets no new requests, and
+//! those that run there finish. The other entries stay in use.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -26,11 +26,12 @@
 
 /// Name of the service.
 pub const NAME: &str = "endpoint-watch";
-/// Pause after a change of endpoints, so that the next call brings several changes: they often come
-/// together.
+/// Pause after a change of endpoints. Changes often come in bursts; the next call then returns several
+/// of them.
 const CHANGE_PAUSE: Duration = Duration::from_millis(400);
-/// Why an entry without a start names no endpoint.
-const LACKS_START: &str = "earlier entries told when the endpoint had started";
+/// Why an entry without a start time is not used.
+const MISSING_START_TIME: &str =
+    "start time missing, although an earlier entry of this endpoint had one";
 
 /// Keeps the list of endpoints up to date until the daemon stops.
 pub async fn run(context: Rc<GatewayContext>) {
@@ -50,7 +51,7 @@
     }
 }
 
-/// Endpoints as this daemon's own calls to the store have shown them.
+/// Endpoints that this daemon has read from the store itself.
 struct KnownEndpoints {
     position: StorePosition,
     by_id: BTreeMap<SharedName, Rc<EndpointRecord>>,
@@ -58,7 +59,7 @@
 
 struct EndpointWatch {
     context: Rc<GatewayContext>,
-    /// None if everything has to be listed.
+    /// None if all endpoints have to be listed again.
     known: Option<KnownEndpoints>,
     foreign: ForeignEntries,
 }
@@ -68,7 +69,7 @@
         Self { context, known: None, foreign: ForeignEntries::new(true_time::now()) }
     }
 
-    /// One call about endpoints.
+    /// Makes one call to the store and applies the result.
     async fn step(&mut self) -> Result<(), StepError> {
         let Some(mut known) = self.known.take() else {
             let listing = self.context.store.list(ENDPOINT_KIND).await?;
@@ -93,7 +94,7 @@
     }
 
     fn read_listing(&mut self, listing: &ObjectListing) -> KnownEndpoints {
-        self.foreign.keep_listed(&listing.objects);
+        self.foreign.retain_listed(&listing.objects);
         let records = listing.objects.iter().filter_map(|object| self.decode(object));
         let by_id = records.map(|record| (record.id.clone(), record)).collect();
         KnownEndpoints { position: listing.position, by_id }
@@ -115,21 +116,21 @@
         }
     }
 
-    /// The endpoint that an entry names, if it names one.
+    /// Decodes an entry; none if it was not written by an endpoint.
     fn decode(&mut self, object: &StoredObject) -> Option<Rc<EndpointRecord>> {
         let reason = match endpoints::decode(object.name.clone(), object.value.as_bytes()) {
-            Ok(record) if record.born != 0 || !self.tells_start(&record.id) => {
+            Ok(record) if record.born != 0 || !self.has_known_start_time(&record.id) => {
                 self.foreign.forget(&record.id);
                 return Some(Rc::new(record));
             }
-            Ok(_) => LACKS_START.to_owned(),
+            Ok(_) => MISSING_START_TIME.to_owned(),
             Err(error) => error.to_string(),
         };
-        self.foreign.found(&self.context, object, &reason);
+        self.foreign.observe(&self.context, object, &reason);
         None
     }
 
-    fn tells_start(&self, id: &str) -> bool {
+    fn has_known_start_time(&self, id: &str) -> bool {
         self.context.endpoints.borrow().tells_start(id)
     }
 
--- a/src/gateway/store_watch/foreign_entries.rs
+++ b/src/gateway/store_watch/foreign_entries.rs
@@ -1,5 +1,5 @@
-//! Entries in the list of endpoints that no endpoint has written: logged once for each change, and
-//! counted.
+//! Logs and counts entries in the endpoint list that were not written by an endpoint. Each change of
+//! such an entry is logged once, within a rate limit.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
     platform::store::StoredObject, store_position::StorePosition, true_time,
 };
 
-/// Log lines a second about such entries: another writer may spoil all entries at once, again and
-/// again.
+/// Most log lines a second about such entries: another writer may repeatedly overwrite all entries at
+/// once.
 const LINES_PER_S: u32 = 5;
 
-/// Entries that name no endpoint, by the changes that were logged.
+/// Positions of the newest known change of each entry that was not written by an endpoint.
 #[derive(Debug)]
 pub struct ForeignEntries {
     positions: BTreeMap<SharedName, StorePosition>,
@@ -22,13 +22,13 @@
 }
 
 impl ForeignEntries {
-    /// Knows of none.
+    /// Creates an empty set.
     pub fn new(now: Instant) -> Self {
         Self { positions: BTreeMap::new(), lines: LineBudget::new(LINES_PER_S, now) }
     }
 
-    /// Notes that an entry names no endpoint.
-    pub fn found(&mut self, context: &GatewayContext, object: &StoredObject, reason: &str) {
+    /// Records an entry that was not written by an endpoint, and logs it unless this change is known.
+    pub fn observe(&mut self, context: &GatewayContext, object: &StoredObject, reason: &str) {
         let known = self.positions.insert(object.name.clone(), object.position);
         if known == Some(object.position) || !self.lines.allows(true_time::now()) {
             return;
@@ -40,17 +40,17 @@
         });
     }
 
-    /// Forgets an entry that is gone, or names an endpoint again.
+    /// Removes an entry that was deleted or is valid again.
     pub fn forget(&mut self, name: &str) {
         self.positions.remove(name);
     }
 
-    /// Forgets all entries that a new listing doesn't have.
-    pub fn keep_listed(&mut self, listed: &[StoredObject]) {
+    /// Removes all entries that are missing from a new listing.
+    pub fn retain_listed(&mut self, listed: &[StoredObject]) {
         self.positions.retain(|name, _| listed.iter().any(|object| object.name == *name));
     }
 
-    /// Number of entries that name no endpoint.
+    /// Number of entries that were not written by an endpoint.
     pub fn count(&self) -> usize {
         self.positions.len()
     }
