--- a/src/gateway/configuration_state.rs
+++ b/src/gateway/configuration_state.rs
@@ -1,11 +1,10 @@
-//! The configuration that a daemon holds, where it came from, and how recently it was known to be
-//! the newest one.
+//! The current configuration of a daemon, its source, and when it was last confirmed as the newest.
 //!
-//! Configurations are ordered by the operators' version, which only rises. The store's revisions
-//! don't tell: after it was restored from a copy they are given out again, and it shows an older
-//! configuration until the operators have written theirs again. That one is neither used nor a
-//! reason to doubt the one held. But it proves nothing at first: a version that was acknowledged
-//! and lost before any daemon read it may be missing.
+//! Configurations are ordered by the operators' version, which only rises. The store's revisions cannot
+//! order them: a store that was restored from a copy reuses revisions, and returns an older configuration
+//! until the operators have rewritten the newest. That older one is not used and is no reason to doubt
+//! the current one. But at first the restored store cannot confirm the current one either: a version
+//! that was acknowledged, and lost before any daemon read it, may be missing.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -15,35 +14,35 @@
 use super::configuration::Configuration;
 use crate::store_position::StorePosition;
 
-/// Time in which operators write again what a store has lost that was restored from a copy.
-const WRITE_AGAIN_TIME: Duration = Duration::from_secs(2);
+/// Time that operators have to rewrite configurations that a store lost when it was restored from a copy.
+const REWRITE_TIME: Duration = Duration::from_secs(2);
 
-/// Newest configuration held, with the proof that it is the newest one.
+/// Current configuration with its freshness proof.
 #[derive(Debug, Default)]
 pub struct ConfigurationState {
     /// The configuration, once one is known.
     pub current: Option<Rc<Configuration>>,
-    /// Where the store stood when it held it.
+    /// Newest position of the store at which it held this configuration.
     pub position: StorePosition,
-    /// Freshness proof: when the store was asked that showed no newer one.
+    /// Freshness proof: when the newest request to the store was sent that found no newer configuration.
     pub proof: Option<Instant>,
-    shown: ShownConfiguration,
-    copy: Option<ShownCopy>,
+    last_read: LastRead,
+    restored: Option<RestoredConfiguration>,
 }
 
-/// What the store has last shown to this daemon.
+/// The configuration that this daemon last read from the store.
 #[derive(Clone, Copy, Debug, Default)]
-struct ShownConfiguration {
+struct LastRead {
     position: StorePosition,
     /// None if it can't be read.
     version: Option<u64>,
 }
 
-/// What a store that was restored from a copy showed first.
+/// The first configuration read from a store after it was restored from a copy.
 #[derive(Clone, Copy, Debug)]
-struct ShownCopy {
+struct RestoredConfiguration {
     position: StorePosition,
-    seen_at: Instant,
+    read_at: Instant,
 }
 
 /// Where a configuration came from.
@@ -52,21 +51,21 @@
     /// The store.
     #[display("store")]
     Store,
-    /// The daemon that listens for peers there.
+    /// The daemon with this peer address.
     #[display("{_0}")]
     Peer(SocketAddr),
 }
 
-/// What became of a configuration.
+/// Result of applying a configuration.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is the one held now.
+    /// It is the current configuration now.
     #[display("applied")]
     Applied,
-    /// It has the version that is held.
+    /// It has the same version as the current one.
     #[display("version held")]
     Held,
-    /// It has a lower version than the one that is held.
+    /// It has a lower version than the current one.
     #[display("version not newer")]
     Older,
 }
@@ -77,21 +76,21 @@
         self.current.as_ref().map_or(0, |current| current.version)
     }
 
-    /// Whether the store has shown this one last.
+    /// Whether the configuration at `position` is the one last read from the store.
     pub fn is_last_read(&self, position: StorePosition) -> bool {
-        position == self.shown.position
+        position == self.last_read.position
     }
 
-    /// Notes what the store shows now, and its version, if it can be read.
+    /// Records the configuration read from the store; `version` is none if it cannot be decoded.
     pub fn record_read(&mut self, position: StorePosition, version: Option<u64>, now: Instant) {
-        let before = std::mem::replace(&mut self.shown, ShownConfiguration { position, version });
+        let before = std::mem::replace(&mut self.last_read, LastRead { position, version });
         let is_new_era = position.era() > before.position.era();
         if is_new_era && !before.position.is_none() {
-            self.copy = Some(ShownCopy { position, seen_at: now });
+            self.restored = Some(RestoredConfiguration { position, read_at: now });
         }
     }
 
-    /// Holds a configuration from now on, if its version is above the one held.
+    /// Makes a configuration the current one if its version is higher.
     pub fn apply(&mut self, configuration: Configuration, position: StorePosition) -> ApplyOutcome {
         if self.current.is_some() && configuration.version < self.version() {
             return ApplyOutcome::Older;
@@ -104,23 +103,24 @@
         ApplyOutcome::Applied
     }
 
-    /// Notes that what the store showed last was still all when it was asked at `asked_at`.
+    /// Records that a request sent at `asked_at` found nothing newer in the store than what was last read.
     pub fn confirm_last_read(&mut self, asked_at: Instant) {
-        let is_newest = self.shown.version.is_some_and(|shown| shown <= self.version());
+        let is_newest = self.last_read.version.is_some_and(|read| read <= self.version());
         if is_newest && self.untrusted_time_left(asked_at).is_none() {
             self.proof = self.proof.max(Some(asked_at));
         }
     }
 
-    /// Time from `now` on in which what the store shows proves nothing, if there is any left: it shows
-    /// what it was restored from.
+    /// Time left from `now` in which the store's configuration proves nothing, because the store still
+    /// returns the one that it was restored with; none if there is no such time left.
     pub fn untrusted_time_left(&self, now: Instant) -> Option<Duration> {
-        let copy = self.copy.filter(|copy| copy.position == self.shown.position)?;
-        let left = (copy.seen_at + WRITE_AGAIN_TIME).saturating_duration_since(now);
+        let restored =
+            self.restored.filter(|restored| restored.position == self.last_read.position)?;
+        let left = (restored.read_at + REWRITE_TIME).saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Notes that a peer knows of a proof for a version.
+    /// Applies a peer's freshness proof if it is for the current version.
     pub fn confirm_version(&mut self, version: u64, proof: Option<Instant>) {
         if version > 0 && version == self.version() {
             self.proof = self.proof.max(proof);
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -1,8 +1,8 @@
 //! State that the services of one gateway daemon share.
 //!
-//! Owns the newest configuration and endpoint list, the ledgers of quotas, loads and usage,
-//! and the daemon's counters. All tasks run on one thread, so cells suffice; no borrow is held
-//! across an await. It holds no rules: its methods pass what it holds to `policy`.
+//! Owns the newest configuration and endpoint list, the state of quotas, loads and usage, and the
+//! daemon's counters. All tasks run on one thread, so cells suffice; no borrow is held across an
+//! await. It contains no rules: its methods pass the state to functions of `policy`.
 
 mod store_contents;
 
@@ -55,23 +55,23 @@
 
 /// State shared by all tasks of one daemon, which run on one thread.
 pub struct GatewayContext {
-    /// Settings.
+    /// Settings of the daemon.
     pub settings: GatewaySettings,
-    /// This start of this daemon.
+    /// Id of this run of the daemon.
     pub incarnation: IncarnationId,
-    /// The store.
+    /// Client of the metadata store.
     pub store: platform::store::StoreClient,
-    /// Newest configuration.
+    /// Newest configuration and when it was last confirmed.
     pub configuration: RefCell<ConfigurationState>,
-    /// Endpoints to use: as listed, but for what a store that was restored from a copy lacks.
+    /// Endpoints to use: those listed in the store, corrected after the store was restored from a copy.
     pub endpoint_list: RefCell<EndpointList>,
-    /// What the store has listed of endpoints, across its eras.
+    /// Endpoint entries as the store has listed them, across its eras.
     pub entry_memory: RefCell<EntryMemory>,
     /// Loads and health of the endpoints.
     pub endpoints: RefCell<EndpointTable>,
     /// Quotas of accounts.
     pub quotas: RefCell<QuotaLedger>,
-    /// Budgets of retries.
+    /// Retry budgets of the services.
     pub retry_budgets: RefCell<RetryBudgets>,
     /// Counts of requests that have run, by account.
     pub usage: RefCell<UsageCounts>,
@@ -79,25 +79,25 @@
     pub peers: RefCell<PeerTable>,
     /// Newer configurations and endpoint lists that other daemons hold.
     pub catch_up: RefCell<CatchUpState>,
-    /// Texts of the configuration as stored, for other daemons.
+    /// Stored texts of the configuration, sent to other daemons.
     pub configuration_texts: RefCell<TextExchange>,
-    /// Texts of the list of endpoints, for other daemons.
+    /// Texts of the endpoint list, sent to other daemons.
     pub endpoint_texts: RefCell<TextExchange>,
-    /// What is known of the leader lease.
+    /// State of the leader lease as known to this daemon.
     pub lease: RefCell<LeaderLease>,
     /// Connections to endpoints.
     pub connections: ConnectionPool,
-    /// Whether this daemon knows what its peers know.
+    /// Contact with peers; determines whether this daemon is up to date with them.
     pub peer_contact: RefCell<PeerContact>,
-    /// Requests whose runs have crashed endpoints.
+    /// Requests that have crashed endpoints.
     pub crashes: RefCell<CrashLedger>,
-    /// Endpoints at which runs broke, while they are checked.
+    /// Endpoints being checked for a crash because a request at them broke off.
     pub crash_checks: CrashChecks,
     /// Wall clock for usage windows.
     pub wall_clock: RefCell<SteadyWallClock>,
     /// Counters and histograms.
     pub metrics: MetricsHandle,
-    /// The kernel.
+    /// Handle of the kernel that runs the daemon's services.
     pub kernel: KernelHandle,
     /// Requests in progress.
     pub active: OpenCount,
@@ -107,21 +107,22 @@
     pub watcher_election: RefCell<WatcherElection>,
     /// Era of the store as last logged.
     pub store_era: Cell<StoreEra>,
-    /// What it decided last.
+    /// Last decision of `watcher_election`, as logged.
     pub store_watch: Cell<Option<StoreWatch>>,
-    /// When the limits that endpoints name were last divided among the daemons.
+    /// When the request limits of endpoints were last divided among the daemons.
     pub limits_divided_at: Cell<Option<Instant>>,
     /// Number of the newest report sent to other daemons.
     pub sequence: Cell<u64>,
     /// When this daemon started.
     pub started_at: Instant,
-    /// Number of daemons when the lease was last renewed, once that is known.
+    /// Number of daemons that the leader wrote into the lease, or the number known by gossip if there is no
+    /// valid record; none until the lease has been read.
     pub fleet_size: Cell<Option<usize>>,
-    /// Budget of lines in the request log.
+    /// Rate limit of the request log.
     pub request_lines: RefCell<LineBudget>,
     /// Whether requests and connections are accepted.
     pub intake: Cell<Intake>,
-    /// Clients' connections that are open.
+    /// Open client connections.
     pub client_connections: OpenCount,
 }
 
@@ -142,13 +143,13 @@
         self.configuration.borrow().current.clone()
     }
 
-    /// Whether keys of the configuration may be used.
+    /// Whether the configuration is fresh enough to use its keys.
     pub fn key_freshness(&self, now: Instant) -> KeyFreshness {
         let proof = self.configuration.borrow().proof;
         KeyFreshness::judge(proof, self.settings.bounds.key_freshness, now)
     }
 
-    /// Why the configuration may not be the newest, if there is a reason.
+    /// Why the configuration may be outdated; none if there is no reason to doubt it.
     pub fn configuration_doubt(&self, now: Instant) -> Option<ConfigurationDoubt> {
         let proof = self.configuration.borrow().proof;
         let is_lagging = self.catch_up.borrow().configuration_lag(now).is_some();
@@ -160,7 +161,7 @@
         is_store_failing(self.store_failed_at.get(), now)
     }
 
-    /// Whether this daemon watches the store itself; logs when that changes.
+    /// Whether this daemon watches the store itself; logs changes of that decision.
     pub fn watches_store(&self, now: Instant) -> bool {
         let proof = self.configuration.borrow().proof;
         let rank = || self.peers.borrow().watcher_rank(now);
@@ -173,14 +174,14 @@
         watch.watches()
     }
 
-    /// Milliseconds since a peer first reported a newer configuration than the one held; -1 if
+    /// Milliseconds since a peer first reported a newer configuration than the current one; -1 if
     /// none did.
     pub fn configuration_lag_ms(&self, now: Instant) -> i64 {
         let lag = self.catch_up.borrow().configuration_lag(now);
         lag.map_or(-1, |lag| lag.as_millis() as i64)
     }
 
-    /// Whether this daemon knows what its peers know.
+    /// Whether this daemon is up to date with its peers, or has waited long enough for them.
     pub fn is_up_to_date_with_peers(&self, now: Instant) -> bool {
         let is_lagging = self.catch_up.borrow().configuration_lag(now).is_some();
         let has_configuration = self.configuration.borrow().current.is_some();
@@ -189,36 +190,36 @@
         contact.is_current(now)
     }
 
-    /// How many daemons share quotas and retry budgets.
+    /// Numbers of daemons among which quotas and retry budgets are shared.
     pub fn sharing(&self, now: Instant) -> QuotaSharing {
-        let met = self.peers.borrow().sharing(now);
-        daemon_count::sharing_at_start(met, self.fleet_size.get(), self.age(now))
+        let observed = self.peers.borrow().sharing(now);
+        daemon_count::sharing_at_start(observed, self.fleet_size.get(), self.age(now))
     }
 
-    /// Whether the number of daemons is known well enough to give out shares of quotas.
+    /// Whether the number of daemons is known well enough to calculate shares of quotas.
     pub fn knows_fleet_size(&self, now: Instant) -> bool {
         daemon_count::is_known(self.fleet_size.get(), self.age(now))
     }
 
-    /// Withdraws one retry from a service's budget, if there is one.
+    /// Takes one retry from a service's budget. Returns whether one was left.
     pub fn try_withdraw_retry(&self, service: &SharedName, now: Instant) -> bool {
         let daemons = self.sharing(now).known;
         self.retry_budgets.borrow_mut().try_withdraw(service, daemons, now)
     }
 
-    /// Whether a request of the service that fails could be retried.
+    /// Whether a service's budget has a retry left.
     pub fn has_retry(&self, service: &SharedName, now: Instant) -> bool {
         let daemons = self.sharing(now).known;
         self.retry_budgets.borrow_mut().has_retry(service, daemons, now)
     }
 
-    /// Counts a run for an account, in the usage window of now.
+    /// Counts a run for an account in the current usage window.
     pub fn record_run(&self, account: &SharedName) {
         let window = self.wall_clock.borrow().window(self.settings.bounds.usage_window);
         self.usage.borrow_mut().count(account, window);
     }
 
-    /// Number of the next report to other daemons.
+    /// Returns the sequence number for the next report to other daemons.
     pub fn next_sequence(&self) -> u64 {
         self.sequence.set(self.sequence.get() + 1);
         self.sequence.get()
@@ -229,7 +230,7 @@
         *self.kernel.phase().borrow() >= LifePhase::Draining
     }
 
-    /// Whether the daemon takes new connections, and if not, why.
+    /// Whether the daemon is ready for new connections, and if not, why.
     pub fn readiness(&self, now: Instant) -> Readiness {
         Readiness::decide(ReadinessInputs {
             is_stopping: self.is_leaving(),
--- a/src/gateway/context/store_contents.rs
+++ b/src/gateway/context/store_contents.rs
@@ -1,7 +1,8 @@
-//! Applies what the store holds, read from there or from a peer, to the daemon's state.
+//! Applies configurations and endpoint lists, read from the store or received from a peer, to the
+//! daemon's state.
 //!
-//! Which configuration is the newest is decided by `configuration_state`, which endpoints are used
-//! while the store lacks some by `policy::endpoint::endpoint_starts`.
+//! `configuration_state` decides which configuration is the newest; `policy::endpoint::endpoint_starts`
+//! decides which endpoints are used while entries are missing from the store.
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
 };
 
 impl GatewayContext {
-    /// Applies a configuration if its version is above the one held.
+    /// Applies a configuration if its version is higher than the current one.
     pub fn apply_configuration(
         &self,
         source: ConfigurationSource,
@@ -37,12 +38,12 @@
     ) {
         let now = true_time::now();
         let mut state = self.configuration.borrow_mut();
-        let is_shown = source == ConfigurationSource::Store;
-        if is_shown && state.is_last_read(position) {
+        let is_from_store = source == ConfigurationSource::Store;
+        if is_from_store && state.is_last_read(position) {
             return;
         }
         let decoded = platform::configuration::decode(&text);
-        if is_shown {
+        if is_from_store {
             let version = decoded.as_ref().ok().map(|decoded| decoded.version);
             state.record_read(position, version, now);
             self.expect_peers_at_start(state.current.is_none(), now);
@@ -76,7 +77,7 @@
         lag
     }
 
-    /// Applies a list of endpoints if it is newer than the one held; says whether it was.
+    /// Applies a list of endpoints if it is newer than the current one. Returns whether it was.
     pub fn apply_endpoints(&self, list: EndpointList) -> bool {
         if list.position <= self.endpoint_list.borrow().position {
             return false;
@@ -92,15 +93,16 @@
         true
     }
 
-    /// What this daemon reads first may be of a copy of the store; its peers know better.
+    /// The first data that this daemon reads may come from a store restored from an old copy, so it has to
+    /// hear from its peers before it counts as up to date.
     fn expect_peers_at_start(&self, is_first: bool, now: Instant) {
         if is_first {
             self.peer_contact.borrow_mut().expect_response(now);
         }
     }
 
-    /// Notes an era in which endpoints are listed. In a new one those that drain are remembered: the
-    /// store may no longer say so.
+    /// Records the era of an endpoint list. If it is new, the endpoints that were draining are remembered,
+    /// since the restored store may list them as ready.
     pub fn observe_endpoint_era(&self, era: StoreEra, now: Instant) {
         let drained = self.entry_memory.borrow_mut().begin_era(era);
         let mut endpoints = self.endpoints.borrow_mut();
@@ -110,12 +112,13 @@
         }
     }
 
-    /// Uses other endpoints once those that a restored copy of the store lacks had time to write again.
+    /// Uses the listed endpoints alone again once endpoints had the time to rewrite the entries that the
+    /// store lost when it was restored from a copy.
     pub fn end_rewrite_period(&self, now: Instant) {
         if self.entry_memory.borrow_mut().ends_write_again(now) {
             self.use_endpoints(now);
             let count = self.endpoint_list.borrow().endpoints.len();
-            spdlog::info!("endpoints", kv: { count, source = "time to write again is over" });
+            spdlog::info!("endpoints", kv: { count, source = "grace period after a store restore ended" });
         }
     }
 
@@ -125,7 +128,7 @@
         *self.endpoint_list.borrow_mut() = used;
     }
 
-    /// Logs and counts an era of the store that has begun.
+    /// Logs a new era of the store and updates its metric.
     pub fn observe_store_era(&self) {
         let era = self.store.era();
         let before = self.store_era.replace(era);
