--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -1,9 +1,9 @@
 //! Assembles one gateway daemon, starts its services and stops them in order.
 //!
-//! A stop begins with SIGTERM. At once the daemon is not ready, and closes idle connections; it
-//! still answers on new ones, since the balancer needs time to notice. Then it refuses new
-//! requests, then new connections, and ends when no request is in progress, at the latest
-//! within the grace time. Nothing of its state has to be saved.
+//! A planned stop begins with SIGTERM. The daemon at once reports that it is not ready and closes idle
+//! connections; it still accepts new connections and requests, since the load balancer needs time to
+//! notice. Later it refuses new requests, then new connections, and exits when no request is in
+//! progress, at the latest at the end of the grace time. No state has to be saved.
 
 use std::{
     cell::{Cell, RefCell},
@@ -55,17 +55,17 @@
 const STOPPER: &str = "leaver";
 /// Name of the service that handles SIGHUP.
 const RELOADER: &str = "reloader";
-/// Requests are refused from this long after the signal on: by then the balancer sends new
-/// connections elsewhere, and a request that runs long might be cut off.
+/// Time after the signal from which requests are refused: by then the load balancer sends new
+/// connections elsewhere, and a long request might be cut off.
 const REFUSE_AFTER: Duration = Duration::from_millis(2_800);
-/// New connections are accepted for this long after the signal. A refusal needs an accepted
-/// connection.
+/// Time after the signal until which connections are accepted. Longer than [`REFUSE_AFTER`], since a
+/// request can only be refused on an accepted connection.
 const ACCEPT_FOR: Duration = Duration::from_millis(3_500);
-/// Most lines of the request log a second: bounds the volume of logs under load.
+/// Most lines of the request log a second; limits the volume of logs under load.
 const REQUEST_LINES: u32 = 400;
-/// Part of the grace time that is not used for waiting: leaves time to write the logs and exit.
+/// Part of the grace time that is reserved for writing the logs and exiting.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
-/// Time between checks whether requests are still in progress during a stop: short against the
+/// Interval between checks whether requests are still in progress during a stop: short compared to the
 /// grace time.
 const BUSY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -109,7 +109,7 @@
         store: StoreClient::new(settings.store_address),
         configuration: RefCell::new(ConfigurationState::default()),
         endpoint_list: RefCell::new(EndpointList::default()),
-        entry_memory: RefCell::new(EntryMemory::new(settings.entry_lapse)),
+        entry_memory: RefCell::new(EntryMemory::new(settings.entry_ttl)),
         endpoints: RefCell::new(EndpointTable::new(settings.zone.clone())),
         quotas: RefCell::new(empty_quotas(&settings.bounds, now)),
         retry_budgets: RefCell::new(retry_budgets(&settings.bounds)),
@@ -151,37 +151,37 @@
     RetryBudgets::new(bounds.retry_window, bounds.retry_share, bounds.retry_reserve)
 }
 
-/// Knows only the seeds.
+/// Peer table that contains only the seeds.
 fn seeded_peers(settings: &GatewaySettings) -> PeerTable {
     let GatewaySettings { peer_address, seeds, .. } = settings;
     PeerTable::new(*peer_address, seeds, caller::GOSSIP_INTERVAL, caller::CALLS_PER_INTERVAL)
 }
 
-/// Stops the daemon after SIGTERM, in the order that the module's head gives.
+/// Stops the daemon after SIGTERM in the steps that the module documentation describes.
 async fn stop_on_signal(context: Rc<GatewayContext>) {
-    terminated().await;
+    wait_for_sigterm().await;
     let begun = true_time::now();
     context.kernel.enter(LifePhase::Draining);
     spdlog::info!("stopping", kv: { active: = context.active.get() });
-    let latest = begun + context.settings.bounds.stop_grace.saturating_sub(GRACE_MARGIN);
+    let stop_deadline = begun + context.settings.bounds.stop_grace.saturating_sub(GRACE_MARGIN);
     sleep(REFUSE_AFTER).await;
     context.intake.set(Intake::Refusing);
     sleep(ACCEPT_FOR - REFUSE_AFTER).await;
     context.intake.set(Intake::Closed);
-    let busy = || context.active.get() + context.client_connections.get() > 0;
-    while busy() && true_time::now() < latest {
+    let is_busy = || context.active.get() + context.client_connections.get() > 0;
+    while is_busy() && true_time::now() < stop_deadline {
         sleep(BUSY_CHECK_INTERVAL).await;
     }
     spdlog::info!("stopping", kv: { cut_off: = context.active.get() });
     context.kernel.enter(LifePhase::Stopping);
 }
 
-/// Logs and counts SIGHUP, which would otherwise end the process. Settings hold for the life
-/// of the process; a changed file is read at the next start.
+/// Logs and counts SIGHUP, which would otherwise end the process. Settings are only read at the start;
+/// a changed file takes effect at the next one.
 async fn log_reloads(context: Rc<GatewayContext>) {
     use tokio::signal::unix::{SignalKind, signal};
     let Ok(mut signal) = signal(SignalKind::hangup()) else {
-        // No handler: the daemon runs on without it.
+        // The handler could not be installed; the daemon works without it.
         return std::future::pending().await;
     };
     while signal.recv().await.is_some() {
@@ -191,13 +191,13 @@
     std::future::pending().await
 }
 
-async fn terminated() {
+async fn wait_for_sigterm() {
     use tokio::signal::unix::{SignalKind, signal};
     match signal(SignalKind::terminate()) {
         Ok(mut signal) => {
             signal.recv().await;
         }
-        // No handler: the signal then ends the process at once, without a planned stop.
+        // The handler could not be installed: SIGTERM ends the process at once, without a planned stop.
         Err(_) => std::future::pending().await,
     }
 }
--- a/src/gateway/leader/lease_keeper.rs
+++ b/src/gateway/leader/lease_keeper.rs
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn lease_duration(&self) -> Duration {
-        self.context.settings.bounds.lease
+        self.context.settings.bounds.lease_duration
     }
 
     /// Applies the lease object that the store returned to a request sent at `asked_at`.
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,16 +1,16 @@
-//! Settings of one gateway daemon, decoded and checked by the platform's adapter at the start;
-//! they don't change while the process runs.
+//! Settings of one gateway daemon. `platform::settings` decodes and checks them at the start; they don't
+//! change while the process runs.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::ids::SharedName;
 
-/// Task that only the holder of the leader lease carries out.
+/// A task that only the holder of the leader lease performs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaderTask {
-    /// Reports what each account has used.
+    /// Reports the usage of each account to the cloud.
     UsageReports,
-    /// Orders the number of endpoints.
+    /// Orders endpoints from the cloud.
     EndpointOrders,
 }
 
@@ -21,49 +21,49 @@
     pub name: SharedName,
     /// Availability zone of the daemon.
     pub zone: SharedName,
-    /// Address that clients connect to.
+    /// Address for clients.
     pub client_address: SocketAddr,
-    /// Address of the balancer's readiness checks.
+    /// Address for the load balancer's readiness checks.
     pub readiness_address: SocketAddr,
-    /// Address that other daemons connect to.
+    /// Address for other daemons.
     pub peer_address: SocketAddr,
-    /// Address of metrics and state.
+    /// Address for metrics and the daemon's state.
     pub metrics_address: SocketAddr,
-    /// Daemons to contact first; some may be gone.
+    /// Addresses of daemons to contact first; some may no longer exist.
     pub seeds: Vec<SocketAddr>,
-    /// The metadata store.
+    /// Address of the metadata store.
     pub store_address: SocketAddr,
-    /// The cloud's API, for the leader tasks.
+    /// Address of the cloud's API, used by the leader tasks.
     pub cloud_address: Option<SocketAddr>,
-    /// Leader tasks of this deployment.
+    /// Leader tasks to perform in this deployment.
     pub leader_tasks: Vec<LeaderTask>,
-    /// Time after which the store drops the entry of an endpoint that no longer writes it.
-    pub entry_lapse: Duration,
-    /// Bounds that the deployment promises.
+    /// Time after which the store deletes an endpoint's entry that is no longer rewritten.
+    pub entry_ttl: Duration,
+    /// Time limits and tolerances of the deployment.
     pub bounds: ServiceBounds,
 }
 
-/// Bounds that the deployment promises.
+/// Time limits and tolerances that the deployment guarantees.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceBounds {
     /// Time within which every daemon has to apply a change of the configuration.
     pub apply_limit: Duration,
-    /// Greatest age of a freshness proof with which keys may be used; none where they may be
-    /// used however long the store cannot be reached.
+    /// Greatest age of a freshness proof with which API keys may be used; none if they may be used
+    /// however long the store cannot be reached.
     pub key_freshness: Option<Duration>,
-    /// A planned stop ends after this time.
+    /// Time within which a planned stop must end.
     pub stop_grace: Duration,
     /// Fraction of a service's requests that may be retried.
     pub retry_share: f64,
-    /// Retries allowed beyond that fraction in a window, over all daemons.
+    /// Retries allowed beyond that fraction in a window, for all daemons together.
     pub retry_reserve: f64,
     /// Window over which requests and retries are counted.
     pub retry_window: Duration,
-    /// Duration of the leader lease, from its renewal.
-    pub lease: Duration,
-    /// Fraction of a quota by which it may be overspent over all daemons.
+    /// Duration of the leader lease, counted from its last renewal.
+    pub lease_duration: Duration,
+    /// Fraction of a quota by which all daemons together may exceed it.
     pub quota_overage: f64,
-    /// Units by which a quota may be overspent beyond that.
+    /// Units by which a quota may be exceeded beyond that.
     pub quota_slack: f64,
     /// Length of a usage window.
     pub usage_window: Duration,
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,5 +1,5 @@
-//! Parses the platform's settings file into the gateway's settings. Unknown keys are ignored;
-//! a bound that is not above 0, or a missing address, is an error that names its key.
+//! Parses the platform's settings file into the gateway's settings. Unknown keys are ignored. A duration
+//! that is not above 0 or a missing address is an error that names the key.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,33 +13,32 @@
 
 /// Environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "WILLOWARCH_BOOT";
-/// Port at which metrics are read where `port-range` names none, on the address at which peers
-/// connect.
+/// Default port for metrics if `port-range` is empty. The IP address is that of the peer listener.
 const METRICS_PORT: u16 = 7699;
-/// Bounds in the file are below this, in their own unit: 30 years in seconds, and far from what a
-/// duration can hold.
+/// Bounds in the file must be below this number, in their own unit. In seconds it is 30 years, far below
+/// the largest `Duration`.
 const BOUND_LIMIT: f64 = 1e9;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
-/// Time between two writes of an endpoint's entry where the file names none, in milliseconds.
+/// Default interval between writes of an endpoint's entry, in milliseconds.
 const DEFAULT_HEARTBEAT_MS: f64 = 1_200.0;
-/// Heartbeats of silence after which the store drops an entry.
-const HEARTBEATS_TO_LAPSE: f64 = 3.0;
+/// Number of missed heartbeats after which the store deletes an entry.
+const HEARTBEATS_TO_EXPIRY: f64 = 3.0;
 
-/// Settings that cannot be used.
+/// Error in the settings file.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// Not the JSON that is expected; names the offending key.
+    /// Not valid JSON, or a key is missing or has the wrong type; the text names the key.
     #[display("settings: {_0}")]
     Malformed(#[error(not(source))] String),
-    /// A value is outside of what is allowed.
+    /// A value is out of range.
     #[display("settings: {key} must be {allowed}, not {value}")]
     NotAllowed {
         /// Key.
         key: &'static str,
-        /// Value as given.
+        /// Value in the file.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
 }
@@ -55,7 +54,7 @@
     seeds: Vec<SocketAddr>,
     #[serde(default)]
     port_range: Vec<u16>,
-    /// Time between two writes of an endpoint's entry.
+    /// Interval between writes of an endpoint's entry.
     #[serde(default = "default_heartbeat_ms")]
     heartbeat_ms: f64,
     bounds: BoundsSection,
@@ -73,7 +72,7 @@
 struct ListenSection {
     /// For clients.
     front: SocketAddr,
-    /// For the balancer.
+    /// For the load balancer's readiness checks.
     readiness: SocketAddr,
     /// For other daemons.
     control: SocketAddr,
@@ -95,7 +94,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 struct BoundsSection {
-    /// A planned stop ends after this time.
+    /// Time within which a planned stop must end.
     grace_s: f64,
     /// Whether keys without a recent freshness proof are refused; see `revoke_ms`.
     strict_revoke: bool,
@@ -103,23 +102,23 @@
     revoke_ms: f64,
     /// Time within which every daemon has to apply a change of the configuration.
     config_apply_ms: f64,
-    /// Retries allowed as a share of requests.
+    /// Retries allowed, as a fraction of requests.
     retry_ratio: f64,
     /// Time over which retries are counted.
     retry_window_s: f64,
-    /// Retries allowed beyond the share.
+    /// Retries allowed beyond that fraction.
     retry_slack: f64,
-    /// Length of the leader lease.
+    /// Duration of the leader lease.
     lease_ms: f64,
-    /// Share by which a quota may be exceeded over all daemons.
+    /// Fraction of a quota by which all daemons together may exceed it.
     quota_overage: f64,
     /// Units by which a quota may be exceeded beyond that.
     quota_slack: f64,
-    /// Length of a usage report's window.
+    /// Length of a usage window.
     report_window_s: f64,
 }
 
-/// For keys that a file leaves out.
+/// Values for keys that are missing in the file.
 impl Default for BoundsSection {
     fn default() -> Self {
         Self {
@@ -143,7 +142,7 @@
     let file: SettingsFile =
         serde_json::from_str(text).map_err(|error| SettingsError::Malformed(error.to_string()))?;
     let bounds = check_bounds(&file.bounds)?;
-    let lapse_ms = positive("heartbeat-ms", file.heartbeat_ms)? * HEARTBEATS_TO_LAPSE;
+    let entry_ttl_ms = positive("heartbeat-ms", file.heartbeat_ms)? * HEARTBEATS_TO_EXPIRY;
     let metrics_port = file.port_range.first().copied().unwrap_or(METRICS_PORT);
     let mut metrics_address = file.listen.control;
     metrics_address.set_port(metrics_port);
@@ -159,12 +158,12 @@
         store_address: file.platform.address,
         cloud_address: file.cloud_api.as_ref().map(|cloud| cloud.address),
         leader_tasks: duties.filter_map(|name| leader_task(name)).collect(),
-        entry_lapse: Duration::from_secs_f64(lapse_ms / MS_PER_S),
+        entry_ttl: Duration::from_secs_f64(entry_ttl_ms / MS_PER_S),
         bounds,
     })
 }
 
-/// Task of a name; one that this version does not know is left to a later one.
+/// Converts the name of a leader task. Unknown names are ignored, since later versions may add tasks.
 fn leader_task(name: &str) -> Option<LeaderTask> {
     match name {
         "metering" => Some(LeaderTask::UsageReports),
@@ -183,14 +182,16 @@
         apply_limit: Duration::from_secs_f64(apply / MS_PER_S),
         key_freshness: section.strict_revoke.then(|| Duration::from_secs_f64(revoke / MS_PER_S)),
         stop_grace: Duration::from_secs_f64(positive("bounds.grace-s", section.grace_s)?),
-        // Negative shares and reserves mean none.
+        // Negative retry fractions and reserves are read as 0.
         retry_share: section.retry_ratio.max(0.0),
         retry_reserve: section.retry_slack.max(0.0),
         retry_window: Duration::from_secs_f64(positive(
             "bounds.retry-window-s",
             section.retry_window_s,
         )?),
-        lease: Duration::from_secs_f64(positive("bounds.lease-ms", section.lease_ms)? / MS_PER_S),
+        lease_duration: Duration::from_secs_f64(
+            positive("bounds.lease-ms", section.lease_ms)? / MS_PER_S,
+        ),
         quota_overage: section.quota_overage.max(0.0),
         quota_slack: section.quota_slack.max(0.0),
         usage_window: Duration::from_secs_f64(positive(
