--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,10 +1,10 @@
-//! The gateway: passes clients' requests through to endpoints, with their streams, under
-//! the operators' configuration, and carries out the leader's tasks of its deployment.
+//! The gateway: forwards clients' requests to endpoints and streams the responses back, according to the
+//! operators' configuration, and performs the leader tasks of its deployment.
 //!
-//! `request` is the path of a request, `policy` holds the rules that decide (no I/O),
-//! `gossip` is how daemons exchange reports, `leader` does the tasks of the leader lease's
-//! holder. `call`, `configuration` and `endpoint` are the data that these share; `context`
-//! is the state of one daemon. docs/architecture.md shows how they work together.
+//! `request` handles requests, `policy` contains the decision rules (no I/O), `gossip` exchanges reports
+//! between daemons, and `leader` performs the tasks of the leader lease's holder. `call`, `configuration`
+//! and `endpoint` define the data that these share; `context` is the state of one daemon.
+//! docs/architecture.md shows how they work together.
 
 pub mod call;
 pub mod configuration;
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,7 +1,7 @@
-//! One client's request as the gateway handles it, and what one attempt adds to it.
+//! A client's request as the gateway handles it, and the data added to it for one attempt.
 //!
-//! The platform's adapter decodes a request's headers into these types and writes them out
-//! again for an endpoint; names on the wire stay there.
+//! `platform::ingress` decodes a request's headers into these types and encodes them again for an
+//! endpoint; header names are known only there.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 /// A part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Hash that names the part.
+    /// Hash that identifies the part.
     pub id: u64,
-    /// Its tokens.
+    /// Number of its tokens.
     pub tokens: u64,
 }
 
-/// Size of a generation in tokens, as the client states it.
+/// Size of a request in tokens, as stated by the client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Most tokens of the response.
+    /// Largest number of tokens in the response.
     pub response: u64,
 }
 
 impl TokenCounts {
-    /// Both together.
+    /// Sum of both.
     pub fn total(self) -> u64 {
         self.prompt + self.response
     }
@@ -43,23 +43,23 @@
     pub id: SharedName,
     /// Method, passed on unchanged.
     pub method: Method,
-    /// Host that selects the routes.
+    /// Host, which selects the routes.
     pub host: SharedName,
     /// Path with its query, passed on unchanged.
     pub target: SharedName,
     /// Length of the path within `target`.
     pub path_length: usize,
-    /// Time that the client will wait, from when the request arrives.
+    /// How long the client will wait after the request has arrived.
     pub deadline: Option<Duration>,
-    /// Key of a client account.
+    /// API key of a client account.
     pub key: Option<SharedName>,
-    /// Size in tokens, if it states one.
+    /// Size in tokens, if stated.
     pub tokens: Option<TokenCounts>,
-    /// Parts of the prompt in order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
     /// Tokens that the client expects the response to have.
     pub expected_response: Option<u64>,
-    /// Last event that the client already has of a stream that it resumes itself.
+    /// Last event that the client has already received of a stream that it resumes.
     pub last_event: Option<u64>,
     /// Headers passed on unchanged.
     pub headers: HeaderMap,
@@ -75,16 +75,16 @@
 /// A whole request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Head.
+    /// Head of the request.
     pub head: CallHead,
-    /// Body, read to its end.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// What the gateway adds to one attempt.
+/// Data that the gateway adds to the request for one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptHead<'a> {
-    /// Endpoint that is meant; any other refuses.
+    /// Id of the intended endpoint; any other one refuses the request.
     pub endpoint: &'a str,
     /// Account, if the request has one.
     pub account: Option<&'a str>,
@@ -92,29 +92,29 @@
     pub left: Option<Duration>,
     /// Rank in the endpoint's queue; 0 is the most urgent. None for services without an engine.
     pub priority: Option<u8>,
-    /// Last event of a resumed stream that the client already has.
+    /// Last event that the client has already received, if a stream is resumed.
     pub last_event: Option<u64>,
 }
 
 /// Why a request's head is refused.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum HeadError {
-    /// It carries no id.
+    /// It has no request id.
     #[display("no request id")]
     NoId,
-    /// It names no host.
+    /// It has no host, or several.
     #[display("no host")]
     NoHost,
-    /// Its length is given twice, or in a form that intermediaries read differently.
+    /// Its length is given more than once, or in a form that intermediaries interpret differently.
     #[display("ambiguous length")]
     AmbiguousLength,
-    /// Its target is no path.
+    /// Its target is not a path.
     #[display("malformed target")]
     BadTarget,
-    /// A header that the gateway reads cannot be read.
+    /// A header that the gateway needs cannot be parsed.
     #[display("malformed header {_0}")]
     BadHeader(#[error(not(source))] &'static str),
-    /// An upgrade or tunnel is asked for.
+    /// It requests an upgrade or a tunnel.
     #[display("method not allowed")]
     BadMethod,
 }
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,34 +1,32 @@
-//! The operators' configuration as the gateway uses it, and the search for a route.
+//! The operators' configuration as the gateway uses it, and route lookup.
 //!
-//! A configuration is decoded by the platform's adapter from the store's text, then shared and
-//! never changed. `context` holds the newest one; a request keeps to the one it was admitted by.
+//! `platform::configuration` decodes a configuration from the text in the store; it is then shared and
+//! never changed. `context` holds the newest one; a request uses the one with which it was admitted.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
 use crate::ids::SharedName;
 
-/// Largest head in bytes, where the configuration names no limit: room for a few long headers.
+/// Default limit of a head, in bytes: room for a few long headers.
 const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
-/// Largest body in bytes, where the configuration names no limit: bodies are held whole while a
-/// request runs.
+/// Default limit of a body, in bytes. A body is kept in memory while its request runs.
 const DEFAULT_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Time for a head, where the configuration names no limit. Not enforced by itself, see
-/// `ClientLimits::head_timeout`.
+/// Default timeout of a head. Not enforced by itself, see [`ClientLimits::head_timeout`].
 const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time after which an idle connection is closed, where the configuration names none: long enough
-/// for clients to reuse their connections.
+/// Default time after which an idle connection is closed: long enough for clients to reuse their
+/// connections.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How often a route's requests may run, and what their responses are.
+/// Whether a route's requests may run more than once, and whether their responses are streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once, with the same effect as running once.
+    /// Running a request more than once has the same effect as running it once.
     Idempotent,
-    /// Runs at most once.
+    /// A request runs at most once.
     Once,
-    /// Responds with a stream of events.
+    /// The response is a stream of events.
     Stream {
-        /// Whether another endpoint may run it again, to resume after the last event.
+        /// Whether another endpoint may run the request again to resume the stream after the last event.
         resume: bool,
     },
 }
@@ -48,85 +46,85 @@
 /// One route.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name, used in logs.
     pub name: SharedName,
-    /// Host that requests name.
+    /// Host for which the route applies.
     pub host: SharedName,
     /// Path prefix, beginning and ending with a slash.
     pub prefix: SharedName,
-    /// How often its requests may run.
+    /// How its requests may run and respond.
     pub kind: RouteKind,
-    /// Time within which a request must be over, counted from its arrival.
+    /// Time within which a request must end, counted from its arrival.
     pub timeout: Option<Duration>,
-    /// Time within which the first part of a response should come. The adapter puts 1 s where
-    /// the route names none.
+    /// Time within which the first part of a response should arrive. 1 s if the route sets none.
     pub target: Duration,
-    /// Time within which each further event of a stream should come.
+    /// Time within which each further event of a stream should arrive.
     pub gap_target: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services among which requests are divided by weight.
+    /// Services among which requests are divided according to their weights.
     pub services: Vec<ServiceWeight>,
-    /// Attempts that may reach an endpoint for one request; at least 1.
+    /// Largest number of attempts for one request that may reach an endpoint; at least 1.
     pub attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
-/// Part of a route's requests that a service gets.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceWeight {
-    /// Service.
+    /// Name of the service.
     pub service: SharedName,
-    /// Weight among those of the route; 0 gets nothing.
+    /// Weight relative to the route's other services; 0 means no requests.
     pub weight: u32,
 }
 
-/// Engine model of a service that generates tokens.
+/// Inference engine of a service that generates tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that an endpoint works on at once.
+    /// Number of requests that an endpoint processes concurrently.
     pub slots: u32,
-    /// Tokens that an endpoint's memory holds.
+    /// Number of tokens that fit into an endpoint's memory.
     pub memory_tokens: u64,
 }
 
 /// How many endpoints may be ordered, and at what price.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSpec {
-    /// Fewest endpoints in each zone.
+    /// Smallest number of endpoints in each zone.
     pub min: u32,
-    /// Most endpoints in each zone; not below `min`.
+    /// Largest number of endpoints in each zone; at least `min`.
     pub max: u32,
-    /// Time until a new endpoint serves.
+    /// Time from ordering an endpoint until it takes requests.
     pub start_time: Duration,
-    /// Price of a reclaimable endpoint as a fraction of the others'; none if there are none.
+    /// Price of a reclaimable endpoint as a fraction of the zone's price; none if reclaimable endpoints
+    /// are not available.
     pub reclaimable_price: Option<f64>,
-    /// Price of an endpoint second in each zone.
+    /// Price of one endpoint for a second, by zone.
     pub zone_prices: Vec<(SharedName, f64)>,
 }
 
-/// One service that requests are passed to.
+/// A service whose endpoints run requests.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Name.
     pub name: SharedName,
-    /// Engine, if it generates tokens.
+    /// Engine, if the service generates tokens.
     pub engine: Option<EngineSpec>,
-    /// Fleet, if its endpoints are ordered by the gateway.
+    /// Limits and prices of the fleet, if the gateway orders the service's endpoints.
     pub fleet: Option<FleetSpec>,
 }
 
-/// Quota of an account, in its unit.
+/// Quota of an account, in requests or tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountQuota {
-    /// Units a second; none sets no limit.
+    /// Units a second; none means no limit.
     pub rate: Option<f64>,
-    /// Units that may be spent at once: the size of the bucket.
+    /// Units that may be spent at once (size of the token bucket).
     pub burst: f64,
-    /// Whether units are tokens (else requests).
+    /// Whether the unit is tokens rather than requests.
     pub in_tokens: bool,
-    /// Tokens charged for a request that doesn't say how many it takes.
+    /// Tokens charged for a request that states no token counts.
     pub default_tokens: u64,
 }
 
@@ -135,21 +133,21 @@
 pub struct Account {
     /// Name.
     pub name: SharedName,
-    /// Rank before the route's; 0 is the most urgent.
+    /// Priority, which takes precedence over that of the route; 0 is the most urgent.
     pub priority: u8,
-    /// Quota over all daemons.
+    /// Quota for all daemons together.
     pub quota: AccountQuota,
 }
 
-/// Bounds on what a client may send.
+/// Limits for client connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
     /// Largest head, in bytes.
     pub head_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Time for a whole head. Not enforced by itself: a head that never ends is cut off with
-    /// an idle connection.
+    /// Timeout of a head. Not enforced by itself: a head that never ends is cut off when its connection
+    /// counts as idle.
     pub head_timeout: Duration,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
@@ -166,7 +164,7 @@
     }
 }
 
-/// One whole configuration; never changed, only replaced by a newer version.
+/// A complete configuration; never modified, only replaced by a newer version.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
     /// Version; rises with every edit.
@@ -175,14 +173,14 @@
     pub services: HashMap<SharedName, Rc<Service>>,
     /// Accounts by name.
     pub accounts: HashMap<SharedName, Rc<Account>>,
-    /// Bounds on clients.
+    /// Limits for clients.
     pub limits: ClientLimits,
     routes: HashMap<SharedName, Vec<Rc<Route>>>,
     keys: HashMap<SharedName, Rc<Account>>,
 }
 
 impl Configuration {
-    /// Empty configuration of this version.
+    /// Creates an empty configuration.
     pub fn new(version: u64, limits: ClientLimits) -> Self {
         Self { version, limits, ..Self::default() }
     }
@@ -190,8 +188,8 @@
     /// Adds a route.
     pub fn add_route(&mut self, route: Route) {
         let routes = self.routes.entry(route.host.to_ascii_lowercase().into()).or_default();
-        let place = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
-        routes.insert(place, Rc::new(route));
+        let index = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
+        routes.insert(index, Rc::new(route));
     }
 
     /// Adds a service.
@@ -199,7 +197,7 @@
         self.services.insert(service.name.clone(), Rc::new(service));
     }
 
-    /// Adds an account with its keys.
+    /// Adds an account and its API keys.
     pub fn add_account(&mut self, account: Account, keys: impl IntoIterator<Item = SharedName>) {
         let account = Rc::new(account);
         self.accounts.insert(account.name.clone(), account.clone());
@@ -208,13 +206,13 @@
         }
     }
 
-    /// The route of `host` whose prefix begins `path` and is longest.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = self.routes.get(host.to_ascii_lowercase().as_str())?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// The account that holds `key`.
+    /// The account to which an API key belongs.
     pub fn account_of(&self, key: &str) -> Option<&Rc<Account>> {
         self.keys.get(key)
     }
--- a/src/gateway/configuration_check.rs
+++ b/src/gateway/configuration_check.rs
@@ -1,40 +1,40 @@
-//! Checks of a configuration before it is written: the store accepts these, but they are
-//! probably mistakes. Used by the operators' tool; the daemon applies what the store holds.
+//! Checks a configuration for probable mistakes, which the store would accept, before it is written.
+//! Used by the operators' tool; the daemon applies any configuration from the store.
 
 use derive_more::Display;
 
 use super::configuration::{Configuration, Route, RouteKind};
 use crate::ids::SharedName;
 
-/// Probable mistake in a configuration.
+/// A probable mistake in a configuration.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ConfigurationProblem {
     /// A route names a service that does not exist.
     #[display("route {route}: service {service} does not exist")]
     UnknownService {
-        /// Route.
+        /// Name of the route.
         route: SharedName,
-        /// Service.
+        /// Name of the service.
         service: SharedName,
     },
-    /// A route has no service that gets any of its requests.
+    /// A route has no service with a weight above 0.
     #[display("route {_0}: no service has a weight above 0")]
     NoService(SharedName),
     /// A prefix does not begin and end with a slash.
     #[display("route {_0}: path-prefix must begin and end with a slash")]
-    OpenPrefix(SharedName),
+    MalformedPrefix(SharedName),
     /// Two routes have the same host and prefix.
     #[display("routes {_0} and {_1}: same host and path-prefix")]
     SamePrefix(SharedName, SharedName),
-    /// A request that may run once only is given several attempts.
+    /// A route whose requests run at most once allows several attempts.
     #[display("route {_0}: attempts above 1 have no effect on non_idempotent routes")]
-    UselessAttempts(SharedName),
-    /// A fleet that is never allowed an endpoint.
+    IneffectiveAttempts(SharedName),
+    /// A service for which no endpoint may be ordered.
     #[display("service {_0}: autoscale.max is 0")]
     EmptyFleet(SharedName),
 }
 
-/// All problems of a configuration.
+/// Finds all problems of a configuration.
 pub fn problems(configuration: &Configuration) -> Vec<ConfigurationProblem> {
     let mut found = Vec::new();
     let mut routes: Vec<&Route> = configuration.routes().map(|route| &**route).collect();
@@ -72,9 +72,9 @@
         found.push(ConfigurationProblem::NoService(name.clone()));
     }
     if !(route.prefix.starts_with('/') && route.prefix.ends_with('/')) {
-        found.push(ConfigurationProblem::OpenPrefix(name.clone()));
+        found.push(ConfigurationProblem::MalformedPrefix(name.clone()));
     }
     if route.kind == RouteKind::Once && route.attempts > 1 {
-        found.push(ConfigurationProblem::UselessAttempts(name.clone()));
+        found.push(ConfigurationProblem::IneffectiveAttempts(name.clone()));
     }
 }
--- a/src/gateway/endpoint.rs
+++ b/src/gateway/endpoint.rs
@@ -1,8 +1,8 @@
 //! Endpoints as the store lists them.
 //!
-//! Decoded by the platform's adapter. An endpoint may start again under its id: id and time of
-//! the start together name one start. Where endpoints don't say when they started, each start has
-//! an id of its own. An address may later be another endpoint's.
+//! Decoded by `platform::endpoints`. An endpoint may restart with the same id: id and start time together
+//! identify one start. Endpoints that don't state their start time use a new id for each start. An
+//! address may later be used by another endpoint.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -13,24 +13,24 @@
 pub enum EndpointState {
     /// Takes requests.
     Ready,
-    /// Is stopping: finishes its requests, takes no new ones.
+    /// Is stopping: finishes its requests and takes no new ones.
     Draining,
 }
 
-/// One start of one endpoint.
+/// One start of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Identity, which a later start may have too.
+    /// Id; a later start may have the same id.
     pub id: SharedName,
-    /// When it started, in milliseconds since 1970 by its own clock; 0 if it doesn't say.
+    /// Start time in milliseconds since 1970 by the endpoint's own clock; 0 if not stated.
     pub born: u64,
     /// Service that it belongs to.
     pub service: SharedName,
-    /// Where it listens; may later be another endpoint's.
+    /// Address at which it listens; may later be used by another endpoint.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: SharedName,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it takes new requests.
     pub state: EndpointState,
@@ -39,19 +39,19 @@
 }
 
 impl EndpointRecord {
-    /// Whether both are of one start of one endpoint. Where one doesn't say when it started,
-    /// the id alone decides.
+    /// Whether both records are of the same start of the same endpoint. If one of them states no start
+    /// time, only the ids are compared.
     pub fn is_same_start(&self, other: &Self) -> bool {
         let is_known = self.born != 0 && other.born != 0;
         self.id == other.id && (self.born == other.born || !is_known)
     }
 }
 
-/// All endpoints at one position of the store.
+/// All endpoints as of one position of the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
     /// Position of the store.
     pub position: StorePosition,
-    /// Endpoints in the order of their ids.
+    /// Endpoints, sorted by id.
     pub endpoints: Vec<Rc<EndpointRecord>>,
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,6 +1,6 @@
-//! State of one daemon as operators read it at `/state`, each part with its version or age.
+//! State of one daemon as served to operators at `/state`, each part with its version or age.
 //!
-//! The JSON keys are read by operators' tools and keep their older words for endpoints.
+//! Operators' tools read the JSON keys, so these keep older names such as `replicas_ready` for endpoints.
 
 use std::collections::BTreeMap;
 
@@ -28,15 +28,15 @@
     pub name: SharedName,
     /// Availability zone.
     pub zone: SharedName,
-    /// Incarnation of the daemon.
+    /// Incarnation id of the daemon's process.
     pub incarnation: SharedName,
-    /// Whether it takes new connections.
+    /// Whether it is ready for new connections.
     pub ready: bool,
     /// Requests in progress.
     pub active: usize,
     /// Version of the configuration; 0 if there is none.
     pub configuration_version: u64,
-    /// Its revision in the store.
+    /// Revision of the configuration in the store.
     pub configuration_revision: u64,
     /// Era of that revision.
     #[serde(default)]
@@ -44,7 +44,7 @@
     /// Newest era of the store that this daemon has seen.
     #[serde(default)]
     pub store_era: StoreEra,
-    /// Age of its freshness proof; none if there never was one.
+    /// Age of the configuration's freshness proof; none if there never was one.
     pub proof_age_ms: Option<u64>,
     /// Revision of the list of endpoints.
     #[serde(rename = "replica_revision")]
@@ -55,58 +55,58 @@
     /// Endpoints that take requests, by service.
     #[serde(rename = "replicas_ready")]
     pub endpoints_ready: BTreeMap<SharedName, usize>,
-    /// Endpoints that are draining, by the list or by what they have said in responses.
+    /// Endpoints that are draining according to the list or to their responses.
     #[serde(rename = "replicas_draining")]
     pub endpoints_draining: usize,
-    /// Endpoints that take requests and have named a limit of them.
+    /// Endpoints that take requests and have announced a request limit.
     #[serde(default)]
     pub endpoints_limited: usize,
     /// Daemons that have reported recently, this one included.
     pub daemons_heard: usize,
-    /// Daemons that are assumed to run, this one included.
+    /// Daemons that are assumed to be running, this one included.
     pub daemons_known: usize,
     /// Holder of the leader lease, as far as known.
     pub lease_holder: Option<SharedName>,
-    /// Its fence.
+    /// Fence of the lease.
     pub lease_fence: u64,
-    /// Age of the newest known renewal.
+    /// Age of the newest known renewal of the lease.
     pub lease_age_ms: Option<u64>,
-    /// Requests that are refused because they crash endpoints.
+    /// Requests that are quarantined because they crash endpoints.
     #[serde(default)]
     pub quarantined: Vec<QuarantinedState>,
-    /// Endpoints that this daemon sends fewer requests than others, or none.
+    /// Endpoints to which this daemon sends fewer requests than to others, or none.
     #[serde(default)]
     pub endpoints_restricted: Vec<RestrictedState>,
 }
 
-/// An endpoint that a daemon sends fewer requests than others, or none.
+/// An endpoint to which a daemon sends fewer requests than to others, or none.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct RestrictedState {
-    /// Its id.
+    /// Id of the endpoint.
     pub endpoint: SharedName,
-    /// Its service.
+    /// Service of the endpoint.
     pub service: SharedName,
-    /// Why, in words.
+    /// Reasons as readable text.
     pub reasons: Vec<String>,
 }
 
 /// A request that is refused because it crashes endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct QuarantinedState {
-    /// Its fingerprint, as the request log shows it.
+    /// Fingerprint of the request, as in the request log.
     pub fingerprint: String,
-    /// Crashes one after another that count against it, as far as this daemon knows.
+    /// Consecutive crashes attributed to the request, as far as this daemon knows.
     pub crashes: usize,
-    /// Time since the newest of them.
+    /// Time since the newest crash.
     pub crash_age_ms: u64,
-    /// Trials so far.
+    /// Number of trials so far.
     pub trials: u32,
-    /// Time to the next one; 0 if it is due.
+    /// Time until the next trial; 0 if it is due.
     pub trial_in_ms: u64,
 }
 
 impl GatewayState {
-    /// State of the daemon now.
+    /// Current state of the daemon.
     pub fn of(context: &GatewayContext) -> Self {
         let now = true_time::now();
         let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
@@ -143,7 +143,7 @@
     }
 }
 
-/// Endpoints that take requests, by service, and the number of those that don't.
+/// Number of endpoints that take requests, by service, and number of those that don't.
 fn count_ready(
     list: &EndpointList,
     endpoints: &EndpointTable,
--- a/src/gateway/status_listeners.rs
+++ b/src/gateway/status_listeners.rs
@@ -1,7 +1,7 @@
-//! Two listeners: the balancer's readiness check, and metrics with the daemon's state.
+//! HTTP listeners for the load balancer's readiness checks and for metrics and the daemon's state.
 //!
-//! Whether the daemon is ready is decided in `policy::daemon::readiness`; this module only serves
-//! it. On the metrics address operators may also end the quarantine of a request.
+//! `policy::daemon::readiness` decides whether the daemon is ready. Operators can also end the quarantine
+//! of a request at the metrics address.
 
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
 
 /// Path of the daemon's state on the metrics address.
 const STATE_PATH: &str = "/state";
-/// Path of the quarantined requests there; a fingerprint follows.
+/// Path of the quarantined requests on the metrics address, followed by a fingerprint.
 const QUARANTINE_PATH: &str = "/quarantine/";
 
 fn text_response(status: StatusCode, text: String) -> Response<ResponseBody> {
@@ -50,7 +50,7 @@
     server::serve(listener, phase, handler).await;
 }
 
-/// Serves the metrics and, at `/state`, the daemon's state, until it stops.
+/// Serves the metrics and, at `/state`, the daemon's state, until the daemon stops.
 pub async fn serve_metrics(listener: TcpListener, context: Rc<GatewayContext>) {
     let phase = context.kernel.phase();
     let handler = move |request: Request<Incoming>| {
@@ -68,7 +68,7 @@
     server::serve(listener, phase, handler).await;
 }
 
-/// Ends the quarantine of a request at this daemon, which tells the others.
+/// Ends the quarantine of a request at this daemon, which informs the others by gossip.
 fn end_quarantine(context: &GatewayContext, fingerprint: &str) -> (StatusCode, String) {
     let request = match fingerprint.parse() {
         Ok(request) => request,
@@ -84,7 +84,7 @@
 
 fn state_text(context: &GatewayContext) -> String {
     serde_json::to_string(&GatewayState::of(context)).unwrap_or_else(|error| {
-        // Cannot happen with the types of the state; an empty page would say nothing.
+        // Cannot happen with the types of the state. Logged, since the empty response does not explain it.
         spdlog::error!("state not encoded: {}", error);
         String::new()
     })
