--- a/src/platform/cloud.rs
+++ b/src/platform/cloud.rs
@@ -1,9 +1,8 @@
-//! Calls to the cloud's API, as the gateway's leader makes them: reports of usage and orders
-//! of endpoints.
+//! Calls to the cloud's API by the leader: usage reports and orders of endpoints.
 //!
-//! Each call carries the leader's name and fence, so that the cloud can refuse a leader that
-//! has been replaced. A call that times out may have been carried out; both calls may be
-//! retried, since they state a total and not a change.
+//! Each call carries the leader's name and fence, so that the cloud can refuse a leader that has been
+//! replaced. A call that times out may have been carried out; both kinds of calls can be retried, since
+//! they state totals, not changes.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -16,40 +15,40 @@
     ids::SharedName,
 };
 
-/// Longest wait for a response: a call that begins as the holder stops acting is over before
-/// another daemon may take the lease.
-const CALL_LIMIT: Duration = Duration::from_millis(1_000);
+/// Timeout of a call: a call that begins just before the holder has to stop acting ends before another
+/// daemon may acquire the lease.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// In whose name, and under which fence, a call is made.
+/// The lease holder that makes a call.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     /// Name of the daemon.
     pub name: SharedName,
-    /// Rises whenever the holder changes.
+    /// Fencing number; rises whenever the holder changes.
     pub fence: u64,
 }
 
-/// What the cloud made of a call.
+/// Outcome of a call to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloudOutcome {
-    /// Done.
+    /// The cloud has carried out the call.
     Done,
     /// Refused: another holder has a higher fence.
     Fenced,
-    /// Refused: there is no capacity in that zone now.
+    /// Refused: the zone has no capacity at present.
     CapacityRefused,
 }
 
-/// Number of endpoints of one service that are required in one zone, in total.
+/// An order for the total number of endpoints of a service in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EndpointOrder {
     /// Service.
     pub service: SharedName,
     /// Availability zone.
     pub zone: SharedName,
-    /// Whether the cloud may take them back.
+    /// Whether the cloud may reclaim these endpoints.
     pub reclaimable: bool,
-    /// Endpoints required.
+    /// Required number of endpoints.
     pub count: u32,
 }
 
@@ -82,7 +81,7 @@
         Self { api: ApiClient::new(address) }
     }
 
-    /// Reports what each account has used in a window.
+    /// Reports the usage of each account in a usage window.
     pub async fn report(
         &self,
         holder: &LeaseHolder,
@@ -96,8 +95,8 @@
 
     /// Orders a number of endpoints.
     ///
-    /// A conflict may mean a low fence or that there is no capacity; it is read as the
-    /// latter (docs/questions.md).
+    /// The cloud responds with a conflict both to an outdated fence and to a lack of capacity; it is
+    /// treated as the latter (docs/questions.md).
     pub async fn order(
         &self,
         holder: &LeaseHolder,
@@ -125,11 +124,11 @@
             .send(step, Method::POST, path, body)?
             .with_header("x-duty-holder", &holder.name)
             .with_header("x-fencing-token", holder.fence);
-        self.api.fetch(call, CALL_LIMIT).await
+        self.api.fetch(call, CALL_TIMEOUT).await
     }
 }
 
-/// Outcome by status alone; `on_conflict` is what 409 means for this call.
+/// Determines the outcome from the status alone; `on_conflict` is the meaning of 409 for this call.
 fn read_outcome(
     response: &ApiResponse,
     on_conflict: CloudOutcome,
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,10 +1,10 @@
-//! Decodes the operators' configuration, as it lies in the store, into the gateway's types.
+//! Decodes the operators' configuration from the text in the store into the gateway's types.
 //!
-//! The specs below keep the names of the wire; their units are in the names (`_ms`, `_s`,
-//! `per_s`). Unknown keys are ignored, since the platform adds some with later versions. A
-//! value of the wrong type refuses the whole configuration, so the one in use stays. A
-//! duration that is negative or too long to represent counts as zero, and one log line for
-//! each decoded configuration says so.
+//! The fields of the spec types have the names of the JSON keys, which include the units (`_ms`, `_s`,
+//! `per_s`). Unknown keys are ignored, since later versions of the platform add some. If a value has the
+//! wrong type, the whole configuration is rejected and the current one stays in use. A duration that is
+//! negative or too long to represent is read as zero; one log line for each decoded configuration
+//! reports the number of these.
 
 use std::{cell::Cell, collections::BTreeMap, time::Duration};
 
@@ -23,11 +23,11 @@
 /// Name of the object that holds the configuration.
 pub const CONFIGURATION_NAME: &str = "main";
 
-/// Target latency of a route that names none.
+/// Default target latency of a route.
 const DEFAULT_TARGET: Duration = Duration::from_secs(1);
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
-/// `unit` of accounts whose quota counts tokens; any other counts requests.
+/// Value of `unit` for accounts whose quota is in tokens; with any other value it is in requests.
 const TOKEN_UNIT: &str = "tokens";
 
 #[derive(Deserialize)]
@@ -50,22 +50,22 @@
     host: SharedName,
     path_prefix: SharedName,
     kind: KindSpec,
-    /// Longest time that the gateway holds a request, retries included; 0 sets no limit.
+    /// Time limit of a request in the gateway, including retries; 0 means no limit.
     timeout_ms: Option<f64>,
-    /// Time within which the first part of a response has its full worth.
+    /// Time within which the first part of a response should arrive.
     target_latency_ms: Option<f64>,
-    /// Longest pause between events of a stream that keeps it in time.
+    /// Time within which each further event of a stream should arrive.
     gap_target_ms: Option<f64>,
-    /// Rank; 0 is the most urgent.
+    /// 0 is the most urgent.
     #[serde(default)]
     priority: u8,
-    /// Goes before `traffic_split` where both are there.
+    /// Takes precedence over `traffic_split`.
     service: Option<SharedName>,
     #[serde(default)]
     traffic_split: Vec<SplitSpec>,
-    /// Most endpoints that one request may go to.
+    /// Largest number of attempts for one request.
     attempts: Option<u32>,
-    /// Needs no key.
+    /// Requests need no API key.
     #[serde(default)]
     public: bool,
     /// Another endpoint may continue a broken stream after its last event.
@@ -99,22 +99,22 @@
 #[serde(rename_all = "kebab-case")]
 struct EngineSection {
     slots: u32,
-    /// Tokens that an endpoint's memory holds.
+    /// Number of tokens that fit into an endpoint's memory.
     kv_capacity: u64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct AutoscaleSection {
-    /// Fewest endpoints in each zone.
+    /// Smallest number of endpoints in each zone.
     min: u32,
-    /// Most endpoints in each zone.
+    /// Largest number of endpoints in each zone.
     max: u32,
     #[serde(default)]
     boot_s: f64,
-    /// Price of a reclaimable endpoint as a share of the zone's price.
+    /// Price of a reclaimable endpoint as a fraction of the zone's price.
     spot_price: Option<f64>,
-    /// Price of an endpoint second.
+    /// Price of one endpoint for a second, by zone.
     #[serde(default)]
     zone_prices: BTreeMap<SharedName, f64>,
 }
@@ -128,9 +128,9 @@
     #[serde(default)]
     priority: u8,
     unit: Option<String>,
-    /// Tokens that a request counts as which names no sizes.
+    /// Tokens charged for a request that states no token counts.
     plain_tokens: Option<u64>,
-    /// Units a second; 0 or none sets no quota.
+    /// Units a second; 0 or none means no quota.
     per_s: Option<f64>,
     /// Units that may be spent at once beyond the rate.
     burst: Option<f64>,
@@ -145,7 +145,7 @@
     idle_timeout_ms: Option<f64>,
 }
 
-/// Converts durations and counts those that do not fit.
+/// Converts durations and counts those that are negative or too long.
 #[derive(Default)]
 struct DurationReader {
     rejected: Cell<u32>,
@@ -166,7 +166,7 @@
     fn log_rejected(&self, version: u64) {
         let durations = self.rejected.get();
         if durations > 0 {
-            spdlog::warn!("configuration: negative or too long, read as 0", kv: { version, durations });
+            spdlog::warn!("configuration: negative or too long durations read as 0", kv: { version, durations });
         }
     }
 }
--- a/src/platform/endpoints.rs
+++ b/src/platform/endpoints.rs
@@ -1,4 +1,4 @@
-//! Decodes the entries that endpoints keep of themselves in the store.
+//! Decodes the entries that endpoints write about themselves into the store.
 
 use std::{net::SocketAddr, num::NonZeroU32};
 
@@ -20,21 +20,22 @@
     zone: SharedName,
     slots: NonZeroU32,
     state: EndpointPhase,
-    /// When it started, in milliseconds since 1970; endpoints of earlier releases don't say.
+    /// Start time in milliseconds since 1970; endpoints of earlier releases don't state it.
     #[serde(default)]
     born: u64,
     /// Whether the cloud may reclaim its VM.
     #[serde(default)]
     use_spot: bool,
-    /// Not used, but of another type in an entry that no endpoint has written.
+    /// Not used. Decoded only to reject entries in which it has another type: no endpoint has written
+    /// them.
     #[serde(default, rename = "seq")]
     _seq: u64,
-    /// The same.
+    /// Not used, like `_seq`.
     #[serde(default, rename = "version")]
     _version: SharedName,
 }
 
-/// State of an endpoint, as it names it.
+/// State of an endpoint in its entry.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum EndpointPhase {
@@ -46,8 +47,8 @@
 ///
 /// # Errors
 ///
-/// The entry lacks something that every endpoint writes, or has it in another form: another
-/// writer made or changed it.
+/// The entry lacks a field that every endpoint writes, or has one of another type: it was written or
+/// changed by another writer.
 pub fn decode(id: SharedName, text: &[u8]) -> Result<EndpointRecord, serde_json::Error> {
     let spec: EndpointSpec = serde_json::from_slice(text)?;
     let state = match spec.state {
--- a/src/platform/ingress.rs
+++ b/src/platform/ingress.rs
@@ -1,8 +1,10 @@
-//! Heads of requests and responses, as clients and endpoints of the platform write them.
+//! Decodes and encodes heads of requests and responses in the formats of the platform's clients and
+//! endpoints.
 //!
-//! `client_head` reads a client's request; `endpoint` writes the request of one attempt and
-//! reads the response to it, with `endpoint_signals`; `own_response` writes the heads that the gateway makes itself.
-//! Header names stay in here: the gateway sees `gateway::{call, request::response_meaning}`.
+//! `client_head` decodes a client's request; `endpoint` builds the request of one attempt and, with
+//! `endpoint_signals`, decodes the response to it; `own_response` builds the heads of the gateway's own
+//! responses. Only this module knows the header names: the gateway uses the types of
+//! `gateway::{call, request::response_meaning}`.
 
 mod client_head;
 mod endpoint;
--- a/src/platform/ingress/client_head.rs
+++ b/src/platform/ingress/client_head.rs
@@ -1,7 +1,7 @@
-//! Reads the head of a client's request.
+//! Decodes the head of a client's request.
 //!
-//! A head is refused where its length or target is ambiguous, or where a header that decides
-//! about the request cannot be read. Headers that are only hints are left out instead.
+//! A head is rejected if its length or target is ambiguous, or if a header that affects how the request
+//! is handled cannot be parsed. Malformed headers that are only hints are ignored.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
     ids::SharedName,
 };
 
-/// Scheme of the client account's key in `Authorization`.
+/// Scheme of the API key in `Authorization`.
 const KEY_SCHEME: &str = "Token ";
-/// Numbers in headers are below this: 30 years in milliseconds, and exact in a double.
+/// Numbers in headers must be below this: 30 years in milliseconds, and exact in an `f64`.
 const NUMBER_LIMIT: f64 = 1e12;
-/// Token counts are below this: no prompt comes near it, and sums of many cannot overflow.
+/// Token counts must be below this: prompts are far shorter, and sums of many cannot overflow.
 const TOKEN_LIMIT: u64 = 1 << 40;
 
-/// Reads the head of a client's request.
+/// Decodes the head of a client's request.
 pub fn read_head(parts: Parts) -> Result<CallHead, HeadError> {
     check_framing(&parts)?;
     let headers = &parts.headers;
@@ -54,7 +54,7 @@
     })
 }
 
-/// Whether a body comes in chunks.
+/// Whether the body has a transfer encoding, such as chunked.
 pub fn is_chunked(headers: &HeaderMap) -> bool {
     headers.contains_key(header::TRANSFER_ENCODING)
 }
@@ -89,18 +89,17 @@
     Ok(bare.into())
 }
 
-/// Reads a number that may have a fraction, which is cut off; `shown` names the header in
-/// the error.
+/// Parses a number and discards its fraction; errors name the header by `display_name`.
 fn read_number(
     headers: &HeaderMap,
     name: &HeaderName,
-    shown: &'static str,
+    display_name: &'static str,
 ) -> Result<Option<u64>, HeadError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let parsed = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
     match parsed {
         Some(number) if (0.0..NUMBER_LIMIT).contains(&number) => Ok(Some(number as u64)),
-        _ => Err(HeadError::BadHeader(shown)),
+        _ => Err(HeadError::BadHeader(display_name)),
     }
 }
 
@@ -119,8 +118,8 @@
     (counts.prompt < TOKEN_LIMIT && counts.response < TOKEN_LIMIT).then_some(counts)
 }
 
-/// Reads the parts of a prompt up to the first malformed one. They only tell where a prompt
-/// may be cached: without them the request is served as well, at a higher cost.
+/// Parses the parts of a prompt up to the first malformed one. They only indicate where a prompt may be
+/// cached: without them the request is served at a higher cost.
 fn read_prefix(headers: &HeaderMap) -> Vec<PromptPart> {
     let read = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
@@ -130,15 +129,15 @@
     value.map_or_else(Vec::new, |value| value.split(',').map_while(read).collect())
 }
 
-/// Reads the client's estimate of the output's length. A malformed one is left out: it only
-/// sharpens the estimate of the memory that the request will need.
+/// Parses the client's estimate of the output's length. A malformed one is ignored: it only improves
+/// the estimate of the memory that the request will need.
 fn read_length_hint(headers: &HeaderMap) -> Option<u64> {
     read_number(headers, &LENGTH_HINT, "X-Length-Hint").unwrap_or(None)
 }
 
-/// Reads the last event that the client has. By its standard the value is any text that a
-/// server once sent; one that is no number was not sent by us, so the stream begins at its
-/// first event.
+/// Parses the last event that the client has received. By the standard of server-sent events, the value
+/// is any id that a server has sent. The gateway sends numbers only, so anything else came from another
+/// server and the stream begins at its first event.
 fn read_last_event(headers: &HeaderMap) -> Option<u64> {
     text(headers, &LAST_EVENT)?.parse().ok()
 }
--- a/src/platform/ingress/endpoint.rs
+++ b/src/platform/ingress/endpoint.rs
@@ -1,4 +1,4 @@
-//! Writes the request of one attempt at an endpoint, and reads the response to it.
+//! Builds the request of one attempt at an endpoint, and decodes the response to it.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     request::response_meaning::{EndpointSignals, ResponseMeaning, ResponseSigns},
 };
 
-/// Builds the request of one attempt; method, path and body stay as the client sent them.
+/// Builds the request of one attempt; method, path and body are those that the client sent.
 pub fn endpoint_request<B>(call: &Call, attempt: &AttemptHead<'_>, body: B) -> Request<B> {
     let mut request = Request::new(body);
     *request.method_mut() = call.head.method.clone();
@@ -28,8 +28,8 @@
     let headers = request.headers_mut();
     *headers = call.head.headers.clone();
     let mut set = |name: HeaderName, value: String| {
-        // Names from the store with control characters cannot be sent; the endpoint then
-        // judges the request without them.
+        // Names from the store that contain control characters cannot be sent; the endpoint then handles
+        // the request without that header.
         if let Ok(value) = HeaderValue::from_str(&value) {
             headers.insert(name, value);
         }
@@ -50,7 +50,7 @@
     request
 }
 
-/// Reads what a response to the request `id` says.
+/// Decodes the head of a response to the request `id`.
 pub fn read_response<B>(id: &str, response: &Response<B>) -> ResponseSigns {
     let headers = response.headers();
     let closes = text(headers, &header::CONNECTION).is_some_and(|value| {
@@ -59,7 +59,7 @@
     let meaning = read_meaning(id, response);
     let signals = match meaning {
         ResponseMeaning::Ran | ResponseMeaning::NotRun => read_signals(response.status(), headers),
-        // Another endpoint's words, or the answer to another request.
+        // Sent by another endpoint, or in response to another request.
         ResponseMeaning::OtherEndpoint | ResponseMeaning::Foreign => EndpointSignals::default(),
     };
     ResponseSigns { meaning, signals, keep: read_keep_alive(headers), closes }
@@ -69,7 +69,7 @@
     let headers = response.headers();
     match text(headers, &REQUEST_ID) {
         Some(other) if other != id => ResponseMeaning::Foreign,
-        // An endpoint repeats the id in each success; failures may lack it.
+        // An endpoint repeats the id in each successful response; failures may lack it.
         None if response.status().is_success() => ResponseMeaning::Foreign,
         _ if response.status() == StatusCode::MISDIRECTED_REQUEST => ResponseMeaning::OtherEndpoint,
         _ if headers.contains_key(&NOT_EXECUTED) => ResponseMeaning::NotRun,
@@ -83,8 +83,8 @@
     seconds.parse().ok().map(Duration::from_secs)
 }
 
-/// Head of an endpoint's response as it goes back to the client, and its body. What the endpoint says
-/// of itself is not the client's concern: it might take it for a word of this daemon.
+/// Splits an endpoint's response into the head to send to the client and the body. The endpoint's
+/// draining and limit headers are removed, since the client might take them as being about this daemon.
 pub fn client_response<B>(response: Response<B>) -> (Response<()>, B) {
     let (mut parts, body) = response.into_parts();
     remove_hop_headers(&mut parts.headers);
--- a/src/platform/ingress/endpoint_signals.rs
+++ b/src/platform/ingress/endpoint_signals.rs
@@ -1,15 +1,15 @@
-//! Reads what an endpoint says of itself in its responses: that it drains, asks for a back-off, or
-//! takes only so many requests.
+//! Decodes the signals in an endpoint's responses: that it drains, asks for a back-off, or limits the
+//! rate of its requests.
 //!
-//! | header | read on | values | others |
+//! | header | read on | valid values | other values |
 //! |---|---|---|---|
-//! | `Server-Leaving` | all responses | `1` | not said |
-//! | `Retry-After` | 503, executed or not | seconds from 0 up, with a fraction or without | not said |
-//! | `Server-Limit` | all responses | requests a second from 0 up, with a fraction or without | can't be read |
+//! | `Server-Leaving` | all responses | `1` | treated as absent |
+//! | `Retry-After` | 503, executed or not | seconds, 0 or more, may have a fraction | treated as absent |
+//! | `Server-Limit` | all responses | requests a second, 0 or more, may have a fraction | unreadable |
 //!
-//! A header may stand there several times, or hold several values with commas between them: one `1`
-//! is enough, the longest time counts, and the least limit. A date is no number of seconds: the
-//! clocks of endpoints aren't compared with the own one.
+//! A header may be repeated or have several values separated by commas: one `1` is enough, the longest
+//! back-off and the lowest limit apply. Dates in `Retry-After` are not supported, since clocks of
+//! endpoints are never compared with the daemon's own.
 
 use std::time::Duration;
 
@@ -21,12 +21,12 @@
 use super::headers::{DRAINING, LIMIT};
 use crate::gateway::request::response_meaning::{EndpointSignals, LimitSignal};
 
-/// Value of `Server-Leaving` by which an endpoint says that it drains.
-const DRAINS: &str = "1";
+/// Value of `Server-Leaving` that means that the endpoint drains.
+const DRAINING_VALUE: &str = "1";
 
-/// Reads the signals of a response that is the endpoint's own.
+/// Decodes the signals of a response that was sent by the intended endpoint.
 pub fn read_signals(status: StatusCode, headers: &HeaderMap) -> EndpointSignals {
-    let is_draining = values(headers, &DRAINING).any(|value| value == Some(DRAINS));
+    let is_draining = values(headers, &DRAINING).any(|value| value == Some(DRAINING_VALUE));
     let may_back_off = status == StatusCode::SERVICE_UNAVAILABLE;
     let backoff = may_back_off.then(|| read_backoff(headers)).flatten();
     let limit = read_limit(headers);
@@ -53,16 +53,15 @@
 fn read_backoff(headers: &HeaderMap) -> Option<Duration> {
     let seconds = values(headers, &header::RETRY_AFTER)
         .filter_map(|value| value?.parse::<f64>().ok())
-        // Fails on what is negative, infinite or not a number.
+        // Rejects negative and infinite numbers and NaN.
         .filter_map(|seconds| Duration::try_from_secs_f64(seconds).ok());
     seconds.max()
 }
 
-/// Values of a header, without the spaces around them; none for one that is not ASCII.
+/// Values of a header, trimmed; `None` for each header field that is not ASCII.
 fn values<'a>(headers: &'a HeaderMap, name: &HeaderName) -> impl Iterator<Item = Option<&'a str>> {
     let fields = headers.get_all(name).iter();
     fields.flat_map(|field| {
-        // Text that is not ASCII is a value that cannot be read.
         let text = field.to_str().ok();
         let parts = text.map(|text| text.split(',').map(str::trim));
         let is_unreadable = text.is_none();
--- a/src/platform/ingress/headers.rs
+++ b/src/platform/ingress/headers.rs
@@ -1,39 +1,39 @@
-//! Names of the platform's headers, and which of them do not travel through the gateway.
+//! Names of the platform's headers, and the headers that the gateway does not forward.
 
 use hyper::{
     HeaderMap,
     header::{self, HeaderName},
 };
 
-/// Id of one client attempt; endpoints repeat it in their responses.
+/// Id of one attempt of a client; the gateway's own attempts all carry it, and endpoints repeat it in
+/// their responses.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// Time left until the deadline, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Tokens of the prompt and most tokens of the output, as `PROMPT,OUTPUT`.
+/// Number of tokens of the prompt and largest number of tokens of the output, as `PROMPT,OUTPUT`.
 pub const TOKENS: HeaderName = HeaderName::from_static("x-token-counts");
 /// Parts of the prompt that may be cached, as `ID:TOKENS,...` with the id in hexadecimal.
 pub const PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// The client's estimate of the output's tokens.
+/// The client's estimate of the number of output tokens.
 pub const LENGTH_HINT: HeaderName = HeaderName::from_static("x-length-hint");
-/// Last event that the client already has.
+/// Last event that the client has already received.
 pub const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
 /// Client account.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant");
-/// Endpoint that is meant; any other one at the address refuses with 421.
+/// Id of the intended endpoint; any other endpoint at the address responds with 421.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
-/// Rank in the endpoint's queue; 0 is the most urgent.
+/// Priority in the endpoint's queue; 0 is the most urgent.
 pub const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
-/// An endpoint sets it on a response to a request that it has not run and never will.
+/// Set by an endpoint on a response to a request that it has not run and will never run.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
 /// `timeout=SECONDS`: how long the endpoint keeps an idle connection.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// `1` on all responses of an endpoint that leaves.
+/// `1` on all responses of an endpoint that drains.
 pub const DRAINING: HeaderName = HeaderName::from_static("server-leaving");
-/// Requests a second that an endpoint takes from all daemons together, as a decimal number.
+/// Requests a second that an endpoint accepts from all daemons together, as a decimal number.
 pub const LIMIT: HeaderName = HeaderName::from_static("server-limit");
 
-/// Headers that the gateway sets itself, or that only a gateway may set; those of a client
-/// are dropped.
+/// Headers that only a gateway may set; they are removed from clients' requests.
 const GATEWAY_HEADERS: [HeaderName; 8] = [
     TENANT,
     EXPECT_INSTANCE,
@@ -44,7 +44,7 @@
     HeaderName::from_static("x-pin-ms"),
     HeaderName::from_static("kv-fetch"),
 ];
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection only.
 const HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -57,13 +57,13 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Text of a header without surrounding spaces; none if absent or not ASCII.
+/// Trimmed text of a header; none if the header is absent or not ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-/// A client's headers without those of its connection, its key, and those that the gateway
-/// writes anew for each attempt.
+/// A client's headers without those of its connection, its API key, and those that the gateway sets for
+/// each attempt.
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     remove_hop_headers(&mut headers);
     headers.remove(header::AUTHORIZATION);
@@ -76,7 +76,7 @@
     headers
 }
 
-/// Removes the headers of one connection, those that `Connection` names among them.
+/// Removes the headers that apply to a single connection, including those that `Connection` lists.
 pub fn remove_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -84,7 +84,7 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        // Nobody may have a message lose what identifies it.
+        // Never remove the headers that identify a message, even if `Connection` lists them.
         .filter(|name| *name != REQUEST_ID && *name != header::HOST)
         .collect();
     for name in HOP_HEADERS.iter().chain(&named) {
--- a/src/platform/ingress/own_response.rs
+++ b/src/platform/ingress/own_response.rs
@@ -1,4 +1,4 @@
-//! Heads of the responses that the gateway makes itself.
+//! Heads of the gateway's own responses.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use super::headers::REQUEST_ID;
 
-/// Path at which the balancer asks for readiness.
+/// Path of the load balancer's readiness checks.
 const READINESS_PATH: &str = "/-/readiness";
 
-/// Head of a response of the gateway's own to the request `id`.
+/// Builds the head of a response from the gateway itself to the request `id`.
 pub fn own_response(
     id: Option<&str>,
     status: StatusCode,
@@ -21,7 +21,7 @@
     let mut head = Response::new(());
     *head.status_mut() = status;
     let headers = head.headers_mut();
-    // The id came in as a header, so it can go out as one.
+    // Cannot fail: the id was received in a header.
     if let Some(id) = id.and_then(|id| HeaderValue::from_str(id).ok()) {
         headers.insert(REQUEST_ID, id);
     }
@@ -40,7 +40,7 @@
     headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Whether `path` asks for readiness.
+/// Whether `path` is that of readiness checks.
 pub fn is_readiness(path: &str) -> bool {
     path == READINESS_PATH
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,11 +1,13 @@
-//! Calls to the platform's metadata store, as the gateway makes them.
+//! Client of the platform's metadata store.
 //!
-//! The store keeps JSON objects by kind and name. Each change raises one revision counter of
-//! the whole store; an object carries the revision of its last change, and a write may be
-//! made conditional on it. A store that was restored from a copy gives revisions out again; the
-//! header of each response tells the era. What is read here carries both as a `StorePosition`. A
-//! response of an earlier era than the newest known came late and is an error. The native interface speaks another wire (`native::cloud_api`);
-//! connections and errors are the same (`http::api_client`).
+//! The store keeps JSON objects by kind and name. Each change raises one revision counter of the whole
+//! store; an object carries the revision of its last change, and a write can be made conditional on it.
+//! A store that was restored from a copy reuses revisions; a header of each response names its era.
+//! Everything read here carries revision and era as a `StorePosition`. A response of an earlier era than
+//! the newest known one is outdated and treated as an error.
+//!
+//! The native interface uses another protocol (`native::cloud_api`) over the same connections and with
+//! the same errors (`http::api_client`).
 
 pub mod object_codec;
 
@@ -25,21 +27,21 @@
     store_position::{StoreEra, StorePosition},
 };
 
-/// Longest wait for a response that the store gives at once: a store fifty times as slow as usual
+/// Timeout of calls to which the store responds at once: a store that is fifty times slower than usual
 /// still responds within it.
-const CALL_LIMIT: Duration = Duration::from_millis(1_200);
-/// How much later than asked a waiting watch may respond; its connection then counts as silent. A
-/// store fifty times as slow as usual responds within it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time beyond its requested wait after which a watch times out, since its connection may be dead. A
+/// store that is fifty times slower than usual responds within it.
 const WATCH_MARGIN: Duration = Duration::from_millis(300);
-/// Header of each response that names the store's era.
+/// Response header with the store's era.
 const ERA_HEADER: &str = "store-era";
 
-/// One object with its revision.
+/// An object of the store and its position.
 #[derive(Clone, Debug)]
 pub struct StoredObject {
     /// Name within its kind.
     pub name: SharedName,
-    /// Where the store stood after its last change.
+    /// Position of the store at the object's last change.
     pub position: StorePosition,
     /// Value, as JSON text.
     pub value: Box<str>,
@@ -48,41 +50,42 @@
 /// All objects of a kind at one position of the store.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectListing {
-    /// Objects in the order of their names.
+    /// Objects, sorted by name.
     pub objects: Vec<StoredObject>,
-    /// Position of the store; a watch goes on from here.
+    /// Position of the store, from which a watch can continue.
     pub position: StorePosition,
 }
 
-/// A change that a watch has seen.
+/// A change that a watch has returned.
 #[derive(Clone, Debug)]
 pub enum ObjectChange {
     /// The object was created or replaced.
     Written(StoredObject),
-    /// The object is gone.
+    /// The object was deleted.
     Gone(SharedName),
 }
 
-/// What a watch has seen.
+/// Result of a watch.
 #[derive(Clone, Debug)]
 pub enum WatchResult {
-    /// Changes, and the position to go on from.
+    /// Changes, and the position for the next watch.
     Changes(Vec<ObjectChange>, StorePosition),
-    /// The history has been dropped, or is of another era: list again.
+    /// The store no longer has the changes since that position, or the position is of another era: list
+    /// again.
     HistoryGone,
 }
 
-/// What must hold for a write to be carried out.
+/// Condition under which a write is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteCondition {
-    /// The object does not exist, as it did not when the store was in this era.
+    /// The object does not exist. It was found missing in this era of the store.
     Absent(StoreEra),
-    /// The object is as it was left by the change at this position.
+    /// The object has not changed since this position.
     At(StorePosition),
 }
 
 impl WriteCondition {
-    /// Era of the store in which it was found to hold.
+    /// Era of the store to which the condition applies.
     pub fn era(self) -> StoreEra {
         match self {
             Self::Absent(era) => era,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// The revision to name; none if the object is to be created.
+    /// The revision to send; none if the object is to be created.
     fn revision(self) -> Option<u64> {
         match self {
             Self::Absent(_) => None,
@@ -102,12 +105,12 @@
 /// Result of a conditional write.
 #[derive(Clone, Debug)]
 pub enum WriteResult {
-    /// Written; where the store stood then.
+    /// Written; the position of the change.
     Written(StorePosition),
-    /// The condition did not hold; nothing was done.
+    /// The condition was not met; nothing was written.
     Conflict,
-    /// Written, but in a later era than that of the condition: over anything that had the same
-    /// revision there.
+    /// Written, but in a later era than that of the condition: it may have replaced an unknown object
+    /// with the same revision.
     WrittenInLaterEra,
 }
 
@@ -115,7 +118,7 @@
     text.parse().ok().map(StoreEra)
 }
 
-/// A response with the era in which the store sent it.
+/// A response and the era in which the store sent it.
 struct StoreResponse {
     response: ApiResponse,
     era: StoreEra,
@@ -134,31 +137,31 @@
     }
 }
 
-/// Client of the store.
+/// Client of the metadata store.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
     api: ApiClient,
-    /// Highest era that a response has named.
+    /// Newest era that a response has named.
     era: Rc<Cell<StoreEra>>,
 }
 
 impl StoreClient {
-    /// Client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { api: ApiClient::new(address), era: Rc::default() }
     }
 
-    /// Opens new connections for further calls: those that are open may carry nothing any more.
+    /// Makes further calls use new connections, since the open ones may be dead.
     pub fn discard_connections(&self) {
         self.api.discard_connections();
     }
 
-    /// Calls made since the start.
+    /// Number of calls made since the start.
     pub fn calls(&self) -> u64 {
         self.api.calls()
     }
 
-    /// Highest era of the store that a response has named.
+    /// Newest era of the store that a response has named.
     pub fn era(&self) -> StoreEra {
         self.era.get()
     }
@@ -179,13 +182,13 @@
         Ok(StoreResponse { response, era })
     }
 
-    /// Lists all objects of a kind, page by page, as of a moment after the call was made.
+    /// Lists all objects of a kind, page by page. Changes made before the call are included.
     ///
     /// # Errors
     ///
     /// A call failed, or the store was restored from a copy between two pages.
     pub async fn list(&self, kind: &str) -> Result<ObjectListing, StepError> {
-        // A watch from the first page's position sees all that changed since.
+        // The listing has the position of the first page: a watch from there returns all later changes.
         let (mut listing, mut has_more) = self.list_page(kind, None).await?;
         while has_more {
             let last_name = listing.objects.last().map(|object| &object.name);
@@ -205,16 +208,16 @@
         kind: &str,
         last_name: Option<&SharedName>,
     ) -> Result<(ObjectListing, bool), StepError> {
-        // Despite its name, `after-rev` takes the name of the last object of the page before.
+        // Despite its name, `after-rev` takes the name of the last object on the previous page.
         let path = match last_name {
             None => format!("/-/objects/{kind}"),
             Some(name) => format!("/-/objects/{kind}?after-rev={name}"),
         };
         let call = self.api.get("list objects", path);
-        self.fetch(call, CALL_LIMIT).await?.decode(decode_page)
+        self.fetch(call, CALL_TIMEOUT).await?.decode(decode_page)
     }
 
-    /// Waits at most `wait` for changes of a kind after `position`.
+    /// Waits up to `wait` for changes of objects of a kind after `position`.
     pub async fn watch(
         &self,
         kind: &str,
@@ -232,18 +235,18 @@
         Ok(WatchResult::Changes(changes, position))
     }
 
-    /// Reads one object; none if it does not exist.
+    /// Reads an object; none if it does not exist.
     pub async fn read(&self, kind: &str, name: &str) -> Result<Option<StoredObject>, StepError> {
         let call = self.api.get("read object", format!("/-/objects/{kind}/{name}"));
-        let response = self.fetch(call, CALL_LIMIT).await?;
+        let response = self.fetch(call, CALL_TIMEOUT).await?;
         if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
         response.decode(decode_object).map(Some)
     }
 
-    /// Writes one object if `condition` holds. A condition of an earlier era than the newest known
-    /// does not.
+    /// Writes an object if `condition` is met. A condition of an earlier era than the newest known one is
+    /// a conflict.
     pub async fn write(
         &self,
         kind: &str,
@@ -261,7 +264,7 @@
         };
         let object = NewObject::new(name, known, value);
         let call = self.api.send("write object", method, path, &object)?;
-        let response = self.fetch(call, CALL_LIMIT).await?;
+        let response = self.fetch(call, CALL_TIMEOUT).await?;
         if matches!(response.status(), StatusCode::CONFLICT | StatusCode::NOT_FOUND) {
             return Ok(WriteResult::Conflict);
         }
--- a/src/platform/store/object_codec.rs
+++ b/src/platform/store/object_codec.rs
@@ -1,4 +1,4 @@
-//! Bodies of the store's calls: objects, pages of lists, changes.
+//! Encodes and decodes bodies of calls to the store: objects, pages of lists, changes.
 
 use std::borrow::Cow;
 
@@ -18,7 +18,7 @@
     spec: Option<&'a RawValue>,
 }
 
-/// The store sends more (`made`, `finalizers`, `deleting`); the gateway needs none of it.
+/// The store sends further fields (`made`, `finalizers`, `deleting`), which the gateway does not need.
 #[derive(Deserialize)]
 struct Metadata {
     name: SharedName,
@@ -32,7 +32,7 @@
     items: Vec<&'a RawValue>,
     #[serde(default)]
     more: bool,
-    /// Revision of the store.
+    /// Revision of the store at the time of the page.
     at: u64,
 }
 
@@ -40,7 +40,7 @@
 struct WatchBody<'a> {
     #[serde(borrow)]
     events: Vec<&'a RawValue>,
-    /// Revision to watch from next.
+    /// Revision from which to watch next.
     at: u64,
 }
 
@@ -52,7 +52,7 @@
     gone: bool,
 }
 
-/// An object to be written.
+/// Body of a write.
 #[derive(Serialize)]
 pub struct NewObject<'a, T> {
     metadata: NewMetadata<'a>,
@@ -67,7 +67,8 @@
 }
 
 impl<'a, T> NewObject<'a, T> {
-    /// Object `name` with its value, to replace the one of `revision`, if that is named.
+    /// Body that writes `value` to the object `name`; if `revision` is given, only an object of that
+    /// revision is replaced.
     pub fn new(name: &'a str, revision: Option<u64>, value: &'a T) -> Self {
         Self { metadata: NewMetadata { name, revision }, spec: value }
     }
@@ -86,12 +87,12 @@
     Ok(serde_json::from_slice::<ObjectBody<'_>>(body)?.into_object(era))
 }
 
-/// Decodes one page of a list, which the store sent in `era`: its objects, the position, and whether
-/// there are more. An object that can't be read is left out: the others hold.
+/// Decodes one page of a list, which the store sent in `era`. Returns its objects, the position, and
+/// whether there are more pages. Objects that can't be decoded are left out; the others are returned.
 ///
 /// # Errors
 ///
-/// The page itself can't be read.
+/// The page itself can't be decoded.
 pub fn decode_page(era: StoreEra, body: &[u8]) -> Result<(ObjectListing, bool), serde_json::Error> {
     let text = readable_text(body);
     let page: ListBody<'_> = serde_json::from_str(&text)?;
@@ -100,12 +101,12 @@
     Ok((ObjectListing { objects, position: StorePosition::new(era, page.at) }, page.more))
 }
 
-/// Decodes the response to a watch, which the store sent in `era`; a change that can't be read is
-/// left out.
+/// Decodes the response to a watch, which the store sent in `era`. Changes that can't be decoded are left
+/// out.
 ///
 /// # Errors
 ///
-/// The response itself can't be read.
+/// The response itself can't be decoded.
 pub fn decode_watch(
     era: StoreEra,
     body: &[u8],
@@ -120,13 +121,13 @@
     Ok((events.map(to_change).collect(), StorePosition::new(era, response.at)))
 }
 
-/// The text of a body. Bytes that are no UTF-8 can only stand within an object's texts, and spoil
-/// no other object.
+/// The text of a body, with invalid UTF-8 replaced. Such bytes can only occur within the strings of an
+/// object, so other objects are not affected.
 fn readable_text(body: &[u8]) -> Cow<'_, str> {
     String::from_utf8_lossy(body)
 }
 
-/// A part of a body; none if another writer has made it and it can't be read.
+/// Decodes a part of a body; none if that fails because it was written by another program.
 fn read_part<'a, T: Deserialize<'a>>(part: &'a RawValue) -> Option<T> {
     serde_json::from_str(part.get()).ok()
 }
--- a/src/store_position.rs
+++ b/src/store_position.rs
@@ -1,14 +1,14 @@
-//! How far the platform's store has come: its era, and its revision in that era.
+//! Position in the history of the platform's metadata store: an era, and a revision within that era.
 //!
-//! Each change raises the store's revision. A store that was restored from a copy gives revisions out
-//! again, and begins a new era with it. Revisions of different eras say nothing of each other, so
-//! that a revision is only ever kept and compared together with its era.
+//! Each change raises the store's revision. When the store is restored from a copy, it begins a new era
+//! and reuses revisions. Revisions of different eras cannot be compared, so a revision is always stored
+//! and compared together with its era.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How often the store was restored from a copy; 0 where it doesn't say.
+/// Number of times that the store was restored from a copy; 0 if it doesn't state its era.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,12 +21,12 @@
     }
 }
 
-/// Bits of a revision in a packed position: a thousand changes a second for 30 years.
+/// Bits of the revision in a packed position; enough for a thousand changes a second for 30 years.
 const REVISION_BITS: u32 = 40;
-/// Those bits.
+/// Mask of the revision in a packed position.
 const REVISION_MASK: u64 = (1 << REVISION_BITS) - 1;
 
-/// A revision of the store and its era. Later eras come after earlier ones, whatever the revisions.
+/// A revision of the store and its era. Positions are ordered by era, then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StorePosition {
     era: StoreEra,
@@ -34,7 +34,7 @@
 }
 
 impl StorePosition {
-    /// Before the first change.
+    /// The position before the first change.
     pub const NONE: Self = Self { era: StoreEra(0), revision: 0 };
 
     /// The position at `revision` of `era`.
@@ -47,23 +47,23 @@
         self.era
     }
 
-    /// Its revision, for what is sent or shown.
+    /// Its revision, for messages and output only.
     pub fn revision(self) -> u64 {
         self.revision
     }
 
-    /// The position as one number of the same order, where a message has room for one only: 24 bits of
-    /// the era above 40 of the revision.
+    /// Encodes the position as one number with the same order, for messages with a single field: 24 bits of
+    /// the era above 40 bits of the revision.
     pub fn packed(self) -> u64 {
         self.era.0 << REVISION_BITS | self.revision & REVISION_MASK
     }
 
-    /// The position of a number that `packed` has returned.
+    /// Decodes a number returned by `packed`.
     pub fn unpack(number: u64) -> Self {
         Self::new(StoreEra(number >> REVISION_BITS), number & REVISION_MASK)
     }
 
-    /// Whether it is before the first change.
+    /// Whether this is the position before the first change.
     pub fn is_none(self) -> bool {
         self.revision == 0
     }
