--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The lease as read from the store; none if, as far as known, there never was one.
+    /// Summary of the lease that was read from the store; none if no lease is known to have existed.
     fn observed_lease(&self, lease_object: &LeaseObject, now: Instant) -> Option<ObservedLease> {
         let unchanged_for = |since: Instant| now.saturating_duration_since(since);
         match lease_object {
