--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -64,7 +64,7 @@
     let reported =
         HeldVersions { configuration: configuration.version, endpoints: endpoint_position };
     apply_configuration(context, address, &configuration, called_at);
-    context.note_endpoint_era(endpoint_position.era(), now);
+    context.observe_endpoint_era(endpoint_position.era(), now);
     if let Some(sent) = endpoints {
         apply_endpoints(context, address, endpoint_position, sent);
     }
@@ -143,7 +143,7 @@
         let source = ConfigurationSource::Peer(sender);
         context.apply_configuration(source, summary.position, text);
     }
-    context.configuration.borrow_mut().prove_version(summary.version, proof);
+    context.configuration.borrow_mut().confirm_version(summary.version, proof);
 }
 
 /// The uncompressed text of a configuration. `None` if it was not sent, can't be read, or is not
