--- a/src/gateway/policy/endpoint/endpoint_starts/lost_entries.rs
+++ b/src/gateway/policy/endpoint/endpoint_starts/lost_entries.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct EntryHistory {
     /// Time after which the store drops an entry that its endpoint has not written again.
-    entry_expiry: Duration,
+    entry_ttl: Duration,
     /// Newest known era.
     era: StoreEra,
     listed: EndpointList,
@@ -64,10 +64,10 @@
 
 impl EntryHistory {
     /// History of a daemon that has read nothing yet. The store drops entries that are not written
-    /// for `entry_expiry`.
-    pub fn new(entry_expiry: Duration) -> Self {
+    /// for `entry_ttl`.
+    pub fn new(entry_ttl: Duration) -> Self {
         Self {
-            entry_expiry,
+            entry_ttl,
             era: StoreEra::default(),
             listed: EndpointList::default(),
             removed: HashMap::new(),
@@ -118,7 +118,7 @@
         let reappeared = self.listed.endpoints.iter().filter(has_reappeared);
         let reappeared = reappeared.map(|record| (record.id.clone(), record.born)).collect();
         self.rewrite_period =
-            Some(RewritePeriod { ends_at: now + self.entry_expiry, missing, reappeared });
+            Some(RewritePeriod { ends_at: now + self.entry_ttl, missing, reappeared });
     }
 
     /// An entry that is missing in a new era was lost, not removed, unless its endpoint drained.
