--- a/src/native/serve/run.rs
+++ b/src/native/serve/run.rs
@@ -1,5 +1,5 @@
-//! The life of one request at this daemon: found or started, dispatched, retried, moved
-//! and ended.
+//! Runs requests at this daemon: admission, attempts, retries, moves between endpoints and
+//! take-overs.
 
 pub mod admission;
 pub mod attempt;
--- a/src/native/serve/run/admission.rs
+++ b/src/native/serve/run/admission.rs
@@ -1,9 +1,9 @@
 //! Admission of new requests on the native path.
 //!
-//! Decides whether a request may start here and now, in this order: the daemon is leaving; it
-//! runs as many requests as its settings allow; the account is not in the table; the account's
-//! quota (`decide::limits`). The first that applies is the reason of the refusal. A request
-//! that is taken over was admitted before and is not asked again.
+//! A request is refused if, checked in this order, the daemon is leaving, the daemon already runs as
+//! many requests as its settings allow, the account is not in the table, or the account's quota
+//! (`decide::limits`) is used up. The first check that fails gives the reason. A request that is
+//! taken over was admitted before and is not checked again.
 //!
 //! Inputs are this daemon's own state and its current table. A daemon without a table refuses.
 
@@ -18,24 +18,24 @@
     },
 };
 
-/// Retry-after of a daemon that is leaving: another daemon can take the request at once.
+/// Retry-after while this daemon is leaving: another daemon can take the request at once.
 const RETRY_ELSEWHERE: Duration = Duration::ZERO;
 
 /// Whether a request may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionVerdict {
-    /// It may, with this priority.
+    /// It may start, with this priority.
     Admitted(RequestPriority),
-    /// It may not.
+    /// It may not start.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: NotRunReason,
         /// When the client may retry.
         retry_after: Duration,
     },
 }
 
-/// Decides on a new request.
+/// Decides whether a new request may start.
 pub async fn admit(
     context: &Rc<ServeContext>,
     call: &ClientCall,
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt at an endpoint on the native path: sends the call, takes tokens or the response,
-//! and leaves when a notice says so.
+//! One attempt to run a request at an endpoint on the native path: sends the call, reads the tokens
+//! or the response, and leaves the endpoint when a reclaim notice requires it.
 //!
-//! It reports how the attempt ended and decides nothing; `run::driver` and `run::once` do. The
+//! It only reports how the attempt ended; `run::driver` and `run::once` decide what follows. The
 //! gateway's attempts (`gateway::request::attempt`) speak the platform's protocol instead.
 
 use std::{rc::Rc, sync::Arc};
@@ -38,36 +38,36 @@
 pub enum AttemptEnd {
     /// The endpoint's response is complete.
     Answered(FinalResponse),
-    /// The endpoint did not start it.
+    /// The endpoint did not start the request.
     NotStarted(NotStartedEvidence, StepError),
-    /// It failed and may have run.
+    /// The attempt failed; the request may have run.
     Failed(StepError),
-    /// The endpoint is leaving and the stream goes elsewhere.
+    /// The endpoint is being reclaimed, and the stream has to continue at another one.
     Leaving(ReclaimWay),
-    /// The request is no longer run here.
+    /// This daemon no longer runs the request.
     Superseded,
 }
 
-/// What an attempt works on.
+/// Inputs of one attempt.
 pub struct AttemptTask<'a> {
-    /// Context.
+    /// Shared handles of the daemon.
     pub context: &'a Rc<ServeContext>,
-    /// Request.
+    /// Name of the request.
     pub name: &'a RequestName,
-    /// Take-overs before it came here.
+    /// Take-overs of the request before this daemon ran it.
     pub takeovers: u32,
-    /// Call.
+    /// Call to send.
     pub call: &'a Arc<ClientCall>,
-    /// Order in which engines take it.
+    /// Priority of the request at the engine.
     pub priority: RequestPriority,
-    /// This attempt.
+    /// Identity of this attempt.
     pub attempt: AttemptId,
-    /// Endpoint.
+    /// Endpoint that the router assigned.
     pub slot: &'a EndpointSlot,
 }
 
 impl AttemptTask<'_> {
-    /// Runs the attempt of a stream that goes on after `tokens`, and adds to them.
+    /// Runs a streamed completion that continues after `tokens`, and appends new tokens to them.
     pub async fn stream(
         &self,
         completion: &CompletionCall,
@@ -82,28 +82,29 @@
         };
         // This type always serializes.
         let body = serde_json::to_vec(&order).unwrap_or_default();
-        let call = self.outgoing("stream completion", "/v1/completions", "application/json", body);
+        let call =
+            self.build_call("stream completion", "/v1/completions", "application/json", body);
         let end = match self.open(&call).await {
-            Ok(response) => self.take_tokens(response, tokens).await,
+            Ok(response) => self.read_stream(response, tokens).await,
             Err(end) => end,
         };
-        self.slot.result.set(health_of(&end));
+        self.slot.result.set(result_for_health(&end));
         end
     }
 
-    /// Runs the attempt of a plain call.
+    /// Runs a plain call.
     pub async fn plain(&self, plain: &PlainCall) -> AttemptEnd {
         let body = plain.body.as_bytes().to_vec();
-        let call = self.outgoing("call service", &plain.path, &plain.content_type, body);
+        let call = self.build_call("call service", &plain.path, &plain.content_type, body);
         let end = match self.open(&call).await {
-            Ok(response) => self.take_answer(response).await,
+            Ok(response) => self.read_response(response).await,
             Err(end) => end,
         };
-        self.slot.result.set(health_of(&end));
+        self.slot.result.set(result_for_health(&end));
         end
     }
 
-    fn outgoing(
+    fn build_call(
         &self,
         step: &'static str,
         path: &str,
@@ -134,7 +135,7 @@
             let cause = FailureCause::Status(response.status().as_u16());
             return Err(AttemptEnd::NotStarted(evidence, self.error(call.step, cause)));
         }
-        if !self.is_own(response.headers()) && response.status().is_success() {
+        if !self.is_from_this_attempt(response.headers()) && response.status().is_success() {
             self.context.metrics.count("answers_of_other_attempts", 1);
             let cause = FailureCause::Malformed("answer of another attempt".into());
             return Err(AttemptEnd::Failed(self.error(call.step, cause)));
@@ -142,7 +143,7 @@
         Ok(response)
     }
 
-    fn is_own(&self, response: &HeaderMap) -> bool {
+    fn is_from_this_attempt(&self, response: &HeaderMap) -> bool {
         let echoed = response.get(headers::ATTEMPT_ID).and_then(|value| value.to_str().ok());
         echoed == Some(&self.attempt.to_string())
     }
@@ -151,7 +152,7 @@
         StepError::new(step, self.slot.pick.address.clone(), cause)
     }
 
-    async fn take_answer(&self, response: Response<Incoming>) -> AttemptEnd {
+    async fn read_response(&self, response: Response<Incoming>) -> AttemptEnd {
         let step = "read answer";
         let (head, body) = response.into_parts();
         let limit = self.context.settings.first_token_timeout;
@@ -161,7 +162,7 @@
                 let cause = FailureCause::Broken(error.to_string());
                 return AttemptEnd::Failed(self.error(step, cause));
             }
-            // The wait has no other error than its end.
+            // The only error of the wait is the timeout.
             Err(_) => {
                 let cause = FailureCause::TimedOut(limit.as_millis() as u64);
                 return AttemptEnd::Failed(self.error(step, cause));
@@ -180,7 +181,7 @@
         }))
     }
 
-    async fn take_tokens(
+    async fn read_stream(
         &self,
         response: Response<Incoming>,
         tokens: &mut Vec<ResponseToken>,
@@ -197,7 +198,7 @@
         loop {
             let frame = tokio::select! {
                 frame = wait_at_most(limit, body.frame()) => frame,
-                way = leave_order(&mut way) => return AttemptEnd::Leaving(way),
+                way = wait_for_leave_order(&mut way) => return AttemptEnd::Leaving(way),
             };
             let bytes = match self.frame_bytes(frame, limit) {
                 Ok(bytes) => bytes,
@@ -211,7 +212,7 @@
                 }
             };
             for event in events {
-                if let Some(end) = self.take_event(&event, tokens).await {
+                if let Some(end) = self.handle_event(&event, tokens).await {
                     return end;
                 }
             }
@@ -228,17 +229,21 @@
     ) -> Result<Bytes, StepError> {
         let step = "read stream";
         match frame {
-            // The wait has no other error than its end.
+            // The only error of the wait is the timeout.
             Err(_) => Err(self.error(step, FailureCause::TimedOut(limit.as_millis() as u64))),
             Ok(None) => Err(self.error(step, FailureCause::Broken("stream ended early".into()))),
             Ok(Some(Err(error))) => Err(self.error(step, FailureCause::Broken(error.to_string()))),
-            // A frame without data carries trailers, which mean nothing here.
+            // A frame without data carries trailers, which are ignored.
             Ok(Some(Ok(frame))) => Ok(frame.into_data().unwrap_or_default()),
         }
     }
 
-    /// Takes one event of the stream; `Some` if the attempt has ended with it.
-    async fn take_event(&self, event: &str, tokens: &mut Vec<ResponseToken>) -> Option<AttemptEnd> {
+    /// Handles one event of the stream; `Some` if it ends the attempt.
+    async fn handle_event(
+        &self,
+        event: &str,
+        tokens: &mut Vec<ResponseToken>,
+    ) -> Option<AttemptEnd> {
         let step = "read stream";
         if event == STREAM_END {
             return Some(AttemptEnd::Answered(FinalResponse::Streamed));
@@ -261,28 +266,31 @@
         };
         match self.context.requests.deliver(append).await {
             Ok(()) => None,
-            // The store has ended, and the daemon with it.
+            // The store has stopped because the daemon is stopping.
             Err(_) => Some(AttemptEnd::Superseded),
         }
     }
 }
 
-/// Waits for an order to leave; an order to finish here is none.
-async fn leave_order(way: &mut tokio::sync::watch::Receiver<Option<ReclaimWay>>) -> ReclaimWay {
+/// Waits until the router orders the stream to leave the endpoint; ignores the order to finish
+/// there.
+async fn wait_for_leave_order(
+    way: &mut tokio::sync::watch::Receiver<Option<ReclaimWay>>,
+) -> ReclaimWay {
     let leaves =
         |way: &Option<ReclaimWay>| matches!(way, Some(ReclaimWay::Move | ReclaimWay::Resume));
     match way.wait_for(leaves).await {
         Ok(found) => found.unwrap_or(ReclaimWay::Resume),
-        // The router is gone: no order can come any more.
+        // The router has stopped, so no order will come.
         Err(_) => std::future::pending().await,
     }
 }
 
-fn health_of(end: &AttemptEnd) -> AttemptResult {
+fn result_for_health(end: &AttemptEnd) -> AttemptResult {
     match end {
         AttemptEnd::Answered(_) => AttemptResult::Succeeded,
         AttemptEnd::Failed(_) => AttemptResult::Failed,
-        // A refused connection counts: nothing listens there.
+        // A refused connection counts as a failure: nothing listens at the address.
         AttemptEnd::NotStarted(_, error) if matches!(error.cause, FailureCause::Unreachable(_)) => {
             AttemptResult::Failed
         }
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -1,4 +1,5 @@
-//! Runs a request that may be retried: attempts, retries, moves, until it has ended.
+//! Runs a request that may be retried: attempts, retries and moves between endpoints, until it has
+//! ended.
 
 mod leaving;
 
@@ -33,13 +34,13 @@
     },
 };
 
-/// Longest wait in the queue for an endpoint: bounds the wait; the fleet's answer to overload takes
-/// longer.
+/// Longest wait in the queue for an endpoint. It only bounds the wait: starting VMs in response to
+/// overload takes longer.
 const QUEUE_WAIT: Duration = Duration::from_secs(20);
 
-/// A request that this daemon runs, until it ends or is taken over.
+/// Runs one request at this daemon until it ends or another daemon takes it over.
 pub struct RequestDriver {
-    /// Order in which engines take it.
+    /// Priority of the request in queues and engines.
     pub priority: RequestPriority,
     context: Rc<ServeContext>,
     name: RequestName,
@@ -61,7 +62,7 @@
 }
 
 impl RequestDriver {
-    /// Driver of a request that goes on after `tokens`.
+    /// Driver of a request that continues after `tokens`.
     pub fn new(
         context: Rc<ServeContext>,
         name: RequestName,
@@ -70,7 +71,7 @@
         tokens: Vec<ResponseToken>,
     ) -> Self {
         Self {
-            // One that was taken over has waited already.
+            // A request that was taken over has waited already, so it gets normal priority.
             priority: RequestPriority::Normal,
             weight: context.weight_of(&call.account),
             context,
@@ -87,7 +88,7 @@
 
     /// Runs the request to its end, unless it is cancelled or superseded.
     ///
-    /// Returns what is needed to read the request's state once more.
+    /// Returns what the caller needs to read the request's state again.
     pub async fn run(mut self, stage: CallStage) -> (Rc<ServeContext>, RequestName) {
         let view = self
             .context
@@ -95,7 +96,8 @@
             .ask(|reply| RequestMessage::View { name: self.name.clone(), reply });
         let Ok(Some(mut view)) = view.await else { return (self.context, self.name) };
         let takeovers = self.takeovers;
-        // The wait also ends when the record is removed: cancelled.
+        // The wait also ends when the record is removed, which means that the request was
+        // cancelled.
         let cancelled = async move {
             view.wait_for(|progress| progress.ended || progress.takeovers > takeovers).await;
         };
@@ -126,7 +128,7 @@
             response: Arc::new(response),
         };
         if let Err(error) = self.context.requests.send(message) {
-            spdlog::error!("end lost: {}", error, kv: { service = "driver" });
+            spdlog::error!("outcome of a request not stored: {}", error, kv: { service = "driver" });
         }
     }
 
@@ -141,10 +143,10 @@
                     return Some(self.give_up(stage, NotRunReason::NoEndpoint, RETRY_AFTER));
                 }
                 PickReply::Nowhere => {
-                    // Every endpoint was tried; those tried first may work by now.
+                    // Every endpoint was tried; those that failed first may have recovered.
                     self.exclude.clear();
                     let verdict = after_all_tried(self.attempts, &mut rand::rng());
-                    if !may_go_on(verdict).await {
+                    if !wait_before_retry(verdict).await {
                         let reason = NotRunReason::EndpointRefused;
                         return Some(self.give_up(stage, reason, RETRY_AFTER));
                     }
@@ -154,7 +156,7 @@
             self.count_attempt();
             let dispatched = stage.begin();
             let end = self.attempt(&slot).await;
-            match self.judge(end, dispatched, slot).await {
+            match self.next_step(end, dispatched, slot).await {
                 NextStep::End(response) => return Some(response),
                 NextStep::Again(next) => stage = next,
                 NextStep::Stop => return None,
@@ -218,7 +220,7 @@
         }
     }
 
-    async fn judge(
+    async fn next_step(
         &mut self,
         end: AttemptEnd,
         call: DispatchedCall,
@@ -232,16 +234,16 @@
                 NextStep::Again(CallStage::Dispatched(call.begin_again()))
             }
             AttemptEnd::NotStarted(evidence, error) => {
-                self.note_failure(&slot, &error);
+                self.record_failure(&slot, &error);
                 let stage = call.not_started(evidence);
-                if !may_go_on(after_not_started(self.attempts)).await {
+                if !wait_before_retry(after_not_started(self.attempts)).await {
                     let reason = NotRunReason::EndpointRefused;
                     return NextStep::End(self.give_up(stage, reason, RETRY_AFTER));
                 }
                 NextStep::Again(stage)
             }
             AttemptEnd::Failed(error) => {
-                self.note_failure(&slot, &error);
+                self.record_failure(&slot, &error);
                 let stage = CallStage::Dispatched(call.begin_again());
                 let verdict = self.context.budget(&self.call.service, |bucket| {
                     after_failure(self.attempts, bucket, &mut rand::rng())
@@ -251,21 +253,21 @@
                     return NextStep::End(self.give_up(stage, reason, RETRY_AFTER));
                 }
                 self.context.metrics.count("retries", 1);
-                may_go_on(verdict).await;
+                wait_before_retry(verdict).await;
                 NextStep::Again(stage)
             }
         }
     }
 
-    fn note_failure(&mut self, slot: &EndpointSlot, error: &crate::errors::StepError) {
+    fn record_failure(&mut self, slot: &EndpointSlot, error: &crate::errors::StepError) {
         self.exclude.push(slot.pick.id.clone());
         self.context.metrics.count("attempts_failed", 1);
         self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
     }
 }
 
-/// Waits for the pause of a retry; `false` if the request ends instead.
-async fn may_go_on(verdict: RetryVerdict) -> bool {
+/// Waits before a retry as the verdict demands; `false` if there is no retry.
+async fn wait_before_retry(verdict: RetryVerdict) -> bool {
     match verdict {
         RetryVerdict::Now => true,
         RetryVerdict::After(pause) => {
--- a/src/native/serve/run/driver/leaving.rs
+++ b/src/native/serve/run/driver/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving an endpoint that is being reclaimed.
+//! Moves a stream off an endpoint that is being reclaimed.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
     },
 };
 
-/// Longest wait for the move of a KV cache: longer than the notices in
+/// Longest wait for the move of a KV cache: longer than the notice times in
 /// docs/measurements/reclaim.md.
-const MOVE_LIMIT: Duration = Duration::from_secs(20);
+const MOVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl RequestDriver {
-    /// Leaves an endpoint that is being reclaimed. For a move, the old endpoint's cache
-    /// is imported where the stream will probably go on.
+    /// Leaves an endpoint that is being reclaimed. For a move, the old endpoint's cache is imported
+    /// into the endpoint at which the stream will probably continue.
     pub(super) async fn leave(&mut self, way: ReclaimWay, slot: EndpointSlot) {
         self.moves += 1;
         self.attempts -= 1;
@@ -37,7 +37,7 @@
         let body = serde_json::to_vec(&order).unwrap_or_default();
         let call = OutgoingCall::get("move KV cache", &next.pick.address, "/kv/import")
             .with_json(Method::POST, body);
-        let moved = self.context.http.fetch(&call, MOVE_LIMIT).await;
+        let moved = self.context.http.fetch(&call, MOVE_TIMEOUT).await;
         let moved = moved.is_ok_and(|response| response.status.is_success());
         let outcome = if moved { "moved" } else { "failed" };
         self.context.metrics.count_labelled("cache_moves", "outcome", outcome);
--- a/src/native/serve/run/once.rs
+++ b/src/native/serve/run/once.rs
@@ -1,9 +1,9 @@
 //! Requests that may not be retried: finds the one daemon that may dispatch them.
 //!
-//! docs/design/at-most-once.md weighs the ways. The right to dispatch is a ticket
-//! (`crate::native::request::tickets`). A client may take one beforehand; one that brings its
-//! own key instead costs a conditional create in the object API, which binds the key
-//! to a ticket; one without a key gets a ticket that nobody else knows of.
+//! docs/design/at-most-once.md compares the alternatives. The right to dispatch is a ticket
+//! (`crate::native::request::tickets`). A client may fetch a ticket beforehand and send it as its
+//! key. Any other key is bound to a ticket by a conditional create in the object API. A request
+//! without a key gets a ticket that nobody else knows.
 
 mod claims;
 mod run;
@@ -32,16 +32,16 @@
     },
 };
 
-/// Longest time that a holder is waited for: within the 45 s for which a client is kept waiting.
-const HOLDER_LIMIT: Duration = Duration::from_secs(30);
-/// Time between tries to reach a holder that may have dispatched: few calls in the time for which a
-/// holder is waited for.
-const HOLDER_RETRY: Duration = Duration::from_millis(200);
+/// Longest wait for a ticket's holder: less than the 45 s for which a client is kept waiting.
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between attempts to reach a holder that may have dispatched: long enough for few calls within
+/// `HOLDER_TIMEOUT`.
+const HOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a request that may not be retried came to.
+/// Outcome of a request that may not be retried.
 #[derive(Debug)]
 pub enum OnceOutcome {
-    /// Its final response.
+    /// The request has a final response.
     Final(FinalResponse),
     /// The key was used for another request of the account.
     KeyReused,
@@ -67,7 +67,7 @@
     let ticket = match key.map(str::parse::<TicketId>) {
         Some(Ok(ticket)) if ticket.scope != scope => return OnceOutcome::ForeignTicket,
         Some(Ok(ticket)) => ticket,
-        // A key that is no ticket is the client's own.
+        // A key that is not a ticket was made up by the client.
         Some(Err(_)) => return serve_claimed(context, key.unwrap_or_default(), call).await,
         None => match issue(context, &call.account).await {
             Some(ticket) => ticket,
@@ -81,7 +81,7 @@
     OnceOutcome::Final(UndispatchedCall::new(call).refuse(reason, RETRY_AFTER))
 }
 
-/// Serves a request under a key of the client's own, bound to a ticket by a claim.
+/// Serves a request under a key that the client made up, which a claim binds to a ticket.
 async fn serve_claimed(
     context: &Rc<ServeContext>,
     key: &str,
@@ -94,8 +94,8 @@
     let (bound, version) = match claim(context, &object, own, WriteCondition::Absent).await {
         Ok(found) => found,
         Err(()) => {
-            // The write may still take effect. The ticket is spent, so that whoever finds the
-            // claim later gets the right outcome.
+            // The write may still take effect. Using up the ticket gives the right outcome to
+            // whoever finds the claim later.
             abandon(context, own, &call).await;
             return refuse(call, NotRunReason::ClaimFailed);
         }
@@ -104,7 +104,8 @@
     if bound == own || !matches!(outcome, OnceOutcome::Final(FinalResponse::NotRun(_))) {
         return outcome;
     }
-    // The earlier try did not run, and its ticket never will: bind the key anew.
+    // The earlier request did not run, and its ticket can't be used again: bind the key to the new
+    // ticket.
     match claim(context, &object, own, WriteCondition::Version(version)).await {
         Ok((rebound, _)) => resolve(context, rebound, call).await,
         Err(()) => {
@@ -114,7 +115,7 @@
     }
 }
 
-/// Has the holder of `ticket` run the call, or finds out what became of it.
+/// Has the holder of `ticket` run the call, or finds out how an earlier run ended.
 async fn resolve(
     context: &Rc<ServeContext>,
     ticket: TicketId,
@@ -139,7 +140,7 @@
     call: Arc<ClientCall>,
 ) -> SettledResponse {
     let digest = call.digest();
-    let deadline = Instant::now() + HOLDER_LIMIT;
+    let deadline = Instant::now() + HOLDER_TIMEOUT;
     loop {
         let holder = context.target(ticket.holder);
         if let Some(holder) = &holder {
@@ -160,12 +161,12 @@
             Some(SealVerdict::MayHaveRun) | None => {}
         }
         // While the holder is a member it may still deliver the response; once it has been
-        // removed, nobody else ever learns it.
+        // removed, no other daemon can get it.
         if context.target(ticket.holder).is_none() || Instant::now() >= deadline {
             let response = FinalResponse::Unknown(UnknownReason::HolderLost);
             return SettledResponse { digest, response };
         }
-        sleep(HOLDER_RETRY).await;
+        sleep(HOLDER_RETRY_INTERVAL).await;
     }
 }
 
@@ -179,7 +180,8 @@
     context.pool.seal(&witness, ticket).await.ok()
 }
 
-/// Runs the call as the holder of `ticket`: once, whoever and however often it is asked.
+/// Runs the call as the holder of `ticket`: at most once, no matter how often and by whom it is
+/// requested.
 pub async fn run_as_holder(
     context: &Rc<ServeContext>,
     ticket: TicketId,
@@ -200,17 +202,17 @@
             return SettledResponse { digest: [0; 32], response };
         }
         Ok(TicketUse::Forgotten) => return unknown(UnknownReason::TicketExpired),
-        // The ledger is overloaded or has ended.
+        // The ledger is overloaded or has stopped.
         Err(_) => return unknown(UnknownReason::HolderLost),
     }
     match context.tickets.ask(|reply| TicketMessage::Wait { ticket, reply }).await {
         Ok(response) => SettledResponse { digest, response },
-        // The ledger is overloaded or has ended.
+        // The ledger is overloaded or has stopped.
         Err(_) => unknown(UnknownReason::HolderLost),
     }
 }
 
-/// Runs in a task of its own, so that a client that leaves does not end it.
+/// Runs the call in its own task, so that it continues if the client disconnects.
 fn spawn_run(
     context: &Rc<ServeContext>,
     ticket: TicketId,
@@ -223,8 +225,9 @@
         let _active = active;
         let mut run = OnceRun::new(context.clone(), ticket, call);
         let response = run.run().await;
-        run.note_end(&response);
-        // If the ledger is overloaded, those who wait get no response from it; the witness does.
+        run.record_end(&response);
+        // If the ledger is overloaded, waiting clients get no response from it, but the witness
+        // still gets it.
         let _ = context.tickets.send(TicketMessage::End { ticket, response: response.clone() });
         settle(&context, ticket, SettledResponse { digest, response }).await;
     });
@@ -240,7 +243,7 @@
     }
 }
 
-/// Runs `serve` within the time that a client is kept waiting.
+/// Runs [`serve`] with a timeout, after which the outcome is unknown to the client.
 pub async fn serve_within(
     context: &Rc<ServeContext>,
     key: Option<&str>,
--- a/src/native/serve/run/once/claims.rs
+++ b/src/native/serve/run/once/claims.rs
@@ -1,14 +1,14 @@
-//! Claims: the objects that bind a client's own key to a ticket.
+//! Claims: objects that bind a key that a client made up to a ticket.
 //!
-//! A claim is written on condition that nobody wrote it before. If the response to the write is
-//! lost, reading back tells which ticket the key is bound to.
+//! A claim is written on condition that it does not exist yet. If the response to the write is lost,
+//! reading the object back shows which ticket the key is bound to.
 
 use std::{rc::Rc, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::HOLDER_RETRY;
+use super::HOLDER_RETRY_INTERVAL;
 use crate::{
     errors::FailureCause,
     ids::{SharedName, hash_parts},
@@ -23,13 +23,13 @@
     },
 };
 
-/// Kind of the objects that bind a client's key to a ticket.
+/// Kind of claims in the object API.
 const CLAIM_KIND: &str = "claims";
-/// Tries to settle a claim whose write's response was lost: bounds what one client waits in an
-/// outage.
-const CLAIM_TRIES: u32 = 4;
-/// The n-th read after a lost write comes n times `HOLDER_RETRY`, divided by this, later.
-const CLAIM_RETRY_PART: u32 = 4;
+/// Most reads of a claim after the response to its write was lost: bounds how long a client waits
+/// during an outage.
+const CLAIM_READS: u32 = 4;
+/// The n-th retry of that read waits n times `HOLDER_RETRY_INTERVAL`, divided by this.
+const CLAIM_RETRY_DIVISOR: u32 = 4;
 
 /// Value of a claim.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -37,14 +37,14 @@
     ticket: String,
 }
 
-/// Name of the claim on a key; keys may hold characters that object names may not.
+/// Name of the claim on a key: a hash, since keys may contain characters that object names may not.
 pub fn claim_name(account: &SharedName, key: &str) -> String {
     let hash = |salt: &[u8]| hash_parts(&[salt, account.as_bytes(), key.as_bytes()]);
     format!("{:016x}{:016x}", hash(b"claim-high"), hash(b"claim-low"))
 }
 
-/// Binds a claim to `own`, or finds what it is bound to, with its version. A write
-/// whose response was lost is settled by reading back.
+/// Binds a claim to the ticket `own`, and returns the ticket that it is bound to and the claim's
+/// version. If the response to the write was lost, reads the claim back.
 pub async fn claim(
     context: &Rc<ServeContext>,
     object: &str,
@@ -59,12 +59,12 @@
         Ok(receipt) => return Ok((own, receipt.version)),
         // Nothing was sent.
         Err(error) if matches!(error.cause, FailureCause::Unreachable(_)) => return Err(()),
-        // A rate limit or an outage means no effect, but a proxy on the way may say so too: only
-        // reading back can tell.
+        // A rate limit or an outage reported by the object API means that nothing was written, but
+        // a proxy may report the same after a write: only reading back can tell.
         Err(_) => {}
     }
-    for retry in 0..CLAIM_TRIES {
-        sleep(HOLDER_RETRY * retry / CLAIM_RETRY_PART).await;
+    for retry in 0..CLAIM_READS {
+        sleep(HOLDER_RETRY_INTERVAL * retry / CLAIM_RETRY_DIVISOR).await;
         let Ok(entry) = context.platform.read_object(CLAIM_KIND, object).await else { continue };
         let Some(value) = entry.value else { return Err(()) };
         let Ok(found) = serde_json::from_value::<ClaimRecord>(value) else { return Err(()) };
@@ -73,7 +73,7 @@
     Err(())
 }
 
-/// Spends a ticket that was not used.
+/// Uses up a ticket without dispatching its call.
 pub async fn abandon(context: &Rc<ServeContext>, ticket: TicketId, call: &Arc<ClientCall>) {
     let digest = call.digest();
     let begin = context.tickets.ask(|reply| TicketMessage::Begin { ticket, digest, reply });
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -1,4 +1,5 @@
-//! One run of a ticket at its holder: admit, pick, obtain consent, dispatch once.
+//! One run of a ticket at its holder: admits the request, picks an endpoint, obtains the witness's
+//! consent and dispatches once.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -28,8 +29,8 @@
 
 /// Longest wait in the queue for an endpoint: leaves most of the client's 45 s for the run itself.
 const QUEUE_WAIT: Duration = Duration::from_secs(10);
-/// Endpoints that may refuse before starting, for one request: a few endpoints, then the client
-/// decides.
+/// Refusals by endpoints after which a request is given up: a few endpoints are tried, then the
+/// client decides.
 const REFUSAL_LIMIT: usize = 4;
 
 /// One run of a ticket at its holder.
@@ -51,8 +52,8 @@
         Self { context, ticket, call, name, refused_by: Vec::new(), started_at, priority }
     }
 
-    /// Notes the one terminal event.
-    pub fn note_end(&self, response: &FinalResponse) {
+    /// Records the end of the request.
+    pub fn record_end(&self, response: &FinalResponse) {
         let label = response.label();
         self.context.metrics.count_labelled("requests_ended", "outcome", label);
         let reason = match response {
@@ -66,7 +67,7 @@
         self.context.note(EventKind::Ended, &self.name, detail);
     }
 
-    /// Runs to the final response.
+    /// Runs the request to its final response.
     pub async fn run(&mut self) -> FinalResponse {
         let undispatched = UndispatchedCall::new(self.call.clone());
         match admit(&self.context, &self.call).await {
@@ -124,7 +125,7 @@
         self.context.pick(order).await
     }
 
-    /// Has the witness write down that this holder may have dispatched from now on.
+    /// Has the witness record that this holder may have dispatched from now on.
     async fn obtain_consent(&self) -> Result<(), NotRunReason> {
         if self.ticket.witness == self.ticket.holder {
             return Ok(());
@@ -136,13 +137,13 @@
                 self.context.note(EventKind::TicketSealed, &self.name, "the witness refused");
                 Err(NotRunReason::HolderGone)
             }
-            // The witness may have written its consent down; that does no harm,
-            // since this holder ends the ticket without dispatching.
+            // The witness may have recorded its consent. That does no harm, since this holder ends
+            // the ticket without dispatching.
             Err(_) => Err(NotRunReason::NoWitness),
         }
     }
 
-    /// Dispatches once. Gives the call back only if the endpoint did not start it.
+    /// Dispatches the call once. Returns the call only if the endpoint did not start it.
     async fn dispatch(
         &mut self,
         stage: UndispatchedCall,
--- a/src/native/serve/run/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -1,10 +1,11 @@
 //! Finds or starts the request that a client names, wherever it runs.
 //!
-//! The daemon that accepts a request reports it to a few directory peers, which anyone can work
-//! out from the request's name; its tokens go to its partners, which anyone can work out from the
-//! daemon. A client whose connection broke asks any daemon. That one offers itself to the same
-//! directory peers, learns who runs the request, and follows that holder; if the holder cannot
-//! be reached, it gets the tokens from the holder's partners and takes the request over.
+//! The daemon that accepts a request (its holder) reports it to a few directory peers, which every
+//! daemon can compute from the request's name. It sends the request's tokens to its partners, which
+//! every daemon can compute from the holder's identity. A client whose connection broke may ask any
+//! daemon. That daemon offers to run the request to the same directory peers, learns from them who
+//! runs it, and follows that holder. If the holder cannot be reached, the daemon gets the tokens from
+//! the holder's partners and takes the request over.
 
 mod directory;
 mod mirror;
@@ -17,7 +18,7 @@
     admission::{AdmissionVerdict, admit},
     driver::RequestDriver,
     resume::{
-        directory::{place, rank, recover},
+        directory::{fetch_from_partners, offer_to_directory, precedence},
         mirror::{follow_again, mirror},
     },
 };
@@ -42,14 +43,14 @@
     },
 };
 
-/// What was found.
+/// Result of [`obtain`].
 #[derive(Debug)]
 pub enum ObtainedRequest {
-    /// Its state can be read from the store as it grows.
+    /// The request's state is in the local store and is updated there.
     Ready,
-    /// The key names another request.
+    /// The key was used for another request.
     KeyReused,
-    /// It was refused.
+    /// The request was refused.
     Refused(FinalResponse),
 }
 
@@ -72,7 +73,7 @@
     }
 }
 
-/// State of a request that starts here.
+/// Initial state of a request that starts at this daemon.
 fn first_copy(context: &ServeContext, name: &RequestName, call: &Arc<ClientCall>) -> RequestCopy {
     RequestCopy {
         name: name.clone(),
@@ -93,7 +94,7 @@
 ) -> Result<ObtainedRequest, SendError> {
     let undispatched = UndispatchedCall::new(call.clone());
     let copy = first_copy(context, name, &call);
-    let (targets, known) = place(context, &copy).await;
+    let (targets, known) = offer_to_directory(context, &copy).await;
     if let Some(known) = known {
         context.requests.send(RequestMessage::Remove { name: name.clone() })?;
         if known.digest.is_some_and(|digest| digest != call.digest()) {
@@ -124,27 +125,28 @@
     context.kernel.spawn("driver", async move {
         let (context, name) = driver.run(stage).await;
         drop(active);
-        // A driver also stops when another daemon has taken its request over; then
-        // clients here must get the response from there.
+        // A driver also stops when another daemon has taken its request over. Clients of this
+        // daemon then need the response of that one.
         follow_again(context, name).await;
     });
 }
 
-/// Stores a request that runs elsewhere, for a client that asks here.
+/// Stores and follows a request that another daemon runs, for a client of this daemon.
 async fn adopt(
     context: &Rc<ServeContext>,
     known: RequestCopy,
     call: Arc<ClientCall>,
 ) -> Result<ObtainedRequest, SendError> {
     supersede(context, known.clone()).await;
-    // The second claim gives the record its call, which peers do not keep.
+    // The second claim adds the call to the record, since peers do not keep calls.
     let name = known.name.clone();
     let claim = context.requests.ask(|reply| RequestMessage::Claim { name, call, reply });
     claim.await?;
     follow(context, known).await
 }
 
-/// Goes on with a request that is known as a copy.
+/// Follows the holder of a request that is known here as a copy, or takes the request over if the
+/// holder is no longer a member.
 async fn follow(
     context: &Rc<ServeContext>,
     copy: RequestCopy,
@@ -167,19 +169,19 @@
     }
 }
 
-/// Makes this daemon the holder, and goes on after the tokens known here.
+/// Makes this daemon the holder, and continues after the tokens known here.
 async fn take_over(
     context: &Rc<ServeContext>,
     name: &RequestName,
 ) -> Result<ObtainedRequest, SendError> {
-    recover(context, name).await;
+    fetch_from_partners(context, name).await;
     let taken =
         context.requests.ask(|reply| RequestMessage::TakeOver { name: name.clone(), reply });
-    let Some(copy) = taken.await? else { return Ok(ObtainedRequest::Refused(gone())) };
-    let Some(call) = copy.call.clone() else { return Ok(ObtainedRequest::Refused(gone())) };
+    let Some(copy) = taken.await? else { return Ok(ObtainedRequest::Refused(expired())) };
+    let Some(call) = copy.call.clone() else { return Ok(ObtainedRequest::Refused(expired())) };
     let begun_at = Instant::now();
-    let (targets, known) = place(context, &copy).await;
-    if let Some(known) = known.filter(|known| rank(known) > rank(&copy)) {
+    let (targets, known) = offer_to_directory(context, &copy).await;
+    if let Some(known) = known.filter(|known| precedence(known) > precedence(&copy)) {
         // Another daemon was faster.
         supersede(context, known.clone()).await;
         return Box::pin(follow(context, known)).await;
@@ -200,7 +202,7 @@
     Ok(ObtainedRequest::Ready)
 }
 
-/// The record expired between two steps: nothing is known of the request any more.
-fn gone() -> FinalResponse {
+/// Response for a request whose record expired during the take-over, so that its state is lost.
+fn expired() -> FinalResponse {
     FinalResponse::Unknown(UnknownReason::HolderLost)
 }
--- a/src/native/serve/run/resume/mirror.rs
+++ b/src/native/serve/run/resume/mirror.rs
@@ -1,4 +1,4 @@
-//! Following a request that another daemon runs.
+//! Follows a request that another daemon runs.
 
 use std::{rc::Rc, time::Duration};
 
@@ -17,11 +17,11 @@
     },
 };
 
-/// How long one request to a remote holder waits for an update: a wait ends early as soon as there
-/// is an update.
+/// How long one call to a remote holder waits for an update. It returns early once there is an
+/// update.
 const ATTACH_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Keeps the local copy up to date from its holder; takes over when that fails.
+/// Keeps the local copy up to date from the holder; takes the request over if the holder is lost.
 pub async fn mirror(context: Rc<ServeContext>, name: RequestName, holder: PeerTarget) {
     let lost = !follow_holder(&context, &name, &holder).await;
     context.mirrors.borrow_mut().remove(&name);
@@ -30,10 +30,10 @@
         None => return,
     };
     if lost && still_holder {
-        // A daemon that is leaving has closed its clients' connections; they ask
-        // another daemon, which takes over instead.
+        // A daemon that is leaving has closed its clients' connections. The clients ask another
+        // daemon, which takes over instead.
         if !context.is_leaving() {
-            // A refusal is the request's end here; its clients read it from the store.
+            // A refusal ends the request at this daemon; its clients read that from the store.
             let _ = take_over(&context, &name).await;
         }
     } else {
@@ -51,20 +51,20 @@
     read.await.ok().flatten()
 }
 
-/// Follows whoever holds a request by now, unless it has ended or is held here. Boxed,
-/// since following may lead to following again.
+/// Follows the current holder of a request, unless the request has ended or this daemon holds it.
+/// Boxed because it is recursive through [`follow`].
 pub fn follow_again(context: Rc<ServeContext>, name: RequestName) -> LocalBoxFuture<'static, ()> {
     Box::pin(async move {
         let Some(copy) = read_state(&context, &name).await else { return };
         if copy.response.is_none() && copy.holder != context.holder() {
-            // A failure leaves the request as it is: the next client that asks follows again.
+            // A failure leaves the request unchanged, and the next client's request tries again.
             let _ = follow(&context, copy).await;
         }
     })
 }
 
-/// Follows the holder until the request has ended or another one holds it (`true`), or
-/// the holder is lost (`false`).
+/// Follows the holder until the request has ended or has another holder (`true`), or the holder is
+/// lost (`false`).
 async fn follow_holder(
     context: &Rc<ServeContext>,
     name: &RequestName,
@@ -78,12 +78,13 @@
         let attached = context.pool.attach(holder, name, own.first_token, ATTACH_WAIT).await;
         let Ok(Some(update)) = attached else { return false };
         if update.holder.incarnation != holder.incarnation {
-            // The holder was itself superseded; its copy names the next one.
+            // Another daemon took over from the holder; the copy names it.
             supersede(context, update).await;
             return true;
         }
         if update.takeovers < own.takeovers {
-            // It does not know that it was superseded; nothing more comes from it.
+            // The holder does not know yet that the request was taken over from it, so its state is
+            // out of date.
             return false;
         }
         let ended = update.response.is_some();
@@ -94,10 +95,10 @@
     }
 }
 
-/// Applies a peer's update; one that is not newer changes nothing.
+/// Applies a peer's update if it is newer than the local state.
 pub async fn apply_update(context: &Rc<ServeContext>, update: RequestCopy) {
     let offer = context.requests.ask(|reply| RequestMessage::Offer { copy: update, reply });
-    // The verdict does not matter here, and an update that an overloaded store does not take is
-    // asked for again by the next read.
+    // The verdict does not matter here. An update that an overloaded store does not accept is
+    // fetched again by the next read.
     let _ = offer.await;
 }
