--- a/src/native/daemon.rs
+++ b/src/native/daemon.rs
@@ -94,7 +94,11 @@
     let context = Rc::new(assemble(settings, kernel.handle(), &views).expect("registered"));
     start(&mut kernel, &context, inboxes, listeners, views);
     let detail = format!("zone {}", context.identity.zone);
-    context.note_subject(EventKind::Phase, &context.identity.address, format!("running, {detail}"));
+    context.record_subject_event(
+        EventKind::Phase,
+        &context.identity.address,
+        format!("running, {detail}"),
+    );
     spdlog::info!("running", kv: {
         service = "kernel", incarnation: = context.identity.incarnation, zone: = context.identity.zone
     });
--- a/src/native/daemon/shutdown.rs
+++ b/src/native/daemon/shutdown.rs
@@ -49,7 +49,7 @@
     };
     context.kernel.enter(LifePhase::Draining);
     let address = &context.identity.address;
-    context.note_subject(
+    context.record_subject_event(
         EventKind::Phase,
         address,
         format!("draining, {} active", context.active.get()),
@@ -67,7 +67,7 @@
     };
     hand_off(&context, deadline).await;
     sleep(LEAVE_SPREAD_TIME).await;
-    context.note_subject(EventKind::Phase, address, "stopping");
+    context.record_subject_event(EventKind::Phase, address, "stopping");
     context.kernel.enter(LifePhase::Stopping);
 }
 
@@ -113,7 +113,7 @@
     let count = running.len();
     context.metrics.count("requests_handed_off", count as u64);
     let detail = format!("handing off {count} requests");
-    context.note_subject(EventKind::Phase, &context.identity.address, detail);
+    context.record_subject_event(EventKind::Phase, &context.identity.address, detail);
     let own = context.identity.incarnation;
     let partners = context.partner_targets(own, context.settings.copies);
     let offers = partners.iter().map(|partner| context.pool.append(partner, &running));
--- a/src/native/peer/server.rs
+++ b/src/native/peer/server.rs
@@ -50,12 +50,12 @@
         let identity = &self.context.identity;
         let deployment = hello.get_deployment()?.to_str().unwrap_or("(not text)").to_owned();
         if deployment != *identity.deployment {
-            self.context.refused_peer(&format!("deployment {deployment}"));
+            self.context.record_refused_peer(&format!("deployment {deployment}"));
             return Err(Error::failed(format!("this is deployment {}", identity.deployment)));
         }
         let version = hello.get_version();
         if !is_compatible(identity.version, version) {
-            self.context.refused_peer(&format!("protocol version {version}"));
+            self.context.record_refused_peer(&format!("protocol version {version}"));
             let message =
                 format!("protocol version {version} is unknown; {} here", identity.version);
             return Err(Error::failed(message));
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -191,7 +191,7 @@
     }
 
     /// Notes that a peer was refused at the peer listener.
-    pub fn refused_peer(&self, what: &str) {
+    pub fn record_refused_peer(&self, what: &str) {
         self.metrics.count("peers_refused", 1);
         spdlog::warn!("peer refused: {}", what, kv: { service = "peer-listener" });
     }
@@ -202,7 +202,12 @@
     }
 
     /// Notes an event of something other than a request.
-    pub fn note_subject(&self, kind: EventKind, subject: &SharedName, detail: impl Into<String>) {
+    pub fn record_subject_event(
+        &self,
+        kind: EventKind,
+        subject: &SharedName,
+        detail: impl Into<String>,
+    ) {
         self.timeline.record(kind, Some(subject.clone()), detail.into());
     }
 }
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -143,7 +143,7 @@
 
     fn note(&self, detail: String) {
         let subject = self.context.identity.address.clone();
-        self.context.note_subject(EventKind::Planned, &subject, detail);
+        self.context.record_subject_event(EventKind::Planned, &subject, detail);
     }
 
     async fn items(&self, kind: ItemKind) -> Vec<SpreadItem> {
