--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -139,10 +139,10 @@
                 PickReply::Busy(wait) => {
                     return Some(self.give_up(stage, NotRunReason::Overloaded, wait));
                 }
-                PickReply::Nowhere if self.exclude.is_empty() => {
+                PickReply::NoEndpoint if self.exclude.is_empty() => {
                     return Some(self.give_up(stage, NotRunReason::NoEndpoint, RETRY_AFTER));
                 }
-                PickReply::Nowhere => {
+                PickReply::NoEndpoint => {
                     // Every endpoint was tried; those that failed first may have recovered.
                     self.exclude.clear();
                     let verdict = after_all_tried(self.attempts, &mut rand::rng());
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -89,7 +89,9 @@
             let slot = match self.pick().await {
                 PickReply::Slot(slot) => slot,
                 PickReply::Busy(wait) => return stage.refuse(NotRunReason::Overloaded, wait),
-                PickReply::Nowhere => return stage.refuse(NotRunReason::NoEndpoint, RETRY_AFTER),
+                PickReply::NoEndpoint => {
+                    return stage.refuse(NotRunReason::NoEndpoint, RETRY_AFTER);
+                }
             };
             if !consented {
                 if let Err(reason) = self.obtain_consent().await {
--- a/src/native/serve/services.rs
+++ b/src/native/serve/services.rs
@@ -1,5 +1,5 @@
-//! Services that own a daemon's state. Each runs as one task with a mailbox, so that its
-//! state has one writer.
+//! Services that own a daemon's state. Each runs as one task with an inbox, so that its state has
+//! one writer.
 
 pub mod copies;
 pub mod limit_service;
@@ -9,7 +9,7 @@
 
 use tokio::sync::oneshot;
 
-/// Answers a message. The asker may be gone meanwhile; then nobody wants the reply.
+/// Replies to a message. The reply is dropped if its receiver is gone.
 pub fn send_reply<T>(reply: oneshot::Sender<T>, value: T) {
     drop(reply.send(value));
 }
--- a/src/native/serve/services/copies.rs
+++ b/src/native/serve/services/copies.rs
@@ -1,9 +1,8 @@
-//! Service that keeps the tokens of running requests at this daemon's partners.
+//! Service that copies the tokens of running requests to this daemon's partners.
 //!
-//! The updates of all requests go in one message to each partner ten times a second, so
-//! copying costs the tokens' bytes and a constant number of messages a second, however
-//! many requests run and however many daemons there are. docs/design/copies.md weighs
-//! the ways.
+//! Ten times a second the updates of all requests go to each partner in one message. Copying thus
+//! costs the tokens' bytes and a constant number of messages a second, regardless of the number of
+//! requests and daemons. docs/design/copies.md compares the alternatives.
 
 pub mod messages;
 
@@ -32,19 +31,19 @@
 
 /// Name of the service.
 pub const NAME: &str = "copies";
-/// Time between messages to one partner: what is collected is sent once.
-const FLUSH_EVERY: Duration = Duration::from_millis(100);
+/// Time between messages to one partner. Updates of this time are sent together.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bytes of an update beside its name and tokens.
+/// Bytes of an update in addition to its name and tokens.
 const FIELD_BYTES: usize = 64;
-/// Directory entries are renewed after the time for which they are kept, divided by this: one lost
-/// message does no harm.
-const RENEWAL_PART: u32 = 3;
+/// Directory entries are renewed after the time for which they are kept, divided by this, so that one
+/// lost message does no harm.
+const RENEWAL_DIVISOR: u32 = 3;
 
 #[derive(Debug)]
 struct TrackedCopy {
     view: ResponseView,
-    /// Tokens that each partner has been sent; a partner that is not here has nothing.
+    /// Number of tokens sent to each partner. A partner without an entry has no tokens.
     sent: HashMap<PeerTarget, usize>,
     /// Progress when the partners were last sent an update.
     progress: Option<RequestProgress>,
@@ -58,14 +57,14 @@
     tracked: HashMap<RequestName, TrackedCopy>,
 }
 
-/// Runs the service; `context` is set once the daemon is assembled.
+/// Runs the service. `context` can be upgraded once the daemon is assembled.
 pub async fn run(
     mut inbox: ServiceInbox<CopyMessage>,
     address: ServiceAddress<CopyMessage>,
     context: Weak<ServeContext>,
 ) {
     let mut service = CopyService { context, address, tracked: HashMap::new() };
-    let mut flush = interval(FLUSH_EVERY);
+    let mut flush = interval(FLUSH_INTERVAL);
     flush.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -94,7 +93,7 @@
                 }
             }
             CopyMessage::Failed(target) => {
-                // It is sent everything again, if it is still a partner by then.
+                // If it is still a partner at the next flush, it is sent everything again.
                 for copy in self.tracked.values_mut() {
                     copy.sent.remove(&target);
                     copy.progress = None;
@@ -133,7 +132,7 @@
                 *sent = update.first_token + update.tokens.len();
                 by_target.entry(partner.clone()).or_default().push(update);
             }
-            if copy.renewed_at.elapsed() > context.settings.answer_keep / RENEWAL_PART {
+            if copy.renewed_at.elapsed() > context.settings.answer_keep / RENEWAL_DIVISOR {
                 copy.renewed_at = Instant::now();
                 let entry = copy.view.copy_from(usize::MAX);
                 tokio::task::spawn_local(renew_directory(context.clone(), name.clone(), entry));
@@ -164,22 +163,22 @@
     let message = match context.pool.append(&target, &copies).await {
         Ok(refused) if refused.is_empty() => return,
         Ok(refused) => CopyMessage::Refused(target, refused),
-        // Whatever the error: the partner is sent everything again.
+        // After any error the partner is sent everything again.
         Err(_) => CopyMessage::Failed(target),
     };
-    // Fails if the copier is overloaded or has ended. The partner refuses the next update, and
-    // is then sent the whole copy.
+    // Fails if the copier is overloaded or has stopped. If it is overloaded, the partner refuses the
+    // next update and is then sent the whole copy.
     let _ = address.send(message);
 }
 
-/// A partner refused an update: if it knows a later take-over, this daemon is superseded.
+/// Checks, after a partner refused an update, whether the partner knows a later take-over.
 async fn check_superseded(context: Rc<ServeContext>, target: PeerTarget, name: RequestName) {
     if let Ok(Some(known)) = context.pool.attach(&target, &name, 0, Duration::ZERO).await {
         supersede(&context, known).await;
     }
 }
 
-/// Renews the directory's entry of a long request, so that it does not expire.
+/// Renews the directory entry of a long-running request, so that it does not expire.
 async fn renew_directory(context: Rc<ServeContext>, name: RequestName, entry: RequestCopy) {
     let entry = RequestCopy { first_token: 0, tokens: Vec::new(), ..entry };
     for target in context.directory_targets(&name) {
@@ -189,12 +188,12 @@
     }
 }
 
-/// Applies what a peer knows, if it has precedence over what is known here.
+/// Replaces the local state by a peer's state if the peer's takes precedence.
 pub async fn supersede(context: &Rc<ServeContext>, known: RequestCopy) {
     let name = known.name.clone();
     let offer = context.requests.ask(|reply| RequestMessage::Offer { copy: known, reply });
     if matches!(offer.await, Ok(OfferVerdict::Stored)) {
         context.metrics.count("requests_superseded", 1);
-        spdlog::info!("superseded", kv: { service = NAME, request: = name });
+        spdlog::info!("request state replaced by a peer's", kv: { service = NAME, request: = name });
     }
 }
--- a/src/native/serve/services/limit_service.rs
+++ b/src/native/serve/services/limit_service.rs
@@ -1,4 +1,4 @@
-//! Service that holds the limits of client accounts together with all other daemons.
+//! Service that enforces the limits of client accounts jointly with all other daemons.
 
 use std::{collections::HashMap, rc::Rc, sync::Arc, time::Duration};
 
@@ -27,14 +27,14 @@
 /// Name of the service.
 pub const NAME: &str = "limits";
 
-/// Members among whom each exchange's partner is drawn: few enough to keep connections open, and an
-/// expanding graph.
+/// Number of members from which each exchange's partner is drawn: few enough to keep connections
+/// open, and enough that the members form an expander graph.
 const PARTNERS: u64 = 6;
 
-/// What the service is asked.
+/// Messages to the service.
 #[derive(Debug)]
 pub enum LimitMessage {
-    /// May `tokens` of an account be used?
+    /// Asks whether an account may use `tokens`.
     Admit {
         /// Account.
         account: SharedName,
@@ -51,12 +51,12 @@
     Average {
         /// Its values.
         theirs: DemandOffer,
-        /// Own values from before, if of the same epoch and order.
+        /// Own values before the exchange, if both sides have the same epoch and order.
         reply: oneshot::Sender<Option<Vec<f32>>>,
     },
-    /// A peer has answered an exchange.
+    /// A peer has replied to an exchange.
     Answered {
-        /// Values that were sent.
+        /// Values that were sent to it.
         sent: DemandOffer,
         /// Its values.
         theirs: Vec<f32>,
@@ -68,8 +68,8 @@
     },
 }
 
-/// Name under which a service's demand is averaged beside the accounts'. Rows cannot
-/// have it: their names hold no slash.
+/// Name under which a service's demand is averaged along with the accounts'. It can't clash with an
+/// account's name, since names of rows contain no slash.
 pub fn service_demand_name(service: &str) -> SharedName {
     format!("service/{service}").into()
 }
@@ -90,7 +90,7 @@
 /// Requests in progress and waiting at this daemon, by service.
 pub type ServiceLoads = Rc<HashMap<SharedName, f64>>;
 
-/// What the service watches.
+/// State of other services that this service reads.
 pub struct LimitViews {
     /// Current members.
     pub members: watch::Receiver<Rc<MemberList>>,
@@ -155,7 +155,7 @@
 
     fn enter_epoch(&mut self) {
         let now = Instant::now();
-        // A sender that is gone changes nothing any more: the daemon stops.
+        // If the sender is gone, the daemon is stopping and the table no longer changes.
         if self.table.has_changed().unwrap_or(false) {
             let table = self.table.borrow_and_update();
             let accounts = table.accounts().map(|row| row.name.clone());
@@ -183,16 +183,17 @@
         let Some(target) = self.random_member() else { return };
         let (pool, address) = (self.pool.clone(), self.address.clone());
         tokio::task::spawn_local(async move {
-            // A lost exchange is forgotten with its epoch.
+            // An exchange that fails is not repeated: it matters only until its epoch ends.
             if let Ok(Some(theirs)) = pool.average(&target, &sent).await {
-                // Lost if the limiter is overloaded, as above.
+                // Lost if the limiter is overloaded, like a failed exchange.
                 let _ = address.send(LimitMessage::Answered { sent, theirs });
             }
         });
     }
 
-    /// Partners are drawn from a few that stay the same, so that connections can too:
-    /// the ring successors of fixed points make an expanding graph.
+    /// Draws the partner of an exchange from a small fixed set of members, so that connections can
+    /// stay open. The set consists of the ring successors of fixed points, which makes an expander
+    /// graph.
     fn random_member(&mut self) -> Option<PeerTarget> {
         let index = self.rng.random_range(0..PARTNERS);
         let point =
--- a/src/native/serve/services/router.rs
+++ b/src/native/serve/services/router.rs
@@ -1,8 +1,8 @@
-//! Service that owns the routes.
+//! Service that owns the route table.
 //!
-//! It gives each attempt its endpoint (`picks`), keeps the requests of all accounts in a fair
-//! order while endpoints are full, and moves streams off endpoints that are leaving
-//! (`reclaims`). The rules are in `decide`: routing, fair_queue, reclaim, subset.
+//! It assigns an endpoint to each attempt (`picks`), queues the requests of all accounts in a fair
+//! order while endpoints are full, and moves streams off endpoints that are leaving (`reclaims`).
+//! The rules are in `decide`: routing, fair_queue, reclaim, subset.
 
 pub mod messages;
 mod picks;
@@ -47,10 +47,11 @@
 
 /// Name of the service.
 pub const NAME: &str = "router";
-/// Time between checks of queues and changed inputs: short beside a first token.
+/// Time between checks of queues and changed inputs: short compared with the time to a first token.
 const TICK: Duration = Duration::from_millis(20);
-/// Time between polls of the endpoints' load and cache events. Each poll costs bytes in proportion.
-const POLL_EVERY: Duration = Duration::from_millis(2_000);
+/// Time between polls of the endpoints' load and cache events. More frequent polls
+/// cost proportionally more traffic.
+const POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 
 struct RouterService {
     own: IncarnationId,
@@ -66,15 +67,15 @@
     streams: HashMap<AttemptId, RunningStream>,
     /// Mean time of an attempt, by service, in seconds.
     attempt_s: HashMap<SharedName, f64>,
-    sharing: f64,
-    dirty: bool,
+    daemons_per_endpoint: f64,
+    needs_rebuild: bool,
     loads: watch::Sender<ServiceLoads>,
     rng: SmallRng,
 }
 
-/// What the router works with.
+/// Inputs of the router.
 pub struct RouterInputs {
-    /// This daemon.
+    /// Incarnation of this daemon.
     pub own: IncarnationId,
     /// Its availability zone.
     pub zone: SharedName,
@@ -90,7 +91,7 @@
     pub metrics: MetricsHandle,
     /// Time line.
     pub timeline: TimelineHandle,
-    /// Where the load by service is published.
+    /// Channel on which the load by service is published.
     pub loads: watch::Sender<ServiceLoads>,
 }
 
@@ -109,14 +110,14 @@
         queues: HashMap::new(),
         streams: HashMap::new(),
         attempt_s: HashMap::new(),
-        sharing: 1.0,
-        dirty: true,
+        daemons_per_endpoint: 1.0,
+        needs_rebuild: true,
         loads: inputs.loads,
         rng: rand::make_rng(),
     };
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut poll = interval(POLL_EVERY);
+    let mut poll = interval(POLL_INTERVAL);
     poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -139,7 +140,7 @@
             RouterMessage::Ended { service, id, attempt, result, chain, took } => {
                 self.streams.remove(&attempt);
                 self.routes.ended(&service, &id, result, &chain, Instant::now());
-                self.learn_duration(&service, took);
+                self.record_duration(&service, took);
                 self.serve_queue(&service);
             }
             RouterMessage::Load { service, id, load } => {
@@ -156,7 +157,7 @@
     }
 
     fn set_vm(&mut self, id: SharedName, entry: Option<VmEntry>) {
-        self.dirty = true;
+        self.needs_rebuild = true;
         match entry {
             Some(entry) => {
                 if entry.state == VmState::Leaving {
@@ -172,7 +173,7 @@
 
     /// Rebuilds the endpoint windows after a change of VMs, members or table.
     fn rebuild(&mut self) {
-        self.dirty = false;
+        self.needs_rebuild = false;
         let table = self.table.borrow_and_update().clone();
         let members = self.members.borrow_and_update().clone();
         let mut by_service: HashMap<SharedName, Vec<&VmEntry>> = HashMap::new();
@@ -187,15 +188,18 @@
             let chosen = window(rank, daemons, vms.len()).map(|index| to_info(vms[index]));
             let infos: Vec<EndpointInfo> = chosen.collect();
             let used = (window_size(daemons, vms.len()) * daemons) as f64;
-            self.sharing = used / vms.len().max(1) as f64;
-            self.routes.set_endpoints(&row.name, infos, row.concurrency, self.sharing);
+            self.daemons_per_endpoint = used / vms.len().max(1) as f64;
+            self.routes.set_endpoints(&row.name, infos, row.concurrency, self.daemons_per_endpoint);
         }
     }
 
     fn tick(&mut self) {
-        // A sender that is gone changes nothing any more: the daemon stops.
+        // If a sender is gone, the daemon is stopping and its value no longer changes.
         let changed = |result: Result<bool, watch::error::RecvError>| result.unwrap_or(false);
-        if self.dirty || changed(self.table.has_changed()) || changed(self.members.has_changed()) {
+        if self.needs_rebuild
+            || changed(self.table.has_changed())
+            || changed(self.members.has_changed())
+        {
             self.rebuild();
         }
         self.publish_loads();
--- a/src/native/serve/services/router/messages.rs
+++ b/src/native/serve/services/router/messages.rs
@@ -22,29 +22,29 @@
     },
 };
 
-/// A stream, as far as moving it matters.
+/// Properties of a stream that matter for moving it.
 #[derive(Clone, Debug)]
 pub struct StreamShape {
-    /// Request.
+    /// Name of the request.
     pub name: RequestName,
-    /// Tokens of its prompt.
+    /// Number of tokens of its prompt.
     pub prompt_tokens: usize,
-    /// Tokens of its whole response.
+    /// Largest number of tokens of its response.
     pub max_tokens: usize,
 }
 
-/// What an attempt asks of the router.
+/// Request of an attempt for an endpoint.
 #[derive(Debug)]
 pub struct PickOrder {
     /// Service.
     pub service: SharedName,
-    /// Turn it takes when endpoints are full.
+    /// Determines its place in the queue when endpoints are full.
     pub turn: QueueTurn,
     /// Block hashes of the prompt.
     pub chain: Arc<[u64]>,
-    /// Endpoints tried already.
+    /// Endpoints that were tried already.
     pub exclude: Vec<SharedName>,
-    /// Latest time at which an endpoint is of use.
+    /// Time at which the attempt stops waiting for an endpoint.
     pub deadline: Instant,
     /// Attempt.
     pub attempt: AttemptId,
@@ -52,16 +52,16 @@
     pub stream: Option<StreamShape>,
 }
 
-/// Endpoint given to an attempt; the attempt ends when this is dropped.
+/// Endpoint assigned to an attempt. Dropping it tells the router that the attempt has ended.
 #[derive(Debug)]
 pub struct EndpointSlot {
     /// Endpoint.
     pub pick: EndpointPick,
-    /// What to do about a notice, once there is one.
+    /// How to leave the endpoint, once it has a reclaim notice.
     pub way: watch::Receiver<Option<ReclaimWay>>,
     /// Tokens produced so far, kept up to date by the attempt.
     pub produced: Rc<Cell<usize>>,
-    /// How it ended; set before the drop.
+    /// How the attempt ended; set before the slot is dropped.
     pub result: Cell<AttemptResult>,
     pub(super) service: SharedName,
     pub(super) attempt: AttemptId,
@@ -71,7 +71,7 @@
 }
 
 impl EndpointSlot {
-    /// Attempt it was given to.
+    /// Attempt to which the endpoint is assigned.
     pub fn attempt(&self) -> AttemptId {
         self.attempt
     }
@@ -79,7 +79,7 @@
 
 impl Drop for EndpointSlot {
     fn drop(&mut self) {
-        // Fails when the router's inbox is full, or when the router has ended with the daemon.
+        // Fails when the router's inbox is full, or when the router has stopped with the daemon.
         let _ = self.router.send(RouterMessage::Ended {
             service: self.service.clone(),
             id: self.pick.id.clone(),
@@ -91,28 +91,28 @@
     }
 }
 
-/// Answer to a pick.
+/// Reply to a pick.
 #[derive(Debug)]
 pub enum PickReply {
-    /// An endpoint.
+    /// An endpoint was assigned.
     Slot(EndpointSlot),
-    /// None in time; the client may retry after this.
+    /// No endpoint was free in time; the client may retry after this.
     Busy(Duration),
     /// The service has no usable endpoint.
-    Nowhere,
+    NoEndpoint,
 }
 
 /// Messages to the service.
 #[derive(Debug)]
 pub enum RouterMessage {
-    /// A VM is in the list (`Some`) or no longer (`None`).
+    /// A VM was added to the list or changed (`Some`), or was removed from it (`None`).
     Vm {
         /// Identity.
         id: SharedName,
         /// Entry.
         entry: Option<VmEntry>,
     },
-    /// A VM has a notice.
+    /// A VM has a reclaim notice.
     Notice(ReclaimNotice),
     /// An attempt needs an endpoint.
     Pick(Box<PickOrder>, oneshot::Sender<PickReply>),
@@ -126,9 +126,9 @@
         attempt: AttemptId,
         /// Result.
         result: AttemptResult,
-        /// Block hashes now cached there.
+        /// Block hashes of the prompt, which the endpoint now has cached.
         chain: Arc<[u64]>,
-        /// How long it took.
+        /// Duration of the attempt.
         took: Duration,
     },
     /// An endpoint has reported its load.
@@ -140,7 +140,7 @@
         /// Running and waiting requests.
         load: u32,
     },
-    /// An endpoint has reported changes of its cache.
+    /// An endpoint has reported changes to its cache.
     Cache {
         /// Service.
         service: SharedName,
--- a/src/native/serve/services/router/picks.rs
+++ b/src/native/serve/services/router/picks.rs
@@ -1,4 +1,4 @@
-//! Picks: the endpoint for each attempt, and the queue of those that wait for one.
+//! Picks an endpoint for each attempt, and queues attempts while endpoints are full.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -24,23 +24,23 @@
     },
 };
 
-/// Most requests that wait for endpoints of one service: bounds memory; the wait is bounded by each
-/// pick's deadline.
+/// Most requests that wait for endpoints of one service. Bounds memory; the deadline of each pick
+/// bounds the wait.
 const QUEUE_LIMIT: usize = 2_000;
-/// Time of an attempt before the first has ended, in seconds.
-const ATTEMPT_S: f64 = 1.0;
-/// Weight of a new attempt in the mean time of attempts: the mean follows the last twenty or so.
+/// Duration assumed for an attempt until the first one has ended, in seconds.
+const INITIAL_ATTEMPT_S: f64 = 1.0;
+/// Weight of a new attempt in the moving average of durations: about the last twenty attempts count.
 const SMOOTHING: f64 = 0.05;
 /// Shortest retry-after when endpoints are full, in seconds: the same as in `decide::limits`.
 const RETRY_AFTER_MIN_S: f64 = 0.1;
-/// Longest retry-after when endpoints are full, in seconds: by then the fleet may have grown.
+/// Longest retry-after when endpoints are full, in seconds: by then more VMs may have started.
 const RETRY_AFTER_MAX_S: f64 = 60.0;
 
-/// A pick that is being served or waits.
+/// A pick that has not been replied to.
 pub struct PendingPick {
-    /// What is asked.
+    /// The request for an endpoint.
     pub order: Box<PickOrder>,
-    /// Where the reply goes.
+    /// Receives the reply.
     pub reply: oneshot::Sender<PickReply>,
 }
 
@@ -48,7 +48,7 @@
     /// Serves a pick, or queues it.
     pub(super) fn pick(&mut self, order: Box<PickOrder>, reply: oneshot::Sender<PickReply>) {
         let service = order.service.clone();
-        if self.dirty {
+        if self.needs_rebuild {
             self.rebuild();
         }
         let waiting = self.queues.get(&service).is_some_and(|queue| !queue.is_empty());
@@ -76,7 +76,7 @@
             }
             RouteChoice::Busy => Some(pending),
             RouteChoice::Nowhere => {
-                send_reply(pending.reply, PickReply::Nowhere);
+                send_reply(pending.reply, PickReply::NoEndpoint);
                 None
             }
         }
@@ -135,7 +135,7 @@
                 continue;
             }
             if let Some(pending) = self.try_pick(pending) {
-                // It keeps its place: the lowest tag.
+                // It had the lowest tag, so it stays first in the queue.
                 self.requeue(pending);
                 return;
             }
@@ -150,22 +150,22 @@
         }
     }
 
-    /// When a request that comes now could be served: those that wait, at the pace at
-    /// which attempts end.
+    /// Estimates how long a new request would wait, from the number of waiting requests and the rate
+    /// at which attempts end.
     pub(super) fn expected_wait(&self, service: &SharedName) -> Duration {
         let waiting = self.queues.get(service).map_or(0, FairQueue::len) as f64;
-        let attempt_s = self.attempt_s.get(service).copied().unwrap_or(ATTEMPT_S);
+        let attempt_s = self.attempt_s.get(service).copied().unwrap_or(INITIAL_ATTEMPT_S);
         let row = self.table.borrow().service(service);
-        // A row that was deleted meanwhile counts as one slot an endpoint.
+        // If the row was deleted, one slot per endpoint is assumed.
         let concurrency = row.map_or(1.0, |row| f64::from(row.concurrency));
         let endpoints = self.routes.endpoints().filter(|(name, _)| *name == service).count();
-        let slots = (endpoints as f64 * concurrency / self.sharing).max(1.0);
+        let slots = (endpoints as f64 * concurrency / self.daemons_per_endpoint).max(1.0);
         let wait = attempt_s * (waiting + 1.0) / slots;
         Duration::from_secs_f64(wait.clamp(RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S))
     }
 
-    /// Takes the time of an attempt that has ended into the mean.
-    pub(super) fn learn_duration(&mut self, service: &SharedName, took: Duration) {
+    /// Adds the duration of an attempt that has ended to the moving average.
+    pub(super) fn record_duration(&mut self, service: &SharedName, took: Duration) {
         let took = took.as_secs_f64();
         let mean = self.attempt_s.entry(service.clone()).or_insert(took);
         *mean += (took - *mean) * SMOOTHING;
--- a/src/native/serve/services/router/poll.rs
+++ b/src/native/serve/services/router/poll.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints for their load and their cache events.
+//! Polls endpoints for their load and their cache events.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
     },
 };
 
-/// Longest wait for a polled endpoint: a quarter of the time between polls.
-const POLL_LIMIT: Duration = Duration::from_millis(500);
+/// Longest wait for an endpoint's response: a quarter of the time between polls.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks an endpoint for its load and, after the event `after`, for cache events.
+/// Polls an endpoint for its load and, if `after` is given, for the cache events after that number.
 pub async fn poll_endpoint(
     http: HttpClient,
     router: ServiceAddress<RouterMessage>,
@@ -25,15 +25,15 @@
     after: Option<u64>,
 ) {
     let call = OutgoingCall::get("read load", &info.address, "/load");
-    let report = http.fetch(&call, POLL_LIMIT).await;
+    let report = http.fetch(&call, POLL_TIMEOUT).await;
     let report =
         report.and_then(|response| response.json::<LoadReport>("read load", &info.address));
-    // An endpoint that does not report keeps its last load, corrected by our own
-    // dispatches; attempts show whether it works.
+    // For an endpoint that does not report, the router keeps the last load, corrected by this
+    // daemon's own dispatches. Attempts show whether the endpoint works.
     let Ok(report) = report else { return };
     let load = report.running + report.waiting;
     let message = RouterMessage::Load { service: service.clone(), id: info.id.clone(), load };
-    // Lost if the router is overloaded; the next poll reports again.
+    // Lost if the router is overloaded; the next poll reports the load again.
     let _ = router.send(message);
     let Some(after) = after else { return };
     let call = OutgoingCall::get(
@@ -41,13 +41,13 @@
         &info.address,
         format!("/cache_events?after={after}"),
     );
-    let Ok(response) = http.fetch(&call, POLL_LIMIT).await else { return };
+    let Ok(response) = http.fetch(&call, POLL_TIMEOUT).await else { return };
     let Ok(events) = response.json::<Vec<CacheEvent>>("read cache events", &info.address) else {
         return;
     };
     let changes: Vec<CacheChange> = events.into_iter().map(CacheEvent::into_change).collect();
     if !changes.is_empty() {
-        // Lost if the router is overloaded; the next poll asks for the same events.
+        // Lost if the router is overloaded; the next poll fetches the same events again.
         let _ = router.send(RouterMessage::Cache { service, id: info.id, changes });
     }
 }
--- a/src/native/serve/services/router/reclaims.rs
+++ b/src/native/serve/services/router/reclaims.rs
@@ -1,4 +1,4 @@
-//! Reclaim notices: no new work for the VM, and a way off it for each stream there.
+//! Handles reclaim notices: the VM gets no new work, and each of its streams is told how to leave.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -14,14 +14,14 @@
     },
 };
 
-/// Time between tokens of a stream, in milliseconds.
+/// Time assumed between tokens of a stream, in milliseconds.
 const TOKEN_MS: f64 = 20.0;
-/// Time to compute one prompt token, in milliseconds: the speed of the stand-in engine.
+/// Time assumed to compute one prompt token, in milliseconds: the speed of the stand-in engine.
 const PREFILL_MS: f64 = 0.25;
-/// Time to move the KV cache of one token, in milliseconds.
+/// Time assumed to move the KV cache of one token, in milliseconds.
 const MOVE_MS: f64 = 0.125;
-/// Cost of a millisecond of delay to one stream; the unit of `recompute_weight`. Only its ratio to
-/// `recompute_weight` counts.
+/// Cost of a millisecond of delay to one stream. It is the unit of `recompute_weight`: only the ratio
+/// of the two matters.
 const DELAY_WEIGHT: f64 = 1.0;
 
 /// A stream in progress at an endpoint.
@@ -30,16 +30,16 @@
     pub service: SharedName,
     /// VM of the endpoint.
     pub vm: SharedName,
-    /// What matters for moving it.
+    /// Properties that matter for moving it.
     pub shape: StreamShape,
     /// Tokens produced so far.
     pub produced: Rc<Cell<usize>>,
-    /// Where its attempt learns how to leave.
+    /// Tells its attempt how to leave.
     pub way: watch::Sender<Option<ReclaimWay>>,
 }
 
 impl RunningStream {
-    fn leaving(&self) -> LeavingStream {
+    fn to_leaving_stream(&self) -> LeavingStream {
         let produced = self.produced.get();
         LeavingStream {
             name: self.shape.name.clone(),
@@ -52,7 +52,7 @@
 }
 
 impl RouterService {
-    /// No new work for the VM from now on; each of its streams gets the way it leaves.
+    /// Stops new work for the VM, and decides for each of its streams how to leave.
     pub(super) fn apply_notice(&mut self, notice: &ReclaimNotice) {
         self.routes.mark_leaving(&notice.vm);
         let left_ms = notice.gone_at_ms.saturating_sub(crate::wall_clock_ms()) as f64;
@@ -61,7 +61,7 @@
         let Some((_, first)) = affected.first() else { return };
         let weights = self.reclaim_weights(&first.service);
         let shapes: Vec<LeavingStream> =
-            affected.iter().map(|(_, stream)| stream.leaving()).collect();
+            affected.iter().map(|(_, stream)| stream.to_leaving_stream()).collect();
         let ways = plan_reclaim(&shapes, left_ms, &weights);
         for ((_, stream), (name, way)) in affected.iter().zip(ways) {
             stream.way.send_replace(Some(way));
@@ -73,15 +73,15 @@
 
     fn reclaim_weights(&self, service: &SharedName) -> ReclaimWeights {
         let row = self.table.borrow().service(service);
-        // A row that was deleted meanwhile counts with the default weight.
+        // If the row was deleted, the default weight is used.
         let recompute = row.map_or(1.0, |row| row.recompute_weight);
         ReclaimWeights {
             recompute,
             delay: DELAY_WEIGHT,
             token_ms: TOKEN_MS,
             prefill_ms: PREFILL_MS,
-            // The daemons that share the endpoint move their streams at once.
-            move_ms: MOVE_MS * self.sharing,
+            // All daemons that use the endpoint move their streams at the same time.
+            move_ms: MOVE_MS * self.daemons_per_endpoint,
         }
     }
 }
--- a/src/native/serve/services/store_service.rs
+++ b/src/native/serve/services/store_service.rs
@@ -22,23 +22,23 @@
 
 /// Name of the service.
 pub const NAME: &str = "requests";
-/// Time between searches for records that have expired: short beside the time for which records are
+/// Time between searches for expired records: short compared with the time for which records are
 /// kept.
-const EXPIRE_EVERY: Duration = Duration::from_millis(500);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Size of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreGauge {
-    /// Records.
+    /// Number of records.
     pub records: usize,
-    /// Bytes.
+    /// Size of the records in bytes.
     pub bytes: usize,
 }
 
-/// What the service is asked.
+/// Messages to the service.
 #[derive(Debug)]
 pub enum RequestMessage {
-    /// A client asks for `call` under `name`.
+    /// A client requests `call` under `name`.
     Claim {
         /// Name.
         name: RequestName,
@@ -51,10 +51,10 @@
     TakeOver {
         /// Name.
         name: RequestName,
-        /// State to go on from.
+        /// State from which to continue, if the request is known.
         reply: oneshot::Sender<Option<RequestCopy>>,
     },
-    /// A token has been produced here.
+    /// A request that runs at this daemon has produced a token.
     Append {
         /// Name.
         name: RequestName,
@@ -63,56 +63,56 @@
         /// Token.
         token: ResponseToken,
     },
-    /// A request that ran here has ended.
+    /// A request that ran at this daemon has ended.
     End {
         /// Name.
         name: RequestName,
-        /// Take-overs before it ran.
+        /// Take-overs before this run.
         takeovers: u32,
         /// Outcome.
         response: Arc<FinalResponse>,
     },
-    /// A peer's copy, whole or an update.
+    /// A peer sends a copy, either complete or an update.
     Offer {
         /// Copy.
         copy: RequestCopy,
         /// Verdict.
         reply: oneshot::Sender<OfferVerdict>,
     },
-    /// State from a token on.
+    /// Reads the state with the tokens from `first_token` on.
     Read {
         /// Name.
         name: RequestName,
         /// First token wanted.
         first_token: usize,
-        /// State, if known.
+        /// State, if the request is known.
         reply: oneshot::Sender<Option<RequestCopy>>,
     },
-    /// Reading end of a request's state.
+    /// Opens a live view of a request's state.
     View {
         /// Name.
         name: RequestName,
-        /// Reading end, if known.
+        /// View, if the request is known.
         reply: oneshot::Sender<Option<ResponseView>>,
     },
-    /// Number of those who wait on a request.
+    /// Counts those that wait for a request's progress, including its driver.
     Watchers {
         /// Name.
         name: RequestName,
         /// Number.
         reply: oneshot::Sender<usize>,
     },
-    /// Forget a request that was refused before it ran.
+    /// Removes a request that was cancelled, or refused before it ran.
     Remove {
         /// Name.
         name: RequestName,
     },
-    /// Whole state of all requests that run here.
+    /// Reads the complete state of all requests that run at this daemon.
     Running {
         /// States.
         reply: oneshot::Sender<Vec<RequestCopy>>,
     },
-    /// Size of the store.
+    /// Reads the size of the store.
     Gauge {
         /// Size.
         reply: oneshot::Sender<StoreGauge>,
@@ -121,7 +121,7 @@
 
 /// Runs the service.
 pub async fn run(mut inbox: ServiceInbox<RequestMessage>, mut store: RequestStore) {
-    let mut expiry = interval(EXPIRE_EVERY);
+    let mut expiry = interval(EXPIRY_INTERVAL);
     expiry.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -143,8 +143,8 @@
             send_reply(reply, store.take_over(&name, now));
         }
         RequestMessage::Append { name, takeovers, token } => {
-            // After a later take-over the token is dropped; its driver learns of it from the
-            // progress.
+            // The store drops the token if the request has been taken over since. The driver sees the
+            // take-over in the request's progress.
             store.append(&name, takeovers, token);
         }
         RequestMessage::End { name, takeovers, response } => {
--- a/src/native/serve/services/ticket_service.rs
+++ b/src/native/serve/services/ticket_service.rs
@@ -1,4 +1,5 @@
-//! Service that owns the ledgers of tickets held and tickets witnessed.
+//! Service that owns the ledgers of the tickets that this daemon holds and of those that it
+//! witnesses.
 
 use std::collections::HashMap;
 
@@ -20,19 +21,19 @@
 /// Name of the service.
 pub const NAME: &str = "tickets";
 
-/// What the service is asked.
+/// Messages to the service.
 #[derive(Debug)]
 pub enum TicketMessage {
-    /// Issue a ticket.
+    /// Issues a ticket.
     Issue {
-        /// Whose consent it needs.
+        /// Daemon whose consent is needed to dispatch.
         witness: IncarnationId,
         /// Scope of the client account.
         scope: u64,
         /// Ticket.
         reply: oneshot::Sender<TicketId>,
     },
-    /// Use a ticket that is held here.
+    /// Starts to use a ticket that this daemon holds.
     Begin {
         /// Ticket.
         ticket: TicketId,
@@ -41,44 +42,44 @@
         /// Verdict.
         reply: oneshot::Sender<TicketUse>,
     },
-    /// The request of a ticket held here has ended.
+    /// The request of a ticket that this daemon holds has ended.
     End {
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
         response: FinalResponse,
     },
-    /// Wait for the end of a ticket held here that is in progress.
+    /// Waits for the end of a request in progress whose ticket this daemon holds.
     Wait {
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
         reply: oneshot::Sender<FinalResponse>,
     },
-    /// A holder asks for consent.
+    /// A holder asks this daemon, the witness, for consent to dispatch.
     Consent {
         /// Ticket.
         ticket: TicketId,
         /// Verdict.
         reply: oneshot::Sender<ConsentVerdict>,
     },
-    /// Somebody cannot reach the holder.
+    /// A daemon that cannot reach the holder wants the ticket sealed.
     Seal {
         /// Ticket.
         ticket: TicketId,
         /// Verdict.
         reply: oneshot::Sender<SealVerdict>,
     },
-    /// A holder reports the end.
+    /// A holder reports the outcome to this daemon, the witness.
     Settle {
         /// Ticket.
         ticket: TicketId,
         /// Outcome.
         settled: SettledResponse,
     },
-    /// Tickets held and witnessed.
+    /// Counts the tickets.
     Gauge {
-        /// Numbers.
+        /// Number of tickets held, and of tickets witnessed.
         reply: oneshot::Sender<(usize, usize)>,
     },
 }
