--- a/src/native/serve/planning.rs
+++ b/src/native/serve/planning.rs
@@ -1,4 +1,4 @@
-//! What daemons read from the platform, and the VMs that they hold and release there.
+//! Reads the platform's state, and starts and releases VMs at the cloud.
 
 pub mod planner;
 pub mod platform_watch;
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -1,10 +1,10 @@
-//! Service that holds and releases VMs, at one daemon at a time.
+//! Service that starts and releases VMs; it is active at one daemon at a time.
 //!
-//! A lease in the object API (`lease`) says which daemon plans; `decide::fleet` decides which
-//! VMs. Two planners at once (a holder that was paused past its lease) do no harm: the plan is
-//! written conditionally before the cloud is asked, both choose the same names for new VMs and
-//! the cloud starts each name once, and a release follows a notice that any planner carries
-//! out. If the object API cannot be reached, nothing is started or released.
+//! A lease in the object API (`lease`) determines which daemon plans, and `decide::fleet` decides
+//! which VMs to start and release. Two planners at once (a holder that was paused past its lease) do
+//! no harm: the plan is written conditionally before the cloud is called; both choose the same names
+//! for new VMs, and the cloud starts each name once; and a release only completes a notice, which any
+//! planner may do. If the object API cannot be reached, nothing is started or released.
 
 mod lease;
 mod plan;
@@ -46,12 +46,12 @@
 const LEASE_KIND: &str = "leases";
 const PLAN_KIND: &str = "plans";
 /// Time between rounds.
-const ROUND: Duration = Duration::from_secs(2);
-/// Time between a notice that the planner gives and the release: longer than a response of the most
+const ROUND_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between the planner's notice to a VM and its release: longer than a response with the most
 /// tokens usually takes.
 const RELEASE_NOTICE_MS: u64 = 60_000;
-/// Fraction of an endpoint's concurrency that is planned for: room for the load that comes while a
-/// VM starts.
+/// Fraction of an endpoint's concurrency that is planned to be in use. The rest is for load that
+/// arrives while a VM starts.
 const UTILISATION: f64 = 0.7;
 
 struct Planner {
@@ -70,11 +70,11 @@
         prices: Vec::new(),
     };
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         if planner.is_candidate()
             && let Err(error) = planner.round().await
         {
-            spdlog::warn!("round failed: {}", error, kv: { service = NAME });
+            spdlog::warn!("planning round failed: {}", error, kv: { service = NAME });
         }
     }
 }
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Acquires or renews the lease; `false` while another daemon has it.
+    /// Acquires or renews the lease; `false` while another daemon holds it.
     async fn hold_lease(&mut self) -> Result<bool, StepError> {
         let entry = self.context.platform.read_object(LEASE_KIND, NAME).await?;
         let record = entry.value.and_then(LeaseRecord::decode);
@@ -116,15 +116,15 @@
             LeaseVerdict::Renew { epoch } | LeaseVerdict::Acquire { epoch } => epoch,
         };
         let record = self.lease.next_record(own, epoch);
-        // Counted from before the write was sent, not from its response.
-        let asked_at = Instant::now();
+        // The lease starts before the write is sent, not when its response arrives.
+        let sent_at = Instant::now();
         let condition = condition_of(entry.version);
         let value = json!(record);
         match self.context.platform.write_object(LEASE_KIND, NAME, &value, condition).await {
             Ok(receipt) => {
-                self.lease.hold(receipt.version, asked_at);
+                self.lease.hold(receipt.version, sent_at);
                 if matches!(verdict, LeaseVerdict::Acquire { .. }) {
-                    self.note(format!("took the lease, epoch {epoch}"));
+                    self.record_planned(format!("took the lease, epoch {epoch}"));
                 }
                 Ok(self.lease.is_held(Instant::now()))
             }
@@ -136,12 +136,12 @@
         }
     }
 
-    /// Whether the lease is good right now; checked again before every call to the cloud.
-    fn holds(&self) -> bool {
+    /// Whether the lease is valid now; checked again before every call to the cloud.
+    fn holds_lease(&self) -> bool {
         self.lease.is_held(Instant::now())
     }
 
-    fn note(&self, detail: String) {
+    fn record_planned(&self, detail: String) {
         let subject = self.context.identity.address.clone();
         self.context.record_subject_event(EventKind::Planned, &subject, detail);
     }
@@ -149,7 +149,7 @@
     async fn items(&self, kind: ItemKind) -> Vec<SpreadItem> {
         let items = self.context.cluster.ask(|reply| ClusterMessage::List { kind, reply }).await;
         items.unwrap_or_else(|error| {
-            spdlog::warn!("items not read: {}", error, kv: { service = NAME });
+            spdlog::warn!("items not read from the cluster service: {}", error, kv: { service = NAME });
             Vec::new()
         })
     }
@@ -165,16 +165,16 @@
         vms.iter().filter_map(SpreadItem::decode::<VmEntry>).collect()
     }
 
-    /// Releases VMs whose notice is over but that are still listed: those that a planner
-    /// gave the notice to, whichever planner that was.
+    /// Releases VMs that are still listed after their notice has expired: those whose notice came
+    /// from a planner, no matter which one.
     async fn release_overdue(&mut self) -> Result<(), StepError> {
         let notices = self.notices().await;
         let now_ms = crate::wall_clock_ms();
         for vm in self.vms().await {
             let over = notices.get(&vm.id).is_some_and(|gone_at| *gone_at < now_ms);
-            if over && vm.state == VmState::Live && self.holds() {
+            if over && vm.state == VmState::Live && self.holds_lease() {
                 self.context.platform.release_vm(&vm.id).await?;
-                self.note(format!("released {}", vm.name));
+                self.record_planned(format!("released {}", vm.name));
             }
         }
         Ok(())
@@ -186,14 +186,14 @@
         if plan.epoch > self.lease.epoch() {
             return Ok(());
         }
-        let fleet = self.view(row, &mut plan).await;
+        let fleet = self.collect_fleet(row, &mut plan).await;
         let actions = self.state.decide(&fleet, &self.prices, Instant::now());
         let starts: Vec<PlannedVm> = actions.iter().filter_map(to_planned).collect();
         if !starts.is_empty() {
             plan.epoch = self.lease.epoch();
             plan.pending.extend(starts.iter().cloned());
             let condition = condition_of(entry.version);
-            // Written down before the cloud is asked.
+            // The plan is stored before the cloud is called.
             let value = json!(plan);
             self.context.platform.write_object(PLAN_KIND, &row.name, &value, condition).await?;
         }
@@ -209,7 +209,7 @@
     }
 
     async fn start(&mut self, row: &ServiceRow, vm: PlannedVm) {
-        if !self.holds() {
+        if !self.holds_lease() {
             return;
         }
         let place = vm.place();
@@ -223,31 +223,31 @@
             Ok(_) => {
                 self.state.started(&place);
                 self.context.metrics.count("vms_started", 1);
-                self.note(format!("started {}", vm.name));
+                self.record_planned(format!("started {}", vm.name));
             }
             Err(error) => {
                 self.state.refused(&place, Instant::now());
                 self.context.metrics.count("vm_starts_refused", 1);
-                self.note(format!("start of {} refused: {error}", vm.name));
+                self.record_planned(format!("start of {} refused: {error}", vm.name));
             }
         }
     }
 
-    /// Gives a VM a notice of the planner's own; its streams move off, and it is
-    /// released when the notice is over.
+    /// Gives notice to a VM on the planner's own decision. Its streams move off, and it is released
+    /// when the notice has expired.
     fn give_notice(&self, id: &SharedName) {
         let gone_at_ms = crate::wall_clock_ms() + RELEASE_NOTICE_MS;
         let notice = ReclaimNotice { sequence: 0, vm: id.clone(), gone_at_ms };
         let item = SpreadItem::new(ItemKind::Notice, id.clone(), 1, &notice);
         let event = ClusterEvent::Items(None, vec![item]);
         if self.context.cluster.send(ClusterMessage::Event(event)).is_ok() {
-            self.note(format!("gave notice to {id}"));
+            self.record_planned(format!("gave notice to {id}"));
         }
     }
 
-    /// What there is of a service, and what its demand needs; forgets planned VMs that
-    /// are listed by now or never came.
-    async fn view(&self, row: &ServiceRow, plan: &mut FleetPlan) -> ServiceFleet {
+    /// Collects a service's VMs and the number that its demand requires. Removes planned VMs that are
+    /// listed by now, were refused or have not appeared in time.
+    async fn collect_fleet(&self, row: &ServiceRow, plan: &mut FleetPlan) -> ServiceFleet {
         let notices = self.notices().await;
         let vms = self.vms().await;
         let vms: Vec<VmEntry> = vms.into_iter().filter(|vm| vm.service == row.name).collect();
@@ -277,7 +277,7 @@
         }
     }
 
-    /// VMs that the load over all daemons requires; `None` while it is not known.
+    /// Number of VMs that the load of all daemons requires; `None` while the load is not known.
     async fn required_vms(&self, row: &ServiceRow) -> Option<f64> {
         let averages = self.context.limits.ask(|reply| LimitMessage::Read { reply }).await.ok()?;
         let average = averages.get(&service_demand_name(&row.name))?;
--- a/src/native/serve/planning/planner/plan.rs
+++ b/src/native/serve/planning/planner/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of one service as it is stored: VMs asked for that the VM list may not show yet.
+//! The stored plan of one service: requested VMs that the VM list may not show yet.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,18 +11,19 @@
     },
 };
 
-/// How long a VM that was asked for may be missing from the VM list, in milliseconds: the list is
-/// read every 2 s and lags behind the cloud.
+/// How long a requested VM may be missing from the VM list, in milliseconds: the list is read every
+/// 2 s and lags behind the cloud.
 const PENDING_KEEP_MS: u64 = 90_000;
-/// Tokens that a stream has computed when it is cut off, on the mean.
+/// Average number of tokens that a stream has computed when it is interrupted.
 const STREAM_TOKENS: f64 = 300.0;
-/// Recomputed tokens for one cost unit, at a weight of one: sets the unit of `recompute_weight`.
+/// Recomputed tokens that cost one unit if `recompute_weight` is one. Defines the unit of
+/// `recompute_weight`.
 const TOKENS_PER_UNIT: f64 = 50_000.0;
 
-/// One VM that a plan has asked for.
+/// One VM that the planner has requested.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlannedVm {
-    /// Name it was asked for under.
+    /// Name in the request.
     pub name: SharedName,
     /// Availability zone.
     pub zone: SharedName,
@@ -32,30 +33,30 @@
     pub asked_at_ms: u64,
 }
 
-/// Value of a service's plan: VMs asked for that the VM list may not show yet.
+/// Plan of a service: requested VMs that the VM list may not show yet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetPlan {
-    /// Epoch of the lease under which it was written.
+    /// Epoch of the lease when the plan was written.
     pub epoch: u64,
-    /// VMs asked for.
+    /// Requested VMs.
     pub pending: Vec<PlannedVm>,
 }
 
 impl PlannedVm {
-    /// Where and how it is to be held.
+    /// Availability zone and price class.
     pub fn place(&self) -> FleetPlace {
         FleetPlace { zone: self.zone.clone(), class: self.class }
     }
 
-    /// Whether the VM list may still come to show it.
+    /// Whether the VM may still appear in the VM list.
     pub fn is_expected(&self, now_ms: u64) -> bool {
         now_ms < self.asked_at_ms + PENDING_KEEP_MS
     }
 }
 
 impl FleetPlan {
-    /// Plan in an object's value; an empty one, with a warning, if it does not decode: VMs are
-    /// then asked for again under the same names, which starts none twice.
+    /// Decodes an object's value. If that fails, logs a warning and returns an empty plan: VMs are
+    /// then requested again under the same names, so none is started twice.
     pub fn decode(value: serde_json::Value) -> Self {
         match serde_json::from_value(value) {
             Ok(plan) => plan,
--- a/src/native/serve/planning/platform_watch.rs
+++ b/src/native/serve/planning/platform_watch.rs
@@ -1,12 +1,12 @@
-//! Brings what the platform knows to the daemons: rows, VMs, notices.
+//! Reads rows, VMs and notices from the platform and spreads them to all daemons.
 //!
-//! Only the first few daemons of each availability zone, by hash, ask the platform;
-//! the others learn from them. Nobody agrees on who that is: one daemon too many costs
-//! a few calls, one too few is noticed by its successor in the ranking.
+//! Only the first few daemons of each availability zone, ranked by hash, poll the platform; the
+//! others receive the items from them. The daemons need not agree on who polls: one daemon too many
+//! costs a few calls, and if one is missing, its successor in the ranking notices that.
 //!
-//! Rows and VMs are versioned by the platform's counter and its era. A platform that was restored from a
-//! copy shows an older truth in a new era: operators have some time to write their edits again, in which
-//! the daemons keep what they know; then the platform's word holds.
+//! Rows and VMs are versioned by the platform's era and its change counter. A platform that was
+//! restored from a copy shows an older state in a new era. The daemons then keep their state for some
+//! time, in which operators can write their edits again; after that they accept the platform's state.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -31,25 +31,27 @@
 pub const NAME: &str = "platform-watch";
 /// Kind of the objects that hold the table's rows.
 pub const ROW_KIND: &str = "rows";
-/// Daemons of each availability zone that ask the platform: one may be lost.
+/// Number of daemons of each availability zone that poll the platform: one may be lost.
 const WATCHERS: usize = 2;
-/// Time between checks whether this daemon asks: short beside the removal of a lost watcher (5 s).
-const ROLE_EVERY: Duration = Duration::from_millis(500);
+/// Time between checks whether this daemon is to poll: short compared with the time until a lost
+/// watcher is removed (5 s).
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between reads of the VM list.
-const VMS_EVERY: Duration = Duration::from_secs(2);
-/// Time in which operators write again what the object API has lost that was restored from a copy.
-const WRITE_AGAIN_TIME: Duration = Duration::from_secs(2);
-/// Time for which a daemon that has just started waits for the table from its peers: a round of
-/// greetings and an exchange of summaries.
-const PEERS_FIRST: Duration = Duration::from_millis(1_500);
-/// Pause after a failed call; each further failure doubles it. A single failed call delays little.
-const PAUSE_FIRST: Duration = Duration::from_millis(200);
-/// Longest pause after failed calls: how late the end of an outage is noticed.
-const PAUSE_LONGEST: Duration = Duration::from_secs(5);
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Time that operators have to repeat lost edits after the object API was restored from a copy.
+const REPEAT_EDITS_TIME: Duration = Duration::from_secs(2);
+/// How long a daemon that has just started waits for the table from its peers: enough for the first
+/// handshakes and an exchange of summaries.
+const PEER_TABLE_WAIT: Duration = Duration::from_millis(1_500);
+/// Pause after a failed call; each further failure doubles it. Short, so that a single failure causes
+/// little delay.
+const BACKOFF_MIN: Duration = Duration::from_millis(200);
+/// Longest pause after failed calls. It bounds how late the end of an outage is noticed.
+const BACKOFF_MAX: Duration = Duration::from_secs(5);
 
 /// Time between checks while a daemon that has just started waits for its peers: a fifth of that
 /// wait.
-const START_CHECK_EVERY: Duration = Duration::from_millis(300);
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Runs the service.
 pub async fn run(context: Rc<ServeContext>) {
@@ -59,24 +61,24 @@
     tokio::join!(rows, vms, notices);
 }
 
-/// Pause that grows with failures in a row.
-struct FailurePause {
+/// Pause that grows with consecutive failures.
+struct Backoff {
     next: Duration,
 }
 
-impl FailurePause {
+impl Backoff {
     fn new() -> Self {
-        Self { next: PAUSE_FIRST }
+        Self { next: BACKOFF_MIN }
     }
 
     fn reset(&mut self) {
-        self.next = PAUSE_FIRST;
+        self.next = BACKOFF_MIN;
     }
 
     async fn wait(&mut self, error: &StepError) {
         spdlog::warn!("platform call failed: {}", error, kv: { service = NAME });
         sleep(self.next).await;
-        self.next = (self.next * 2).min(PAUSE_LONGEST);
+        self.next = (self.next * 2).min(BACKOFF_MAX);
     }
 }
 
@@ -90,20 +92,20 @@
     }
     let event = ClusterEvent::Items(None, items);
     if let Err(error) = context.cluster.send(ClusterMessage::Event(event)) {
-        spdlog::error!("items lost: {}", error, kv: { service = NAME });
+        spdlog::error!("items not passed to the cluster service: {}", error, kv: { service = NAME });
     }
 }
 
 async fn watch_rows(context: Rc<ServeContext>) {
     let started_at = Instant::now();
-    let mut pause = FailurePause::new();
+    let mut backoff = Backoff::new();
     let mut position = None;
     loop {
         let alone = context.members().present_count() <= 1;
-        let new = started_at.elapsed() < PEERS_FIRST && !context.settings.seeds.is_empty();
+        let new = started_at.elapsed() < PEER_TABLE_WAIT && !context.settings.seeds.is_empty();
         if !has_role(&context, b"rows") || (alone && new) {
             position = None;
-            sleep(ROLE_EVERY.min(START_CHECK_EVERY)).await;
+            sleep(ROLE_CHECK_INTERVAL.min(START_CHECK_INTERVAL)).await;
             continue;
         }
         let read = match position {
@@ -112,22 +114,22 @@
         };
         match read {
             Ok(next) => {
-                pause.reset();
-                // A store that went back shows less than is known: list it anew. Newer versions
-                // stay current meanwhile.
-                position =
-                    Some(next).filter(|next| position.is_none_or(|before| is_next(before, *next)));
+                backoff.reset();
+                // A store that was restored from a copy may lack known changes, so list it again.
+                // Newer known versions stay in use until then.
+                position = Some(next)
+                    .filter(|next| position.is_none_or(|before| can_continue(before, *next)));
             }
             Err(error) => {
                 position = None;
-                pause.wait(&error).await;
+                backoff.wait(&error).await;
             }
         }
     }
 }
 
-/// Whether a watch may go on from `next` after one from `before`.
-fn is_next(before: StorePosition, next: StorePosition) -> bool {
+/// Whether the watch may continue from `next`, after it was at `before`.
+fn can_continue(before: StorePosition, next: StorePosition) -> bool {
     next.era() == before.era() && next >= before
 }
 
@@ -141,12 +143,12 @@
 
 async fn known_versions(context: &ServeContext, kind: ItemKind) -> HashMap<SharedName, SpreadItem> {
     let items = context.cluster.ask(|reply| ClusterMessage::List { kind, reply }).await;
-    // If the cluster service is overloaded, all that is listed is spread again.
+    // If the cluster service is overloaded, all listed items are spread again.
     let items = items.unwrap_or_default();
     items.into_iter().map(|item| (item.key.name.clone(), item)).collect()
 }
 
-/// Era of the newest of `known`; none if there are none.
+/// Latest era among `known`; `None` if it is empty.
 fn known_era(known: &HashMap<SharedName, SpreadItem>) -> Option<StoreEra> {
     known.values().map(|item| StorePosition::unpack(item.version).era()).max()
 }
@@ -156,7 +158,7 @@
     let mut known = known_versions(context, ItemKind::Row).await;
     if known_era(&known).is_some_and(|known| known < list.era) {
         spdlog::warn!("object API restored from a copy", kv: { era: = list.era });
-        sleep(WRITE_AGAIN_TIME).await;
+        sleep(REPEAT_EDITS_TIME).await;
         list = context.platform.list_objects(ROW_KIND).await?;
         known = known_versions(context, ItemKind::Row).await;
     }
@@ -166,7 +168,7 @@
         known.remove(&entry.name);
         items.push(row_item(list.era, entry));
     }
-    // Rows that are known but not listed were deleted, unless they are newer than the list.
+    // Known rows that are not listed were deleted, unless they are newer than the list.
     for (name, item) in known {
         if item.value.is_some() && item.version <= position.packed() {
             items.push(SpreadItem::deleted(ItemKind::Row, name, position.packed()));
@@ -182,7 +184,7 @@
 ) -> Result<StorePosition, StepError> {
     let changes = context.platform.watch_objects(ROW_KIND, after.revision()).await?;
     let position = StorePosition::new(changes.era, changes.revision);
-    // Of another era: a list tells what holds.
+    // Changes of another era are ignored; the list that follows gives the state in that era.
     if position.era() == after.era() {
         let rows = changes.entries.into_iter().map(|entry| row_item(position.era(), entry));
         spread(context, rows.collect());
@@ -191,29 +193,30 @@
 }
 
 async fn watch_vms(context: Rc<ServeContext>) {
-    let mut pause = FailurePause::new();
+    let mut backoff = Backoff::new();
     let mut newest = StorePosition::NONE;
     loop {
         if !has_role(&context, b"vms") {
-            sleep(ROLE_EVERY).await;
+            sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         match context.platform.list_vms().await {
             Ok(list) => {
-                pause.reset();
+                backoff.reset();
                 let position = StorePosition::new(list.era, list.revision);
                 if position >= newest {
                     newest = position;
                     apply_vms(&context, list).await;
                 }
-                sleep(VMS_EVERY).await;
+                sleep(VM_LIST_INTERVAL).await;
             }
-            Err(error) => pause.wait(&error).await,
+            Err(error) => backoff.wait(&error).await,
         }
     }
 }
 
-/// Spreads the entries that differ from what is known, whoever read them first.
+/// Spreads the entries that differ from the known ones. Another daemon may have read and spread them
+/// already.
 async fn apply_vms(context: &ServeContext, list: VmList) {
     let version = StorePosition::new(list.era, list.revision).packed();
     let mut known = known_versions(context, ItemKind::Vm).await;
@@ -221,7 +224,7 @@
     for vm in list.vms {
         if &*vm.service == ENTRY_SERVICE {
             let seed = ClusterEvent::Seed(vm.address.clone());
-            // Lost if the cluster service is overloaded; the next list has it again.
+            // Lost if the cluster service is overloaded; the next list contains it again.
             let _ = context.cluster.send(ClusterMessage::Event(seed));
         }
         let before = known.remove(&vm.id);
@@ -239,19 +242,19 @@
 }
 
 async fn watch_notices(context: Rc<ServeContext>) {
-    let mut pause = FailurePause::new();
-    // Of the newest notice, and its era.
+    let mut backoff = Backoff::new();
+    // Sequence number and era of the newest notice.
     let mut newest = StorePosition::NONE;
     loop {
         if !has_role(&context, b"notices") {
-            sleep(ROLE_EVERY).await;
+            sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         match context.platform.watch_notices(newest.revision()).await {
             Ok(list) => {
-                pause.reset();
+                backoff.reset();
                 if list.era != newest.era() {
-                    // Notices of another era are numbered anew: all of them are asked for.
+                    // In a new era the numbering of notices starts again, so all are fetched.
                     newest = StorePosition::new(list.era, 0);
                     continue;
                 }
@@ -262,7 +265,7 @@
                 }
                 spread(&context, items);
             }
-            Err(error) => pause.wait(&error).await,
+            Err(error) => backoff.wait(&error).await,
         }
     }
 }
