--- a/src/native/serve.rs
+++ b/src/native/serve.rs
@@ -1,6 +1,7 @@
-//! From a client's request to its response.
+//! Serves clients' requests on the native path.
 //!
-//! The gateway's path is `crate::gateway::request`; it shares no task or state with this one.
+//! The gateway has its own path (`crate::gateway::request`), which shares no task or state with this
+//! one.
 
 pub mod context;
 pub mod listeners;
@@ -11,6 +12,6 @@
 
 use std::time::Duration;
 
-/// Retry-after of refusals that know no better time: overload, no endpoint, no table. Long enough
-/// that refused clients add little load.
+/// Retry-after of refusals for which no better time is known: overload, no endpoint, no table. Long
+/// enough that refused clients add little load.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/src/native/serve/context.rs
+++ b/src/native/serve/context.rs
@@ -1,5 +1,5 @@
-//! What the tasks of one daemon share: addresses of its services, and the views that these
-//! publish. The gateway has its own (`gateway::context`); nothing is shared between the two.
+//! State shared by the tasks of one daemon: addresses of its services, and the state that these
+//! publish. The gateway has its own context (`gateway::context`); the two share nothing.
 
 use std::{
     cell::{Cell, RefCell},
@@ -37,22 +37,22 @@
     },
 };
 
-/// Weight of an account whose row was deleted while its request ran: the default of the row.
+/// Weight of an account whose row was deleted while its request ran: the same as a row's default.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Everything a request's task needs: handles, no rules.
+/// Handles that the tasks of a request need. The rules are elsewhere.
 pub struct ServeContext {
     /// Kernel, for the life phase and child tasks.
     pub kernel: KernelHandle,
     /// Settings.
     pub settings: DaemonSettings,
-    /// Who this daemon is.
+    /// Identity of this daemon.
     pub identity: Rc<LocalIdentity>,
     /// Connections to peers.
     pub pool: PeerPool,
     /// Connections to endpoints.
     pub http: HttpClient,
-    /// The platform.
+    /// Client of the platform.
     pub platform: PlatformClient,
     /// Cluster service.
     pub cluster: ServiceAddress<ClusterMessage>,
@@ -74,35 +74,35 @@
     pub metrics: MetricsHandle,
     /// Time line.
     pub timeline: TimelineHandle,
-    /// Requests that run here.
+    /// Number of requests that run at this daemon.
     pub active: OpenCount,
-    /// Clients that are being answered, also with what runs elsewhere.
+    /// Number of clients being answered, including those whose requests another daemon runs.
     pub clients: OpenCount,
-    /// Requests whose state is being mirrored from their holder.
+    /// Requests whose state is being copied from their holder.
     pub mirrors: RefCell<HashSet<RequestName>>,
-    /// Attempts begun so far.
+    /// Number of attempts begun so far.
     pub attempts: Cell<u64>,
     /// Retry budgets by service.
     pub budgets: RefCell<HashMap<SharedName, RetryBucket>>,
 }
 
 impl ServeContext {
-    /// Table as it is now.
+    /// Current table.
     pub fn table(&self) -> Arc<TableSnapshot> {
         self.table.borrow().clone()
     }
 
-    /// Weight of an account; one that was deleted meanwhile has the default.
+    /// Weight of an account; the default if its row was deleted.
     pub fn weight_of(&self, account: &str) -> f64 {
         self.table.borrow().account(account).map_or(DEFAULT_WEIGHT, |row| row.weight)
     }
 
-    /// Members as known now.
+    /// Current member list.
     pub fn members(&self) -> Rc<MemberList> {
         self.members.borrow().clone()
     }
 
-    /// This daemon as a holder of requests.
+    /// This daemon, as the holder of a request.
     pub fn holder(&self) -> RequestHolder {
         RequestHolder {
             incarnation: self.identity.incarnation,
@@ -110,55 +110,55 @@
         }
     }
 
-    /// Number for a new attempt.
+    /// Identity for a new attempt.
     pub fn next_attempt(&self) -> AttemptId {
         let sequence = self.attempts.get() + 1;
         self.attempts.set(sequence);
         AttemptId { incarnation: self.identity.incarnation, sequence }
     }
 
-    /// Uses the retry budget of a service.
+    /// Calls `act` with the retry budget of a service.
     pub fn budget<T>(&self, service: &SharedName, act: impl FnOnce(&mut RetryBucket) -> T) -> T {
         act(self.budgets.borrow_mut().entry(service.clone()).or_default())
     }
 
-    /// Target of a member that has not been removed.
+    /// Address of a member; `None` if it has been removed.
     pub fn target(&self, incarnation: IncarnationId) -> Option<PeerTarget> {
         let members = self.members.borrow();
         let view = members.get(incarnation).filter(|view| view.is_present())?;
         Some(PeerTarget { incarnation, address: view.record.address.clone() })
     }
 
-    /// Asks the router for an endpoint.
+    /// Requests an endpoint from the router.
     pub async fn pick(&self, order: PickOrder) -> PickReply {
         let reply = self.router.ask(|reply| RouterMessage::Pick(Box::new(order), reply)).await;
-        // An overloaded router counts as full endpoints.
+        // An overloaded router is treated like full endpoints.
         reply.unwrap_or(PickReply::Busy(RETRY_AFTER))
     }
 
-    /// Whether this daemon takes no new work.
+    /// Whether this daemon is leaving and accepts no new work.
     pub fn is_leaving(&self) -> bool {
         *self.kernel.phase().borrow() >= LifePhase::Draining
     }
 
-    /// Daemons that know who runs the request `name`: anyone can work them out from it.
+    /// Daemons that know who runs the request `name`. Every daemon can compute them from the name.
     ///
-    /// One more is placed than asked, so that two daemons which each skip themselves
-    /// still have one in common.
+    /// One more daemon is selected than is used, so that two daemons which each skip themselves still
+    /// have one in common.
     pub fn directory_targets(&self, name: &RequestName) -> Vec<PeerTarget> {
         let key = name.to_string();
         self.placed_targets(key.as_bytes(), self.identity.incarnation, self.settings.copies)
     }
 
-    /// Daemons that keep the tokens of all requests that `holder` runs. They are the same
-    /// for all its requests, so that one message carries the updates of many.
+    /// Daemons that keep the tokens of the requests that `holder` runs. They are the same for all
+    /// these requests, so that one message carries the updates of many.
     pub fn partner_targets(&self, holder: IncarnationId, count: usize) -> Vec<PeerTarget> {
         let key = [b"partners".as_slice(), &holder.0.to_le_bytes()].concat();
         self.placed_targets(&key, holder, count)
     }
 
-    /// Members placed for `key` without `skipped`, those of other availability zones than
-    /// this daemon's first.
+    /// Members selected for `key` except `skipped`; those in other availability zones than this
+    /// daemon's come first.
     fn placed_targets(&self, key: &[u8], skipped: IncarnationId, count: usize) -> Vec<PeerTarget> {
         let members = self.members.borrow();
         let mut placed = members.placed_for(key, self.settings.copies + 1);
@@ -171,8 +171,8 @@
         placed.into_iter().filter_map(|placed| self.target(placed)).collect()
     }
 
-    /// Witness for a new ticket: a daemon in another availability zone if there is one,
-    /// this daemon itself where it is alone.
+    /// Chooses the witness for a new ticket: a daemon in another availability zone if there is one, or
+    /// this daemon itself if it is alone.
     pub fn choose_witness(&self) -> IncarnationId {
         let own = self.identity.incarnation;
         let members = self.members.borrow();
@@ -190,18 +190,18 @@
         fallback.unwrap_or(own)
     }
 
-    /// Notes that a peer was refused at the peer listener.
+    /// Counts and logs that the peer listener refused a peer.
     pub fn record_refused_peer(&self, what: &str) {
         self.metrics.count("peers_refused", 1);
         spdlog::warn!("peer refused: {}", what, kv: { service = "peer-listener" });
     }
 
-    /// Notes an event of a request.
-    pub fn note(&self, kind: EventKind, name: &RequestName, detail: impl Into<String>) {
+    /// Records an event of a request in the time line.
+    pub fn record_event(&self, kind: EventKind, name: &RequestName, detail: impl Into<String>) {
         self.timeline.record(kind, Some(name.to_string().into()), detail.into());
     }
 
-    /// Notes an event of something other than a request.
+    /// Records an event of something other than a request in the time line.
     pub fn record_subject_event(
         &self,
         kind: EventKind,
--- a/src/native/serve/listeners.rs
+++ b/src/native/serve/listeners.rs
@@ -1,5 +1,5 @@
-//! The ports of clients and of operators: HTTP in, HTTP out. Requests are checked here and
-//! handed to [`super::run`]; nothing here decides where they run.
+//! HTTP listeners for clients and operators. They check requests and pass them to [`super::run`],
+//! which decides where they run.
 
 pub mod admin;
 pub mod client_listener;
--- a/src/native/serve/listeners/admin.rs
+++ b/src/native/serve/listeners/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' port: status, metrics, time line, drain, notices.
+//! The operators' listener: status, metrics, time line, drain and notices.
 
 use std::rc::Rc;
 
@@ -50,7 +50,7 @@
     pub zone: SharedName,
     /// Status.
     pub status: MemberStatus,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
 }
 
@@ -67,13 +67,13 @@
     pub phase: String,
     /// Requests in progress.
     pub active: usize,
-    /// Request records and copies.
+    /// Number of request records, including copies.
     pub records: usize,
-    /// Their bytes.
+    /// Size of the records in bytes.
     pub record_bytes: usize,
-    /// Versions of the table's rows that are current here.
+    /// Versions of the table's rows at this daemon.
     pub rows: Vec<(SharedName, u64)>,
-    /// Members known.
+    /// Members known to this daemon.
     pub members: Vec<MemberLine>,
     /// Router.
     pub router: RouterStatus,
@@ -81,7 +81,7 @@
 
 /// Serves operators on `listener` until the daemon stops.
 pub async fn run(listener: TcpListener, context: Rc<ServeContext>) {
-    // Operators are served while the daemon drains; only `Stopping` ends this.
+    // Operators are served while the daemon drains, until it is `Stopping`.
     let phase = stopping_only(&context);
     server::serve(listener, phase, move |request| {
         let context = context.clone();
@@ -110,9 +110,9 @@
             Response::new(whole_body(context.metrics.render()))
         }
         (&Method::GET, "/timeline") => {
-            // Without a subject all events are shown.
+            // Without a subject all events are returned.
             let query = request.uri().query().unwrap_or_default();
-            // Other parameters mean nothing here.
+            // Other parameters are ignored.
             let subject = query.strip_prefix("subject=").unwrap_or_default();
             json_response(&context.timeline.read(subject))
         }
@@ -125,7 +125,7 @@
     }
 }
 
-/// Takes a notice that reached only this daemon; it spreads from here.
+/// Accepts a reclaim notice that was sent to this daemon only, and spreads it to the others.
 async fn accept_notice(
     context: &Rc<ServeContext>,
     request: Request<Incoming>,
@@ -147,11 +147,11 @@
 }
 
 async fn store_gauge(context: &ServeContext) -> StoreGauge {
-    // An overloaded store shows as empty.
+    // An overloaded store is shown as empty.
     context.requests.ask(|reply| RequestMessage::Gauge { reply }).await.unwrap_or_default()
 }
 
-/// Version of a row as the object API counts it.
+/// Version of a row as the object API shows it.
 fn shown_version(version: u64) -> u64 {
     StorePosition::unpack(version).revision()
 }
@@ -159,7 +159,7 @@
 async fn status(context: &Rc<ServeContext>) -> DaemonStatus {
     let gauge = store_gauge(context).await;
     let rows = context.cluster.ask(|reply| ClusterMessage::List { kind: ItemKind::Row, reply });
-    // An overloaded cluster service shows no rows.
+    // If the cluster service is overloaded, no rows are shown.
     let rows = rows.await.unwrap_or_default();
     let mut rows: Vec<(SharedName, u64)> =
         rows.into_iter().map(|item| (item.key.name, shown_version(item.version))).collect();
@@ -185,7 +185,7 @@
         record_bytes: gauge.bytes,
         rows,
         members: lines,
-        // An overloaded router shows as empty.
+        // An overloaded router is shown as empty.
         router: router.unwrap_or_default(),
     }
 }
--- a/src/native/serve/listeners/client_listener.rs
+++ b/src/native/serve/listeners/client_listener.rs
@@ -1,4 +1,4 @@
-//! The clients' port: model-serving HTTP with server-sent events, and plain HTTP.
+//! The clients' listener: model-serving HTTP with server-sent events, and plain HTTP.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,7 +15,7 @@
     parse::{self, CheckedRequest, ResponseForm},
     problem::Problem,
     request_headers,
-    response::{ResponseReader, json_response, plain_response, vanished},
+    response::{ResponseReader, json_response, plain_response, removed_problem},
 };
 use crate::{
     http::{ResponseBody, server, whole_body},
@@ -41,11 +41,11 @@
 /// Longest time a client may take to send its body: bounds how long an idle client holds a
 /// connection.
 const BODY_TIME: Duration = Duration::from_secs(30);
-/// Most tickets issued at a time: bounds what one call takes of the ledger.
+/// Most tickets that one call may request: bounds the call's share of the ledger.
 const TICKET_LIMIT: u64 = 100;
 
-/// Longest time that a client is kept waiting for a request that may not be retried: above the 30 s
-/// for which a remote holder is waited for.
+/// Longest time that a client is kept waiting for a request that may not be retried: more than the
+/// 30 s wait for a remote holder.
 const CLIENT_WAIT: Duration = Duration::from_secs(45);
 
 /// Serves clients on `listener` until the daemon stops.
@@ -68,7 +68,7 @@
     response
 }
 
-fn overloaded(error: SendError) -> Problem {
+fn overloaded_problem(error: SendError) -> Problem {
     let mut problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "(daemon)", error.to_string());
     problem.outcome = "unknown";
     problem.field = None;
@@ -100,7 +100,7 @@
     }
 }
 
-/// For the platform's balancer: whether to send clients here.
+/// Tells the platform's load balancer whether to send clients to this daemon.
 fn health(context: &Rc<ServeContext>) -> Response<ResponseBody> {
     let ready = !context.is_leaving() && !context.table().is_empty();
     let mut response = Response::new(whole_body(if ready { "ready\n" } else { "not ready\n" }));
@@ -165,7 +165,7 @@
     }
 }
 
-/// The table, which a daemon that has just started may not know yet.
+/// The current table; refuses the request if this daemon has just started and has none yet.
 fn known_table(
     context: &Rc<ServeContext>,
 ) -> Result<std::sync::Arc<crate::native::options::rows::TableSnapshot>, Problem> {
@@ -190,7 +190,7 @@
     let count = if body.is_empty() {
         Some(1)
     } else {
-        // A body that is no JSON has no count and is refused below.
+        // A body that is not JSON has no count and is refused below.
         let value: Value = serde_json::from_slice(&body).unwrap_or_default();
         value
             .get("count")
@@ -200,7 +200,7 @@
     let rule = || format!("must be a whole number from 1 to {TICKET_LIMIT}");
     let count = count.ok_or_else(|| Problem::bad_request("count", rule()))?;
     if context.is_leaving() {
-        return Err(leaving());
+        return Err(leaving_problem());
     }
     let mut issued = Vec::new();
     for _ in 0..count {
@@ -210,7 +210,7 @@
     Ok(json_response(&json!({ "tickets": issued })))
 }
 
-fn leaving() -> Problem {
+fn leaving_problem() -> Problem {
     let mut problem =
         Problem::new(StatusCode::SERVICE_UNAVAILABLE, "(daemon)", "this daemon is leaving");
     problem.field = None;
@@ -226,8 +226,8 @@
 ) -> Result<Response<ResponseBody>, Problem> {
     let account = request_headers::account(request.headers(), &context.table())?;
     let name = RequestName::new(account.name.clone(), key);
-    context.note(EventKind::ClientLeft, &name, "cancelled by its caller");
-    context.requests.send(RequestMessage::Remove { name }).map_err(overloaded)?;
+    context.record_event(EventKind::ClientLeft, &name, "cancelled by its caller");
+    context.requests.send(RequestMessage::Remove { name }).map_err(overloaded_problem)?;
     Ok(json_response(&json!({ "cancelled": key })))
 }
 
@@ -256,7 +256,7 @@
     let name = checked.name(&context.next_attempt().to_string());
     let keyed = checked.key.is_some();
     let call = std::sync::Arc::new(checked.call);
-    match resume::obtain(context, &name, call).await.map_err(overloaded)? {
+    match resume::obtain(context, &name, call).await.map_err(overloaded_problem)? {
         ObtainedRequest::KeyReused => return Err(Problem::key_reused()),
         ObtainedRequest::Refused(response) => {
             let problem = Problem::of(&response, true);
@@ -265,7 +265,7 @@
         ObtainedRequest::Ready => {}
     }
     let view = context.requests.ask(|reply| RequestMessage::View { name: name.clone(), reply });
-    let Some(view) = view.await.map_err(overloaded)? else { return Err(vanished()) };
+    let Some(view) = view.await.map_err(overloaded_problem)? else { return Err(removed_problem()) };
     let reader = ResponseReader::new(context, &name, view, checked.have_tokens, keyed);
     let response = match checked.form {
         ResponseForm::Events { chat } => reader.events(chat).await?,
--- a/src/native/serve/listeners/parse.rs
+++ b/src/native/serve/listeners/parse.rs
@@ -1,5 +1,5 @@
-//! Checks a client's request and turns it into a call. Everything wrong is answered
-//! with a 4xx that names the field; nothing is guessed.
+//! Checks a client's request and turns it into a call. An invalid field is answered with a 4xx that
+//! names it; no value is guessed.
 
 use std::sync::Arc;
 
@@ -18,19 +18,18 @@
     },
 };
 
-/// Largest request body, in bytes: a bound on memory.
+/// Largest request body, in bytes: bounds memory.
 pub const BODY_LIMIT: usize = 1024 * 1024;
 /// Most tokens that one response may have: bounds how long one response holds an endpoint.
 const MAX_TOKENS: u64 = 8_192;
-/// Tokens of a response whose client does not say: about the mean response.
+/// Most tokens of a response if the client gives no limit: about the average length of a response.
 const DEFAULT_TOKENS: u64 = 256;
-/// Bits of a derived seed: JSON numbers pass through other programs as doubles, which are exact to
-/// 53 bits.
+/// Bits of a derived seed: other programs read JSON numbers as doubles, which are exact to 53 bits.
 const EXACT_BITS: u32 = 53;
-/// Keys that start so are made by daemons.
-const OWN_KEY_PREFIX: &str = "auto-";
+/// Prefix of keys that daemons generate.
+const GENERATED_KEY_PREFIX: &str = "auto-";
 
-/// Fields that clients of model serving send and that change nothing here.
+/// Fields that clients of model serving usually send and that are ignored.
 const IGNORED_FIELDS: [&str; 12] = [
     "temperature",
     "top_p",
@@ -46,20 +45,20 @@
     "service_tier",
 ];
 
-/// Which form the response takes.
+/// Form of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseForm {
     /// Completion, streamed as server-sent events.
     Events {
-        /// Whether in the chat form.
+        /// Whether the chat form is used.
         chat: bool,
     },
     /// Completion in one JSON document.
     Document {
-        /// Whether in the chat form.
+        /// Whether the chat form is used.
         chat: bool,
     },
-    /// The plain endpoint's own response.
+    /// Response of a plain endpoint, passed on unchanged.
     Plain,
 }
 
@@ -72,19 +71,20 @@
     pub key: Option<SharedName>,
     /// Form of the response.
     pub form: ResponseForm,
-    /// Tokens that a resuming client has.
+    /// Number of tokens that a resuming client has received.
     pub have_tokens: usize,
 }
 
 impl CheckedRequest {
-    /// Name of the request: by the client's key, or by `made` where it gave none.
-    pub fn name(&self, made: &str) -> RequestName {
-        let key = self.key.clone().unwrap_or_else(|| format!("{OWN_KEY_PREFIX}{made}").into());
+    /// Name of the request, from the client's key or, if it gave none, from `generated`.
+    pub fn name(&self, generated: &str) -> RequestName {
+        let key =
+            self.key.clone().unwrap_or_else(|| format!("{GENERATED_KEY_PREFIX}{generated}").into());
         RequestName::new(self.call.account.clone(), key)
     }
 }
 
-/// Checks a completion request; `chat` says which form it has.
+/// Checks a completion request; `chat` is set for the chat form.
 pub fn completion(
     headers: &HeaderMap,
     body: &[u8],
@@ -196,7 +196,7 @@
     }
 }
 
-/// Seed of a request whose client gave none: the same whenever the client asks again.
+/// Seed of a request without one: the same whenever the client repeats the request with its key.
 fn derived_seed(account: &str, key: Option<&str>) -> u64 {
     key.map_or(0, |key| {
         hash_parts(&[b"seed", account.as_bytes(), key.as_bytes()]) >> (u64::BITS - EXACT_BITS)
--- a/src/native/serve/listeners/problem.rs
+++ b/src/native/serve/listeners/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as clients see them: problem documents (RFC 9457), with a retry-after.
+//! Errors sent to clients: problem documents (RFC 9457) with a retry-after.
 
 use hyper::{Response, StatusCode, header::HeaderValue};
 use serde::Serialize;
@@ -15,27 +15,27 @@
 /// One problem document.
 #[derive(Clone, Debug, Serialize)]
 pub struct Problem {
-    /// What kind of problem, as a relative reference.
+    /// Type of the problem, as a relative reference.
     #[serde(rename = "type")]
     pub kind: &'static str,
     /// Short title.
     pub title: &'static str,
     /// HTTP status.
     pub status: u16,
-    /// What is wrong, in words.
+    /// Description of the problem.
     pub detail: Box<str>,
-    /// Field that is wrong, if one is.
+    /// Field that is invalid, if the problem is about a field.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<Box<str>>,
     /// Whether the request ran: `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Seconds after which to retry.
+    /// Seconds after which the client may retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<f64>,
 }
 
 impl Problem {
-    /// Problem of `field`; the request was not run.
+    /// Problem with `field`; the request was not run.
     pub fn new(status: StatusCode, field: &str, rule: impl Into<String>) -> Self {
         let detail = format!("{field}: {}", rule.into());
         Self {
@@ -49,12 +49,12 @@
         }
     }
 
-    /// Problem with a 400.
+    /// Problem with `field`, with status 400.
     pub fn bad_request(field: &str, rule: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, field, rule)
     }
 
-    /// Problem with a 401.
+    /// Problem with `field`, with status 401.
     pub fn unauthorized(field: &str, rule: impl Into<String>) -> Self {
         Self::new(StatusCode::UNAUTHORIZED, field, rule)
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// It cannot be said whether the request ran.
+    /// It is unknown whether the request ran.
     pub fn unknown(reason: UnknownReason, repeatable: bool) -> Self {
         Self {
             kind: "/problems/unknown",
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Problem of a final response that is none.
+    /// Problem document for a final response; `None` if the request succeeded.
     pub fn of(response: &FinalResponse, repeatable: bool) -> Option<Self> {
         match response {
             FinalResponse::Streamed | FinalResponse::Plain(_) => None,
--- a/src/native/serve/listeners/request_headers.rs
+++ b/src/native/serve/listeners/request_headers.rs
@@ -1,4 +1,4 @@
-//! Checks the headers of a client's request. Everything wrong is refused with the header's name.
+//! Checks the headers of a client's request. The refusal of an invalid header gives its name.
 
 use std::sync::Arc;
 
@@ -19,13 +19,13 @@
 /// Lengths of the parts of a W3C trace context.
 const TRACE_PARTS: [usize; 4] = [2, 32, 16, 2];
 
-/// Text of a header, if it is there.
+/// Text of a header, if it is present.
 pub fn header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Problem> {
     match headers.get(name) {
         None => Ok(None),
         Some(value) => match value.to_str() {
             Ok(text) => Ok(Some(text)),
-            // The error says no more than this.
+            // The error has no further details.
             Err(_) => Err(Problem::bad_request(name, "must be printable ASCII")),
         },
     }
@@ -42,11 +42,11 @@
     row.ok_or_else(|| Problem::unauthorized("authorization", "names no client account"))
 }
 
-/// The client's own key, if it gave one.
+/// Idempotency key of the client, if it gave one.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<SharedName>, Problem> {
     let name = headers::IDEMPOTENCY_KEY;
     let Some(text) = header(headers, name)? else { return Ok(None) };
-    // The draft for this header quotes the key as a structured string.
+    // The draft standard of this header defines the key as a structured string, in quotes.
     let key = text.trim().trim_matches('"');
     if is_name(key) {
         Ok(Some(key.into()))
@@ -55,7 +55,7 @@
     }
 }
 
-/// Tokens that a resuming client has.
+/// Number of tokens that a resuming client has received.
 pub fn have_tokens(headers: &HeaderMap) -> Result<usize, Problem> {
     let name = headers::LAST_EVENT_ID;
     let Some(text) = header(headers, name)? else { return Ok(0) };
--- a/src/native/serve/listeners/response.rs
+++ b/src/native/serve/listeners/response.rs
@@ -1,5 +1,5 @@
-//! Responses as clients get them: read from the request store as they grow, streamed as
-//! events or given whole.
+//! Sends responses to clients: reads them from the request store as they grow, and streams them as
+//! events or sends them complete.
 
 use std::{rc::Rc, time::Duration};
 
@@ -30,7 +30,7 @@
     },
 };
 
-/// Chunks that wait for a slow client before its stream waits too: bounds memory a stream.
+/// Chunks buffered for a slow client before its stream pauses: bounds memory per stream.
 const STREAM_CHUNKS: usize = 32;
 
 /// Response with a JSON body.
@@ -53,13 +53,13 @@
     response
 }
 
-/// The record was removed while its client waited: it was cancelled, or refused in the
-/// same moment for another client of the same key.
-pub fn vanished() -> Problem {
+/// Problem for a client whose request's record was removed while it waited: the request was cancelled,
+/// or was refused at the same time for another client with the same key.
+pub fn removed_problem() -> Problem {
     Problem::unknown(UnknownReason::Cancelled, true)
 }
 
-/// Cancels a request when its last client has left for good.
+/// Cancels a request when its last client has disconnected and can't resume any more.
 struct ClientGuard {
     context: Rc<ServeContext>,
     name: RequestName,
@@ -74,17 +74,17 @@
         }
         let context = self.context.clone();
         let name = self.name.clone();
-        // A client without a key of its own cannot resume.
+        // A client that gave no key cannot resume.
         let grace = if self.keyed { context.settings.resume_grace } else { Duration::ZERO };
         tokio::task::spawn_local(async move {
-            context.note(EventKind::ClientLeft, &name, "its connection broke");
+            context.record_event(EventKind::ClientLeft, &name, "its connection broke");
             tokio::time::sleep(grace).await;
-            cancel_if_alone(&context, name).await;
+            cancel_if_unwatched(&context, name).await;
         });
     }
 }
 
-async fn cancel_if_alone(context: &Rc<ServeContext>, name: RequestName) {
+async fn cancel_if_unwatched(context: &Rc<ServeContext>, name: RequestName) {
     let read = context.requests.ask(|reply| RequestMessage::Read {
         name: name.clone(),
         first_token: usize::MAX,
@@ -99,7 +99,7 @@
     // One watcher is the request's own driver.
     if watchers.await.is_ok_and(|watchers| watchers <= 1) {
         context.metrics.count("requests_cancelled", 1);
-        // If the store is overloaded, the request runs to its end for nobody.
+        // If the store is overloaded, the request runs to its end without a client.
         let _ = context.requests.send(RequestMessage::Remove { name });
     }
 }
@@ -115,7 +115,7 @@
 }
 
 impl ResponseReader {
-    /// Reader for a client that has `have_tokens` already; `keyed` if it can resume.
+    /// Reader for a client that has received `have_tokens`; `keyed` if it can resume.
     pub fn new(
         context: &Rc<ServeContext>,
         name: &RequestName,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Waits until there is more than has been sent, or the end.
+    /// Waits for more tokens than were sent, or for the end of the request.
     async fn next_update(&mut self) -> Option<RequestCopy> {
         let sent = self.sent;
         if !self.view.wait_for(|progress| progress.ended || progress.tokens > sent).await {
@@ -149,7 +149,7 @@
         Some(copy)
     }
 
-    async fn whole(&mut self) -> Option<RequestCopy> {
+    async fn wait_for_end(&mut self) -> Option<RequestCopy> {
         if !self.view.wait_for(|progress| progress.ended).await {
             return None;
         }
@@ -157,19 +157,19 @@
         Some(self.view.copy_from(0))
     }
 
-    /// A plain endpoint's response.
+    /// Sends the response of a plain endpoint.
     pub async fn plain(mut self) -> Result<Response<ResponseBody>, Problem> {
-        let copy = self.whole().await.ok_or_else(vanished)?;
+        let copy = self.wait_for_end().await.ok_or_else(removed_problem)?;
         match copy.response.as_deref() {
             Some(FinalResponse::Plain(plain)) => Ok(plain_response(plain)),
-            Some(response) => Err(Problem::of(response, true).unwrap_or_else(vanished)),
-            None => Err(vanished()),
+            Some(response) => Err(Problem::of(response, true).unwrap_or_else(removed_problem)),
+            None => Err(removed_problem()),
         }
     }
 
-    /// The whole response in one document.
+    /// Sends the complete response in one document.
     pub async fn document(mut self, chat: bool) -> Result<Response<ResponseBody>, Problem> {
-        let copy = self.whole().await.ok_or_else(vanished)?;
+        let copy = self.wait_for_end().await.ok_or_else(removed_problem)?;
         if let Some(problem) = copy.response.as_deref().and_then(|end| Problem::of(end, true)) {
             return Err(problem);
         }
@@ -191,10 +191,10 @@
         })))
     }
 
-    /// Streams events. The head waits for the first token, so that a request that comes
-    /// to nothing is answered with a status that says so.
+    /// Streams events. The response head waits for the first token, so that a request that fails
+    /// before it gets an error status.
     pub async fn events(mut self, chat: bool) -> Result<Response<ResponseBody>, Problem> {
-        let first = self.next_update().await.ok_or_else(vanished)?;
+        let first = self.next_update().await.ok_or_else(removed_problem)?;
         if first.tokens.is_empty()
             && let Some(problem) = first.response.as_deref().and_then(|end| Problem::of(end, true))
         {
@@ -206,8 +206,8 @@
         let mut response = Response::new(body);
         let kind = HeaderValue::from_static("text/event-stream");
         response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
-        let fresh = HeaderValue::from_static("no-store");
-        response.headers_mut().insert(hyper::header::CACHE_CONTROL, fresh);
+        let no_store = HeaderValue::from_static("no-store");
+        response.headers_mut().insert(hyper::header::CACHE_CONTROL, no_store);
         Ok(response)
     }
 
@@ -227,7 +227,7 @@
             }
             if let Some(response) = &copy.response {
                 let end = render_end(&self.name, response, chat);
-                // The client may be gone by then.
+                // Fails if the client has disconnected.
                 let _ = sender.send(Ok(end)).await;
                 return;
             }
@@ -242,7 +242,7 @@
     /// Events of the tokens that have not been sent yet.
     fn render(&mut self, copy: &RequestCopy, chat: bool) -> Bytes {
         let mut text = String::new();
-        // After a take-over the store may know fewer tokens than were sent.
+        // After a take-over the store may have fewer tokens than were sent.
         let known = self.sent.saturating_sub(copy.first_token);
         for token in copy.tokens.iter().skip(known) {
             let chunk = render_chunk(&self.name, Some(token), chat, None);
--- a/src/native/serve/listeners/stream_chunks.rs
+++ b/src/native/serve/listeners/stream_chunks.rs
@@ -1,4 +1,4 @@
-//! The events of a streamed completion, in the form that clients of model serving expect.
+//! Events of a streamed completion, in the form that clients of model serving expect.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use super::problem::Problem;
 use crate::{ids::RequestName, native::request::outcome::FinalResponse};
 
-/// Chunk of a stream, in the usual form.
+/// One chunk of a streamed completion.
 #[derive(Serialize)]
 struct StreamChunk<'a> {
     id: &'a str,
@@ -47,8 +47,8 @@
     serde_json::to_string(&chunk).unwrap_or_default()
 }
 
-/// Last events of a stream. One that failed midway ends with its problem as an error
-/// event and without the usual end, so that no client takes it for whole.
+/// Last events of a stream. A stream that failed midway ends with its problem as an error event and
+/// without `[DONE]`, so that no client mistakes it for complete.
 pub fn render_end(name: &RequestName, response: &FinalResponse, chat: bool) -> Bytes {
     match Problem::of(response, true) {
         None => {
--- a/src/native/serve/run/driver.rs
+++ b/src/native/serve/run/driver.rs
@@ -121,7 +121,7 @@
             self.moves,
             self.tokens.len()
         );
-        self.context.note(EventKind::Ended, &self.name, detail);
+        self.context.record_event(EventKind::Ended, &self.name, detail);
         let message = RequestMessage::End {
             name: self.name.clone(),
             takeovers: self.takeovers,
@@ -203,7 +203,7 @@
 
     async fn attempt(&mut self, slot: &EndpointSlot) -> AttemptEnd {
         let detail = format!("attempt {} at VM {}", self.attempts, slot.pick.id);
-        self.context.note(EventKind::Dispatched, &self.name, detail);
+        self.context.record_event(EventKind::Dispatched, &self.name, detail);
         let call = self.call.clone();
         let task = AttemptTask {
             context: &self.context,
@@ -262,7 +262,7 @@
     fn record_failure(&mut self, slot: &EndpointSlot, error: &crate::errors::StepError) {
         self.exclude.push(slot.pick.id.clone());
         self.context.metrics.count("attempts_failed", 1);
-        self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
+        self.context.record_event(EventKind::AttemptFailed, &self.name, error.to_string());
     }
 }
 
--- a/src/native/serve/run/once.rs
+++ b/src/native/serve/run/once.rs
@@ -153,7 +153,11 @@
             Some(SealVerdict::Ended(settled)) => return settled,
             Some(SealVerdict::NotDispatched) => {
                 let name = RequestName::new(call.account.clone(), ticket.to_string());
-                context.note(EventKind::TicketSealed, &name, "its holder could not be reached");
+                context.record_event(
+                    EventKind::TicketSealed,
+                    &name,
+                    "its holder could not be reached",
+                );
                 let undispatched = UndispatchedCall::new(call);
                 let response = undispatched.refuse(NotRunReason::HolderGone, Duration::ZERO);
                 return SettledResponse { digest, response };
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -64,7 +64,7 @@
         let refusals = self.refused_by.len();
         let took = self.started_at.elapsed().as_millis();
         let detail = format!("{label}{reason}; {refusals} refusals, {took} ms");
-        self.context.note(EventKind::Ended, &self.name, detail);
+        self.context.record_event(EventKind::Ended, &self.name, detail);
     }
 
     /// Runs the request to its final response.
@@ -78,7 +78,7 @@
             // The limiter does not answer: the daemon is overloaded or stopping.
             Err(_) => return undispatched.refuse(NotRunReason::Overloaded, RETRY_AFTER),
         }
-        self.context.note(
+        self.context.record_event(
             EventKind::Accepted,
             &self.name,
             format!("service {}", self.call.service),
@@ -136,7 +136,11 @@
         match self.context.pool.consent(&witness, self.ticket).await {
             Ok(ConsentVerdict::Granted) => Ok(()),
             Ok(ConsentVerdict::Sealed | ConsentVerdict::AlreadyGranted) => {
-                self.context.note(EventKind::TicketSealed, &self.name, "the witness refused");
+                self.context.record_event(
+                    EventKind::TicketSealed,
+                    &self.name,
+                    "the witness refused",
+                );
                 Err(NotRunReason::HolderGone)
             }
             // The witness may have recorded its consent. That does no harm, since this holder ends
@@ -151,7 +155,11 @@
         stage: UndispatchedCall,
         slot: &EndpointSlot,
     ) -> Result<FinalResponse, UndispatchedCall> {
-        self.context.note(EventKind::Dispatched, &self.name, format!("VM {}", slot.pick.id));
+        self.context.record_event(
+            EventKind::Dispatched,
+            &self.name,
+            format!("VM {}", slot.pick.id),
+        );
         let call = self.call.clone();
         let dispatched = stage.begin();
         let task = AttemptTask {
@@ -171,14 +179,14 @@
             AttemptEnd::Answered(response) => Ok(response),
             AttemptEnd::NotStarted(evidence, error) => {
                 self.refused_by.push(slot.pick.id.clone());
-                self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
+                self.context.record_event(EventKind::AttemptFailed, &self.name, error.to_string());
                 match dispatched.not_started(evidence) {
                     CallStage::Undispatched(undispatched) => Err(undispatched),
                     CallStage::Dispatched(call) => Ok(call.give_up(UnknownReason::AnswerLost)),
                 }
             }
             AttemptEnd::Failed(error) => {
-                self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
+                self.context.record_event(EventKind::AttemptFailed, &self.name, error.to_string());
                 Ok(dispatched.give_up(UnknownReason::AnswerLost))
             }
             AttemptEnd::Leaving(_) | AttemptEnd::Superseded => {
--- a/src/native/serve/run/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -113,7 +113,7 @@
         context.metrics.count("accepted_without_copy", 1);
     }
     context.copies.send(CopyMessage::Track(name.clone()))?;
-    context.note(EventKind::Accepted, name, format!("service {}", call.service));
+    context.record_event(EventKind::Accepted, name, format!("service {}", call.service));
     let mut driver = RequestDriver::new(context.clone(), name.clone(), 0, call, Vec::new());
     driver.priority = priority;
     spawn_driver(context, driver, CallStage::Undispatched(undispatched));
@@ -190,7 +190,7 @@
     let tokens = copy.tokens.len();
     let detail =
         format!("term {}, {tokens} tokens, {} ms", copy.takeovers, begun_at.elapsed().as_millis());
-    context.note(EventKind::TakenOver, name, detail);
+    context.record_event(EventKind::TakenOver, name, detail);
     if targets.is_empty() {
         context.metrics.count("accepted_without_copy", 1);
     }
--- a/src/native/serve/timeline.rs
+++ b/src/native/serve/timeline.rs
@@ -1,4 +1,4 @@
-//! Recent events of this daemon; `willowctl timeline` merges those of all daemons.
+//! Recent events of this daemon. `willowctl timeline` merges the events of all daemons.
 
 use std::{cell::RefCell, collections::VecDeque, rc::Rc};
 
@@ -6,12 +6,12 @@
 
 use crate::ids::SharedName;
 
-/// Events kept; older ones are dropped. Some 4 MB.
+/// Number of events kept, about 4 MB; older ones are dropped.
 const EVENT_LIMIT: usize = 20_000;
-/// Longest detail kept, in bytes: bounds the memory of the ring.
+/// Longest detail of an event, in bytes: bounds the memory of the ring buffer.
 const DETAIL_LIMIT: usize = 256;
 
-/// What happened.
+/// Kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
@@ -25,22 +25,22 @@
     Moved,
     /// A request was taken over from its holder.
     TakenOver,
-    /// A request has ended: the one terminal event, with its attempts summed.
+    /// A request has ended. Recorded once per request, with totals of its attempts.
     Ended,
-    /// A client left.
+    /// A client disconnected or cancelled its request.
     #[serde(rename = "caller-left")]
     ClientLeft,
-    /// A ticket was refused consent, or sealed.
+    /// A ticket was sealed, or its witness refused consent.
     TicketSealed,
-    /// A table row has become current here.
+    /// A table row has taken effect at this daemon.
     RowInForce,
-    /// A VM has a notice.
+    /// A VM has a reclaim notice.
     Notice,
     /// A daemon's status has changed.
     Member,
     /// The daemon's own life phase has changed.
     Phase,
-    /// The planner acted.
+    /// The planner took the lease, or started or released a VM or gave it notice.
     Planned,
 }
 
@@ -49,15 +49,15 @@
 pub struct TimelineEvent {
     /// Wall-clock time, in milliseconds since 1970.
     pub at_ms: u64,
-    /// Running number at this daemon, to keep the order within a millisecond.
+    /// Sequence number at this daemon; gives the order within a millisecond.
     pub sequence: u64,
-    /// Daemon that saw it.
+    /// Daemon that recorded the event.
     pub daemon: SharedName,
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
-    /// Request, VM, row or daemon it is about.
+    /// Request, VM, row or daemon that the event is about.
     pub subject: Option<SharedName>,
-    /// More, in words.
+    /// Details, as text.
     pub detail: String,
 }
 
@@ -68,14 +68,14 @@
     events: VecDeque<TimelineEvent>,
 }
 
-/// Handle to the daemon's ring of events.
+/// Handle to the daemon's ring buffer of events.
 #[derive(Clone, Debug)]
 pub struct TimelineHandle {
     ring: Rc<RefCell<EventRing>>,
 }
 
 impl TimelineHandle {
-    /// Empty ring of the daemon named `daemon`.
+    /// Empty ring buffer for the daemon named `daemon`.
     pub fn new(daemon: SharedName) -> Self {
         let ring = EventRing { daemon, next_sequence: 1, events: VecDeque::new() };
         Self { ring: Rc::new(RefCell::new(ring)) }
