--- a/src/native/serve/run/once.rs
+++ b/src/native/serve/run/once.rs
@@ -34,8 +34,8 @@
 
 /// Longest wait for a ticket's holder: less than the 45 s for which a client is kept waiting.
 const HOLDER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between attempts to reach a holder that may have dispatched: long enough for few calls within
-/// `HOLDER_TIMEOUT`.
+/// Time between attempts to reach a holder that may have dispatched: long enough that few calls are
+/// made within `HOLDER_TIMEOUT`.
 const HOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Outcome of a request that may not be retried.
--- a/src/native/serve/run/resume.rs
+++ b/src/native/serve/run/resume.rs
@@ -145,8 +145,8 @@
     follow(context, known).await
 }
 
-/// Follows the holder of a request that is known here as a copy, or takes the request over if the
-/// holder is no longer a member.
+/// Continues a request that is known as a copy: follows its holder, or takes the request over if the
+/// holder is no longer a member or the request ended without a response.
 async fn follow(
     context: &Rc<ServeContext>,
     copy: RequestCopy,
--- a/src/native/serve/timeline.rs
+++ b/src/native/serve/timeline.rs
@@ -21,7 +21,7 @@
     Dispatched,
     /// An attempt failed.
     AttemptFailed,
-    /// A stream left its endpoint because of a notice.
+    /// It was decided how a stream leaves an endpoint that has a reclaim notice.
     Moved,
     /// A request was taken over from its holder.
     TakenOver,
