--- a/src/native/serve/run/once.rs
+++ b/src/native/serve/run/once.rs
@@ -230,8 +230,8 @@
         let mut run = OnceRun::new(context.clone(), ticket, call);
         let response = run.run().await;
         run.record_end(&response);
-        // If the ledger is overloaded, waiting clients get no response from it, but the witness
-        // still gets it.
+        // If the ledger is overloaded, those who wait for the response do not get it from the ledger,
+        // but the witness still gets it.
         let _ = context.tickets.send(TicketMessage::End { ticket, response: response.clone() });
         settle(&context, ticket, SettledResponse { digest, response }).await;
     });
