--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -1,4 +1,5 @@
-//! One run of a ticket at its holder: admit, pick, obtain consent, dispatch once.
+//! One run of a ticket at its holder: admits the request, picks an endpoint, obtains the witness's
+//! consent and dispatches once.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -28,8 +29,8 @@
 
 /// Longest wait in the queue for an endpoint: leaves most of the client's 45 s for the run itself.
 const QUEUE_WAIT: Duration = Duration::from_secs(10);
-/// Endpoints that may refuse before starting, for one request: a few endpoints, then the client
-/// decides.
+/// Refusals by endpoints after which a request is given up: a few endpoints are tried, then the
+/// client decides.
 const REFUSAL_LIMIT: usize = 4;
 
 /// One run of a ticket at its holder.
@@ -51,8 +52,8 @@
         Self { context, ticket, call, name, refused_by: Vec::new(), started_at, priority }
     }
 
-    /// Notes the one terminal event.
-    pub fn note_end(&self, response: &FinalResponse) {
+    /// Records the end of the request.
+    pub fn record_end(&self, response: &FinalResponse) {
         let label = response.label();
         self.context.metrics.count_labelled("requests_ended", "outcome", label);
         let reason = match response {
@@ -63,10 +64,10 @@
         let refusals = self.refused_by.len();
         let took = self.started_at.elapsed().as_millis();
         let detail = format!("{label}{reason}; {refusals} refusals, {took} ms");
-        self.context.note(EventKind::Ended, &self.name, detail);
+        self.context.record_event(EventKind::Ended, &self.name, detail);
     }
 
-    /// Runs to the final response.
+    /// Runs the request to its final response.
     pub async fn run(&mut self) -> FinalResponse {
         let undispatched = UndispatchedCall::new(self.call.clone());
         match admit(&self.context, &self.call).await {
@@ -77,7 +78,7 @@
             // The limiter does not answer: the daemon is overloaded or stopping.
             Err(_) => return undispatched.refuse(NotRunReason::Overloaded, RETRY_AFTER),
         }
-        self.context.note(
+        self.context.record_event(
             EventKind::Accepted,
             &self.name,
             format!("service {}", self.call.service),
@@ -88,7 +89,9 @@
             let slot = match self.pick().await {
                 PickReply::Slot(slot) => slot,
                 PickReply::Busy(wait) => return stage.refuse(NotRunReason::Overloaded, wait),
-                PickReply::Nowhere => return stage.refuse(NotRunReason::NoEndpoint, RETRY_AFTER),
+                PickReply::NoEndpoint => {
+                    return stage.refuse(NotRunReason::NoEndpoint, RETRY_AFTER);
+                }
             };
             if !consented {
                 if let Err(reason) = self.obtain_consent().await {
@@ -124,7 +127,7 @@
         self.context.pick(order).await
     }
 
-    /// Has the witness write down that this holder may have dispatched from now on.
+    /// Has the witness record that this holder may have dispatched from now on.
     async fn obtain_consent(&self) -> Result<(), NotRunReason> {
         if self.ticket.witness == self.ticket.holder {
             return Ok(());
@@ -133,22 +136,30 @@
         match self.context.pool.consent(&witness, self.ticket).await {
             Ok(ConsentVerdict::Granted) => Ok(()),
             Ok(ConsentVerdict::Sealed | ConsentVerdict::AlreadyGranted) => {
-                self.context.note(EventKind::TicketSealed, &self.name, "the witness refused");
+                self.context.record_event(
+                    EventKind::TicketSealed,
+                    &self.name,
+                    "the witness refused",
+                );
                 Err(NotRunReason::HolderGone)
             }
-            // The witness may have written its consent down; that does no harm,
-            // since this holder ends the ticket without dispatching.
+            // The witness may have recorded its consent. That does no harm, since this holder ends
+            // the ticket without dispatching.
             Err(_) => Err(NotRunReason::NoWitness),
         }
     }
 
-    /// Dispatches once. Gives the call back only if the endpoint did not start it.
+    /// Dispatches the call once. Returns the call only if the endpoint did not start it.
     async fn dispatch(
         &mut self,
         stage: UndispatchedCall,
         slot: &EndpointSlot,
     ) -> Result<FinalResponse, UndispatchedCall> {
-        self.context.note(EventKind::Dispatched, &self.name, format!("VM {}", slot.pick.id));
+        self.context.record_event(
+            EventKind::Dispatched,
+            &self.name,
+            format!("VM {}", slot.pick.id),
+        );
         let call = self.call.clone();
         let dispatched = stage.begin();
         let task = AttemptTask {
@@ -168,14 +179,14 @@
             AttemptEnd::Answered(response) => Ok(response),
             AttemptEnd::NotStarted(evidence, error) => {
                 self.refused_by.push(slot.pick.id.clone());
-                self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
+                self.context.record_event(EventKind::AttemptFailed, &self.name, error.to_string());
                 match dispatched.not_started(evidence) {
                     CallStage::Undispatched(undispatched) => Err(undispatched),
                     CallStage::Dispatched(call) => Ok(call.give_up(UnknownReason::AnswerLost)),
                 }
             }
             AttemptEnd::Failed(error) => {
-                self.context.note(EventKind::AttemptFailed, &self.name, error.to_string());
+                self.context.record_event(EventKind::AttemptFailed, &self.name, error.to_string());
                 Ok(dispatched.give_up(UnknownReason::AnswerLost))
             }
             AttemptEnd::Leaving(_) | AttemptEnd::Superseded => {
