--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for what lies outside the native interface: platform, endpoints, clients, each
-//! with fault switches that can be thrown while it runs (`POST /faults`). Tests, benchmarks,
-//! examples and the program `willow-standin` use them; nothing of the daemons does.
+//! Stand-ins for the systems around the native interface: platform, endpoints and clients.
+//! Faults of the platform and of the endpoints can be switched on while they run
+//! (`POST /faults`). Tests, benchmarks, examples and the program `willow-standin` use the
+//! stand-ins; the daemons don't.
 //!
-//! There are two sets. These speak the wires of `native::{cloud_api, endpoint}` and of
-//! docs/native/clients.md. The gateway meets the users' platform, whose wires differ in every call;
-//! its stand-ins are in tests/gateway, since only its tests need them.
+//! These stand-ins implement the protocols of `native::{cloud_api, endpoint}` and of
+//! docs/native/clients.md. The gateway talks to the users' platform, whose protocol differs in
+//! every call; the stand-ins for it are in tests/gateway, because only its tests need them.
 
 pub mod clients;
 pub mod endpoint;
--- a/src/standin/clients.rs
+++ b/src/standin/clients.rs
@@ -1,6 +1,6 @@
-//! Stand-in of the clients of the native interface: plays a request mix against the daemons
-//! as the documented protocol says (docs/native/clients.md), compares every response with the one
-//! expected, and reports.
+//! Stand-in for the clients of the native interface: sends a mix of requests to the daemons
+//! following the client protocol (docs/native/clients.md), compares each response with the
+//! expected one, and reports the results.
 
 mod mix;
 mod report;
@@ -17,25 +17,25 @@
 pub use mix::{MixEntry, MixKind, RequestMix};
 pub use report::{ClientReport, complete_report};
 use report::{FailedOutcome, RunRecord};
-use request::{ClientRequest, TryEnd};
+use request::{ClientRequest, TryOutcome};
 
 use crate::{
     http::client::{HttpClient, OutgoingCall},
     native::endpoint::{STREAM_END, sse::EventDecoder},
 };
 
-/// Longest wait for the head of a response, and for each chunk of it: longer than the time limits
-/// of the daemons.
-const CHUNK_LIMIT: Duration = Duration::from_secs(60);
-/// Most times a client sends the same request: outlasts the faults of the tests.
-const TRIES: u32 = 40;
+/// Time limit for the head of a response and for each chunk of its body: longer than the time
+/// limits of the daemons.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of attempts per request: enough to outlast the faults that the tests inject.
+const MAX_TRIES: u32 = 40;
 /// Pause before trying another daemon after a broken connection.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// Multiple of the wait that was asked for, drawn anew for each retry, so that clients that were
-/// refused together do not return together.
+/// Random factor applied to the requested wait before each retry, so that clients refused at the
+/// same time don't retry at the same time.
 const RETRY_JITTER: std::ops::Range<f64> = 1.0..1.2;
 
-/// Clients at work.
+/// Load generator that plays the clients of a request mix.
 pub struct ClientPlayer {
     http: HttpClient,
     daemons: Vec<SocketAddr>,
@@ -44,12 +44,12 @@
 }
 
 impl ClientPlayer {
-    /// Clients that send `mix` against `daemons`.
+    /// Creates clients that send the requests of `mix` to `daemons`.
     pub fn new(daemons: Vec<SocketAddr>, mix: RequestMix) -> Self {
         Self { http: HttpClient::new(), daemons, mix, record: RefCell::default() }
     }
 
-    /// Sends requests for `length` at the mix's pace, waits for all of them, reports.
+    /// Sends requests for `length` at the rate of the mix, waits until all have ended, and reports.
     pub async fn play(self, length: Duration, seed: u64) -> ClientReport {
         let mut rng = SmallRng::seed_from_u64(seed);
         let player = Rc::new(self);
@@ -71,36 +71,35 @@
     }
 
     fn make_request(&self, seed: u64, number: u64, rng: &mut SmallRng) -> ClientRequest {
-        // A mix without entries cannot be played.
         let entry = self
             .mix
             .entries
             .choose_weighted(rng, |entry| entry.weight)
-            .expect("a mix has entries with weights")
+            .expect("the request mix has an entry with a weight above 0")
             .clone();
         ClientRequest::new(entry, seed, number, rng)
     }
 
     async fn run(&self, mut request: ClientRequest) {
-        let mut last = (FailedOutcome::Failed, String::from("no try"));
-        for _ in 0..TRIES {
+        let mut last = (FailedOutcome::Failed, String::from("not attempted"));
+        for _ in 0..MAX_TRIES {
             match self.try_once(&mut request).await {
-                TryEnd::Done => {
+                TryOutcome::Done => {
                     self.record.borrow_mut().report.answered += 1;
                     return;
                 }
-                TryEnd::RetryAfter(wait, outcome) => {
-                    last = (outcome, "refused with a time to retry after".into());
+                TryOutcome::RetryAfter(wait, outcome) => {
+                    last = (outcome, "refused with retry_after".into());
                     self.record.borrow_mut().report.refusals += 1;
                     let jitter = request.rng.random_range(RETRY_JITTER);
                     sleep(wait.max(RECONNECT_PAUSE).mul_f64(jitter)).await;
                 }
-                TryEnd::Resume => {
-                    last = (FailedOutcome::Failed, "connection broke".into());
+                TryOutcome::Resume => {
+                    last = (FailedOutcome::Failed, "connection lost".into());
                     self.record.borrow_mut().report.resumed += 1;
                     sleep(RECONNECT_PAUSE).await;
                 }
-                TryEnd::Final(outcome, detail) => {
+                TryOutcome::Final(outcome, detail) => {
                     last = (outcome, detail);
                     break;
                 }
@@ -111,20 +110,20 @@
         self.record.borrow_mut().record_failure(&shown, last.0, &last.1);
     }
 
-    async fn try_once(&self, request: &mut ClientRequest) -> TryEnd {
-        // A balancer gives each connection to any daemon.
-        let daemon = *self.daemons.choose(&mut request.rng).expect("there are daemons");
+    async fn try_once(&self, request: &mut ClientRequest) -> TryOutcome {
+        // Any daemon may get the connection, as behind a load balancer.
+        let daemon = *self.daemons.choose(&mut request.rng).expect("at least one daemon is given");
         if request.entry.kind == MixKind::Once && request.key.is_none() {
             match self.fetch_ticket(request, daemon).await {
                 Some(ticket) => request.key = Some(ticket),
-                None => return TryEnd::RetryAfter(RECONNECT_PAUSE, FailedOutcome::NotRun),
+                None => return TryOutcome::RetryAfter(RECONNECT_PAUSE, FailedOutcome::NotRun),
             }
         }
-        let call = request.outgoing(daemon);
-        let response = match self.http.open(&call, CHUNK_LIMIT).await {
+        let call = request.next_call(daemon);
+        let response = match self.http.open(&call, READ_TIMEOUT).await {
             Ok(response) => response,
-            // Whatever broke: the request is resumed elsewhere, as the protocol says.
-            Err(_) => return TryEnd::Resume,
+            // After any connection error, the protocol has the client resume at another daemon.
+            Err(_) => return TryOutcome::Resume,
         };
         let status = response.status();
         if !status.is_success() {
@@ -133,19 +132,21 @@
         match request.entry.kind {
             MixKind::Completion => self.read_stream(request, response.into_body()).await,
             MixKind::Plain | MixKind::Once => {
-                let Ok(body) = response.into_body().collect().await else { return TryEnd::Resume };
-                self.note_first(request);
+                let Ok(body) = response.into_body().collect().await else {
+                    return TryOutcome::Resume;
+                };
+                self.record_first_response(request);
                 request.check_plain(&body.to_bytes())
             }
         }
     }
 
-    /// Requests a ticket; none, for whatever reason, means trying again.
+    /// Requests a ticket; `None` after any failure, which the caller retries.
     async fn fetch_ticket(&self, request: &ClientRequest, daemon: SocketAddr) -> Option<String> {
-        let call = OutgoingCall::get("take ticket", daemon, "/v1/tickets")
+        let call = OutgoingCall::get("request ticket", daemon, "/v1/tickets")
             .with_json(Method::POST, "")
             .with_header("authorization", format!("Bearer {}", request.entry.api_key));
-        let response = self.http.fetch(&call, CHUNK_LIMIT).await.ok()?;
+        let response = self.http.fetch(&call, READ_TIMEOUT).await.ok()?;
         let value: Value = serde_json::from_slice(&response.body).ok()?;
         Some(value["tickets"][0].as_str()?.to_owned())
     }
@@ -155,9 +156,9 @@
         request: &mut ClientRequest,
         status: StatusCode,
         response: hyper::Response<hyper::body::Incoming>,
-    ) -> TryEnd {
-        let Ok(body) = response.into_body().collect().await else { return TryEnd::Resume };
-        // What is no JSON has no outcome, and counts as failed.
+    ) -> TryOutcome {
+        let Ok(body) = response.into_body().collect().await else { return TryOutcome::Resume };
+        // A body that isn't JSON has no outcome and counts as failed.
         let problem: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
         let outcome = problem["outcome"].as_str().unwrap_or("failed").to_owned();
         let wait = problem["retry_after"].as_f64().map(Duration::from_secs_f64);
@@ -165,14 +166,14 @@
         match (outcome.as_str(), wait) {
             ("not-run", Some(wait)) => {
                 if request.entry.kind == MixKind::Once {
-                    // A ticket that was not run is spent; the request needs a new one.
+                    // A ticket whose request did not run can't be used again.
                     request.key = None;
                 }
-                TryEnd::RetryAfter(wait, FailedOutcome::NotRun)
+                TryOutcome::RetryAfter(wait, FailedOutcome::NotRun)
             }
-            ("unknown", Some(wait)) => TryEnd::RetryAfter(wait, FailedOutcome::Unknown),
-            ("unknown", None) => TryEnd::Final(FailedOutcome::Unknown, detail),
-            _ => TryEnd::Final(FailedOutcome::Failed, detail),
+            ("unknown", Some(wait)) => TryOutcome::RetryAfter(wait, FailedOutcome::Unknown),
+            ("unknown", None) => TryOutcome::Final(FailedOutcome::Unknown, detail),
+            _ => TryOutcome::Final(FailedOutcome::Failed, detail),
         }
     }
 
@@ -180,28 +181,31 @@
         &self,
         request: &mut ClientRequest,
         mut body: hyper::body::Incoming,
-    ) -> TryEnd {
+    ) -> TryOutcome {
         let mut decoder = EventDecoder::default();
         loop {
-            let frame = match timeout(CHUNK_LIMIT, body.frame()).await {
+            let frame = match timeout(READ_TIMEOUT, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                _ => return TryEnd::Resume,
+                _ => return TryOutcome::Resume,
             };
             let Ok(bytes) = frame.into_data() else { continue };
             let Ok(events) = decoder.feed(&bytes) else {
-                return TryEnd::Final(FailedOutcome::Wrong, "malformed events".into());
+                return TryOutcome::Final(
+                    FailedOutcome::Wrong,
+                    "malformed server-sent events".into(),
+                );
             };
             for event in events {
                 if event == STREAM_END {
                     return request.check_tokens();
                 }
-                // What is no JSON counts as an empty token, which the comparison finds.
+                // An event that isn't JSON counts as an empty token, and the comparison then fails.
                 let value: Value = serde_json::from_str(&event).unwrap_or_default();
                 if value.get("error").is_some() {
-                    return TryEnd::RetryAfter(RECONNECT_PAUSE, FailedOutcome::Unknown);
+                    return TryOutcome::RetryAfter(RECONNECT_PAUSE, FailedOutcome::Unknown);
                 }
                 if value["choices"][0]["finish_reason"].is_null() {
-                    self.note_token(request);
+                    self.record_token(request);
                     let text = value["choices"][0]["text"].as_str().unwrap_or("");
                     request.received.push(text.to_owned());
                 }
@@ -209,14 +213,14 @@
         }
     }
 
-    fn note_first(&self, request: &ClientRequest) {
-        self.record.borrow_mut().record_first(request.started_at.elapsed());
+    fn record_first_response(&self, request: &ClientRequest) {
+        self.record.borrow_mut().record_first_response(request.started_at.elapsed());
     }
 
-    fn note_token(&self, request: &mut ClientRequest) {
+    fn record_token(&self, request: &mut ClientRequest) {
         match request.last_token_at {
-            None => self.note_first(request),
-            Some(before) => self.record.borrow_mut().record_gap(before.elapsed()),
+            None => self.record_first_response(request),
+            Some(before) => self.record.borrow_mut().record_token_gap(before.elapsed()),
         }
         request.last_token_at = Some(Instant::now());
     }
--- a/src/standin/clients/mix.rs
+++ b/src/standin/clients/mix.rs
@@ -1,4 +1,4 @@
-//! Request mix: which requests the clients send, how often, and at what pace.
+//! Request mix: which requests the clients send, and how often.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,51 +6,51 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MixKind {
-    /// Completion, streamed.
+    /// Streamed completion.
     Completion,
-    /// Plain call that may be repeated.
+    /// Call of a plain service that may be repeated.
     Plain,
-    /// Plain call that may not be repeated, under a ticket.
+    /// Call of a plain service that must not be repeated; it carries a ticket.
     Once,
 }
 
-/// One sort of request.
+/// One kind of request in the mix, with its parameters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MixEntry {
-    /// What it is, for the report.
+    /// Name in the report.
     pub name: String,
-    /// How often it comes, relative to the others.
+    /// Frequency relative to the other entries.
     pub weight: f64,
-    /// Kind.
+    /// Completion or plain call.
     pub kind: MixKind,
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Path at a plain service.
+    /// Path of a plain call, below that of the service.
     #[serde(default)]
     pub path: String,
-    /// Key of the client account.
+    /// API key of the client account.
     pub api_key: String,
     /// Name of the client account.
     pub account: String,
-    /// Words that all prompts of one series share.
+    /// Length, in words, of the prefix that all prompts of one series share.
     #[serde(default)]
     pub shared_words: usize,
-    /// Number of series.
+    /// Number of prompt series, each with a prefix of its own.
     #[serde(default)]
     pub series: usize,
-    /// Words of each prompt's own.
+    /// Length, in words, of the part that is unique to each prompt.
     #[serde(default)]
     pub own_words: usize,
-    /// Tokens of the response.
+    /// Number of tokens in the response.
     #[serde(default)]
     pub max_tokens: usize,
 }
 
-/// Mix of requests, with its pace.
+/// Mix of requests and the rate at which they are sent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestMix {
-    /// Requests a second, all together.
+    /// Requests per second, over all entries.
     pub requests_per_s: f64,
-    /// Sorts of requests.
+    /// Kinds of requests.
     pub entries: Vec<MixEntry>,
 }
--- a/src/standin/clients/report.rs
+++ b/src/standin/clients/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to: counts of outcomes, times, cost.
+//! Results of a run of the clients: numbers of outcomes, latencies and cost.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,100 +12,102 @@
     standin::endpoint::WorkCounts,
 };
 
-/// Failures that a report describes: enough to see what goes wrong.
+/// Maximum number of failures described in a report: enough to see what goes wrong.
 const DESCRIBED_FAILURES: usize = 10;
-/// Longest duration told apart, in microseconds: ten minutes. Longer than all tries of a request.
-const HIGHEST_US: u64 = 600_000_000;
-/// Significant digits of durations: within 0.1%.
-const PRECISION: u8 = 3;
-/// Quantiles that a report gives.
+/// Longest duration that the histograms distinguish, in microseconds: ten minutes, more than all
+/// attempts of a request take.
+const MAX_DURATION_US: u64 = 600_000_000;
+/// Significant digits of recorded durations: an error below 0.1%.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Quantiles given in a report.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1e3;
-/// Longest wait for a response of the cloud or of an endpoint.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-/// Seconds in the hour for which prices are given.
+/// Time limit for a response of the cloud or of an endpoint.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Seconds in an hour, the unit of time of VM prices.
 const HOUR_S: f64 = 3_600.0;
 
-/// What a run of the clients came to.
+/// Results of a run of the clients.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ClientReport {
     /// Requests sent.
     pub requests: u64,
-    /// Whole and correct responses.
+    /// Complete and correct responses.
     pub answered: u64,
-    /// Requests whose last try was refused as "not run".
+    /// Requests whose last attempt was refused as "not run".
     pub not_run: u64,
     /// Requests that may have run.
     pub unknown: u64,
-    /// Responses that were not the one expected.
+    /// Responses that differ from the expected one.
     pub wrong: u64,
-    /// Requests that came to nothing else.
+    /// Requests that failed in any other way.
     pub failed: u64,
-    /// Refusals with a time to retry after.
+    /// Refusals that asked the client to retry after a time.
     pub refusals: u64,
-    /// Times a broken connection was resumed.
+    /// Number of times a request was resumed after its connection broke.
     pub resumed: u64,
-    /// First token or response, in milliseconds: median, 95, 99 in 100.
+    /// Time to the first token or the plain response, in milliseconds: median, 95th and 99th
+    /// percentile.
     pub first_token_ms: [f64; 3],
-    /// Time between tokens, in milliseconds: median, 95, 99 in 100.
+    /// Time between tokens, in milliseconds: median, 95th and 99th percentile.
     pub token_gap_ms: [f64; 3],
-    /// Prompt tokens that engines computed again for resumed streams.
+    /// Prompt tokens that engines recomputed for resumed streams.
     pub tokens_recomputed: u64,
     /// Tokens that engines generated.
     pub tokens_generated: u64,
     /// Cost of the VMs during the run, in cost units.
     pub cost: f64,
-    /// First few failures, in words.
+    /// Descriptions of the first failures.
     pub failures: Vec<String>,
 }
 
-/// How a request ended that did not get its response.
+/// Outcome of a request that did not get the expected response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub(super) enum FailedOutcome {
-    /// Refused to the last; it has not run.
+    /// All attempts were refused; the request has not run.
     #[display("not-run")]
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     #[display("unknown")]
     Unknown,
-    /// Responded with something else than expected.
+    /// The response differs from the expected one.
     #[display("wrong")]
     Wrong,
-    /// Anything else.
+    /// Any other failure.
     #[display("failed")]
     Failed,
 }
 
-/// Report in the making.
+/// Collects the results of a run until its report is made.
 pub(super) struct RunRecord {
     pub(super) report: ClientReport,
-    first: Histogram<u64>,
-    gaps: Histogram<u64>,
+    first_responses: Histogram<u64>,
+    token_gaps: Histogram<u64>,
 }
 
 impl Default for RunRecord {
     fn default() -> Self {
         Self {
             report: ClientReport::default(),
-            first: micros_histogram(),
-            gaps: micros_histogram(),
+            first_responses: micros_histogram(),
+            token_gaps: micros_histogram(),
         }
     }
 }
 
 impl RunRecord {
-    /// Records the time until the first token or the response.
-    pub(super) fn record_first(&mut self, elapsed: Duration) {
-        self.first.saturating_record(elapsed.as_micros() as u64);
+    /// Records the time from the start of a request to its first token or its plain response.
+    pub(super) fn record_first_response(&mut self, elapsed: Duration) {
+        self.first_responses.saturating_record(elapsed.as_micros() as u64);
     }
 
     /// Records the time between two tokens.
-    pub(super) fn record_gap(&mut self, gap: Duration) {
-        self.gaps.saturating_record(gap.as_micros() as u64);
+    pub(super) fn record_token_gap(&mut self, gap: Duration) {
+        self.token_gaps.saturating_record(gap.as_micros() as u64);
     }
 
-    /// Records a request that failed; `request` says which.
+    /// Records the failure of the request that `request` describes.
     pub(super) fn record_failure(&mut self, request: &str, outcome: FailedOutcome, detail: &str) {
         let report = &mut self.report;
         match outcome {
@@ -119,27 +121,28 @@
         }
     }
 
-    /// The report of a run of `requests`.
+    /// Report of the run, in which `requests` requests were sent.
     pub(super) fn finish(&self, requests: u64) -> ClientReport {
         ClientReport {
             requests,
-            first_token_ms: percentiles(&self.first),
-            token_gap_ms: percentiles(&self.gaps),
+            first_token_ms: percentiles(&self.first_responses),
+            token_gap_ms: percentiles(&self.token_gaps),
             ..self.report.clone()
         }
     }
 }
 
 fn micros_histogram() -> Histogram<u64> {
-    // The arguments are constants within the allowed bounds.
-    Histogram::new_with_max(HIGHEST_US, PRECISION).expect("constant histogram bounds")
+    // Can't fail: the arguments are constants within the allowed bounds.
+    Histogram::new_with_max(MAX_DURATION_US, SIGNIFICANT_DIGITS)
+        .expect("the histogram bounds are valid")
 }
 
 fn percentiles(histogram: &Histogram<u64>) -> [f64; 3] {
     QUANTILES.map(|quantile| histogram.value_at_quantile(quantile) as f64 / US_PER_MS)
 }
 
-/// Adds what the endpoints and the platform know to a report.
+/// Adds the cost of the VMs and the token counts of the engines to a report.
 pub async fn complete_report(
     report: &mut ClientReport,
     cloud: SocketAddr,
@@ -147,18 +150,18 @@
 ) -> Result<(), StepError> {
     let http = HttpClient::new();
     let list = OutgoingCall::get("list VMs", cloud, "/vms");
-    let list: VmList = http.fetch(&list, CALL_LIMIT).await?.json("list VMs", "cloud")?;
+    let list: VmList = http.fetch(&list, CALL_TIMEOUT).await?.json("list VMs", "cloud")?;
     let prices = OutgoingCall::get("list prices", cloud, "/prices");
     let prices: Vec<PriceEntry> =
-        http.fetch(&prices, CALL_LIMIT).await?.json("list prices", "cloud")?;
+        http.fetch(&prices, CALL_TIMEOUT).await?.json("list prices", "cloud")?;
     for vm in list.vms {
         let price = prices.iter().find(|price| price.zone == vm.zone && price.class == vm.class);
         let per_hour = price.map_or(0.0, |price| price.per_hour);
         report.cost += per_hour * length.as_secs_f64() / HOUR_S;
         let counts = OutgoingCall::get("read counts", &vm.address, "/runs");
-        // Entry VMs and plain services among them have no counts to give.
-        let Ok(answer) = http.fetch(&counts, CALL_LIMIT).await else { continue };
-        let Ok(counts) = answer.json::<WorkCounts>("read counts", &vm.address) else { continue };
+        // Some of the VMs, such as entry VMs and plain services, don't report counts.
+        let Ok(response) = http.fetch(&counts, CALL_TIMEOUT).await else { continue };
+        let Ok(counts) = response.json::<WorkCounts>("read counts", &vm.address) else { continue };
         report.tokens_recomputed += counts.resumed_tokens;
         report.tokens_generated += counts.generated_tokens;
     }
--- a/src/standin/clients/request.rs
+++ b/src/standin/clients/request.rs
@@ -1,4 +1,4 @@
-//! One request of one client: what is sent, what is expected, how one try ended.
+//! One request of a client: its calls, its expected response, and the outcome of each attempt.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,19 +17,20 @@
     standin::{endpoint::plain_answer, engine_model::whole_answer},
 };
 
-/// How one try ended.
-pub(super) enum TryEnd {
-    /// With the response that was expected.
+/// Outcome of one attempt.
+pub(super) enum TryOutcome {
+    /// The expected response arrived.
     Done,
-    /// With a refusal: to be retried after a time; what it counts as if it was the last try.
+    /// Refused, to be retried after this time; if no attempts are left, the request counts as the
+    /// given outcome.
     RetryAfter(Duration, FailedOutcome),
-    /// With a broken connection: to be resumed at another daemon.
+    /// The connection broke; the request is to be resumed at another daemon.
     Resume,
-    /// For good, with a description.
+    /// Failed without a further attempt, with a description.
     Final(FailedOutcome, String),
 }
 
-/// One request of one client.
+/// One request of a client.
 pub(super) struct ClientRequest {
     pub(super) entry: MixEntry,
     pub(super) key: Option<String>,
@@ -43,7 +44,7 @@
 }
 
 impl ClientRequest {
-    /// Request `number` of a run with `seed`, for an entry of the mix.
+    /// Creates request number `number` of a run with `seed`, from an entry of the mix.
     pub(super) fn new(entry: MixEntry, seed: u64, number: u64, rng: &mut SmallRng) -> Self {
         let prompt = make_prompt(&entry, number, rng);
         let key = format!("{}-{seed}-{number}", entry.name.replace(' ', "-"));
@@ -61,15 +62,15 @@
         }
     }
 
-    /// The call of the next try, after the tokens received so far.
-    pub(super) fn outgoing(&self, daemon: SocketAddr) -> OutgoingCall {
+    /// HTTP call of the next attempt, which resumes after the tokens received so far.
+    pub(super) fn next_call(&self, daemon: SocketAddr) -> OutgoingCall {
         let path = match self.entry.kind {
             MixKind::Completion => "/v1/completions".to_owned(),
             MixKind::Plain | MixKind::Once => {
                 format!("/services/{}/{}", self.entry.service, self.entry.path)
             }
         };
-        let mut call = OutgoingCall::get("ask daemon", daemon, path)
+        let mut call = OutgoingCall::get("send request", daemon, path)
             .with_json(Method::POST, self.body.clone())
             .with_header("authorization", format!("Bearer {}", self.entry.api_key));
         if let Some(key) = &self.key {
@@ -81,28 +82,32 @@
         call
     }
 
-    /// Compares a stream that has ended.
-    pub(super) fn check_tokens(&self) -> TryEnd {
+    /// Compares the tokens of a completed stream with the expected ones.
+    pub(super) fn check_tokens(&self) -> TryOutcome {
         let expected = whole_answer(&self.prompt, self.seed, self.entry.max_tokens);
         let received = self.received.concat();
         if received == expected {
-            TryEnd::Done
+            TryOutcome::Done
         } else {
-            let counts = format!("{} tokens of {}", self.received.len(), self.entry.max_tokens);
-            TryEnd::Final(FailedOutcome::Wrong, counts)
+            let counts = format!(
+                "text differs from the expected one: {} of {} tokens received",
+                self.received.len(),
+                self.entry.max_tokens
+            );
+            TryOutcome::Final(FailedOutcome::Wrong, counts)
         }
     }
 
-    /// Compares the body of a plain response.
-    pub(super) fn check_plain(&self, body: &[u8]) -> TryEnd {
+    /// Compares the body of a plain response with the expected one.
+    pub(super) fn check_plain(&self, body: &[u8]) -> TryOutcome {
         let path = format!("/{}", self.entry.path);
         let expected = json!(plain_answer(&path, self.body.as_bytes()));
-        // What is no JSON counts as null, which is never expected.
+        // A body that isn't JSON counts as null, which is never expected.
         let received: Value = serde_json::from_slice(body).unwrap_or_default();
         if received == expected {
-            TryEnd::Done
+            TryOutcome::Done
         } else {
-            TryEnd::Final(FailedOutcome::Wrong, received.to_string())
+            TryOutcome::Final(FailedOutcome::Wrong, received.to_string())
         }
     }
 }
--- a/src/standin/endpoint.rs
+++ b/src/standin/endpoint.rs
@@ -1,9 +1,10 @@
-//! Stand-in of one endpoint of the native interface: a model engine or a plain service. It
-//! speaks the wire of `native::endpoint`; the gateway's tests have a stand-in of their own for
-//! the users' platform (`tests/gateway/endpoint_standin.rs`), whose wire is another one.
+//! Stand-in for one endpoint of the native interface: a model engine or a plain service. It
+//! implements the protocol of `native::endpoint`. The gateway's tests have their own stand-in
+//! (`tests/gateway/endpoint_standin.rs`) for the endpoints of the users' platform, which use a
+//! different protocol.
 //!
-//! It counts how often each request ran, which tells whether a request that may not be retried
-//! was retried. `POST /faults` throws its switches, `GET /runs` shows the counts.
+//! It counts how often each request ran, which shows whether a request that must not be retried
+//! was retried. `POST /faults` switches faults on and off, `GET /runs` returns the counts.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -20,10 +21,11 @@
     native::headers,
 };
 
-/// Time that a plain call takes, in milliseconds.
+/// Default duration of a plain call, in milliseconds.
 const PLAIN_MS: u64 = 5;
 
-/// Serves one endpoint at `address` until `phase` stops it.
+/// Serves one endpoint at `address` until `phase` stops it: an engine if `speed` is given, else a
+/// plain service.
 pub async fn run(
     address: SocketAddr,
     speed: Option<EngineSpeed>,
@@ -33,21 +35,21 @@
     let endpoint = EndpointStandin::new(address, speed);
     server::serve(listener, phase, move |request| {
         let endpoint = endpoint.clone();
-        async move { endpoint.answer(request).await }
+        async move { endpoint.handle(request).await }
     })
     .await;
     Ok(())
 }
 
 impl EndpointStandin {
-    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         if request.uri().path() == "/faults" {
             return self.set_faults(request).await;
         }
         if request.uri().path() == "/runs" {
             return reply::json(StatusCode::OK, &self.state.borrow().counts);
         }
-        self.thaw().await;
+        self.wait_until_thawed().await;
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
             (&Method::GET, "/load") => {
@@ -59,7 +61,7 @@
             }
             (&Method::POST, "/kv/import") => engine::import_cache(self, request).await,
             (&Method::GET, "/kv/export") => engine::export_cache(self, &request).await,
-            (&Method::POST, "/orders") => self.obey(request).await,
+            (&Method::POST, "/orders") => self.accept_order(request).await,
             (&Method::POST, "/v1/completions") if self.is_engine => {
                 if let Some(refusal) = self.refusal() {
                     return refusal;
@@ -74,10 +76,10 @@
     fn refusal(&self) -> Option<Response<ResponseBody>> {
         let refuses = self.state.borrow().faults.refuse;
         refuses.then(|| {
-            let mut answer = reply::empty(StatusCode::SERVICE_UNAVAILABLE);
-            let yes = hyper::header::HeaderValue::from_static("true");
-            answer.headers_mut().insert(headers::NOT_STARTED, yes);
-            answer
+            let mut response = reply::empty(StatusCode::SERVICE_UNAVAILABLE);
+            let not_started = hyper::header::HeaderValue::from_static("true");
+            response.headers_mut().insert(headers::NOT_STARTED, not_started);
+            response
         })
     }
 
@@ -85,17 +87,17 @@
         let current = self.state.borrow().faults.clone();
         match reply::change_faults(request, &current).await {
             Ok(faults) => {
-                let answer = reply::json(StatusCode::OK, &faults);
+                let response = reply::json(StatusCode::OK, &faults);
                 self.thawed.send_replace(!faults.frozen);
                 self.state.borrow_mut().faults = faults;
-                answer
+                response
             }
             Err(refusal) => refusal,
         }
     }
 
-    /// Obeys a fenced order; refuses one whose epoch is older than the newest seen.
-    async fn obey(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    /// Accepts a fenced order unless its epoch is older than the newest one seen.
+    async fn accept_order(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let Some(order) = reply::read_json::<Value>(request).await else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
@@ -118,22 +120,23 @@
         let Some(body) = reply::read_body(request).await else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
-        let (wait, fails) = self.begin_plain(&id);
-        tokio::time::sleep(wait).await;
-        self.thaw().await;
+        let (duration, fails) = self.begin_plain(&id);
+        tokio::time::sleep(duration).await;
+        self.wait_until_thawed().await;
         if self.end_plain() {
-            return reply::lost();
+            return reply::lost_response();
         }
         if fails {
             return reply::empty(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        let mut answer = reply::json(StatusCode::OK, &plain_answer(&path, &body));
+        let mut response = reply::json(StatusCode::OK, &plain_answer(&path, &body));
         if let Ok(value) = attempt.parse() {
-            answer.headers_mut().insert(headers::ATTEMPT_ID, value);
+            response.headers_mut().insert(headers::ATTEMPT_ID, value);
         }
-        answer
+        response
     }
 
+    /// Counts the call; returns how long it takes and whether it fails.
     fn begin_plain(&self, id: &str) -> (Duration, bool) {
         let mut state = self.state.borrow_mut();
         *state.counts.runs.entry(id.to_owned()).or_default() += 1;
@@ -141,10 +144,11 @@
         state.model.start("");
         state.record_load();
         let base = if state.faults.answer_ms > 0 { state.faults.answer_ms } else { PLAIN_MS };
-        let wait = Duration::from_millis(base).mul_f64(state.faults.slowdown());
-        (wait, state.faults.fail)
+        let duration = Duration::from_millis(base).mul_f64(state.faults.slowdown());
+        (duration, state.faults.fail)
     }
 
+    /// Ends the call; returns whether its response is to be lost.
     fn end_plain(&self) -> bool {
         let mut state = self.state.borrow_mut();
         state.model.end();
@@ -155,7 +159,7 @@
     }
 }
 
-/// Answer of a plain service to `body`, against which tests compare.
+/// Response of a plain service to a call of `path` with `body`; tests compare against it.
 pub fn plain_answer(path: &str, body: &[u8]) -> BTreeMap<&'static str, String> {
     let digest = crate::ids::hash_parts(&[path.as_bytes(), body]);
     BTreeMap::from([("path", path.to_owned()), ("digest", format!("{digest:016x}"))])
--- a/src/standin/endpoint_state.rs
+++ b/src/standin/endpoint_state.rs
@@ -1,5 +1,6 @@
 //! State of one endpoint stand-in, shared by its handlers (`endpoint`, `engine`): fault
-//! switches, counts, the queue for a slot, and histories for reports that lag.
+//! switches, counts, the queue of streams that wait for a slot, and the past loads and cache
+//! events, so that they can be reported late.
 
 use std::{
     cell::RefCell,
@@ -15,18 +16,18 @@
 use super::engine_model::{EngineModel, EngineSpeed};
 use crate::native::endpoint::{CacheEvent, LoadReport};
 
-/// Earlier loads that are kept: more changes than any lag in the tests spans.
+/// Number of past loads kept: more than change within the longest lag of the tests.
 const LOAD_HISTORY: usize = 4_096;
-/// Cache events that are kept: a reader further behind sees a gap, as with a real engine.
+/// Number of cache events kept: a reader further behind sees a gap, as with a real engine.
 const CACHE_HISTORY: usize = 1_024;
 
 /// Fault switches of an endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EndpointFaults {
-    /// Answers nothing and computes nothing until thawed.
+    /// The endpoint neither responds nor computes until this is switched off.
     pub frozen: bool,
-    /// Factor by which everything takes longer; 0 means 1.
+    /// Factor by which all work takes longer; 0 means 1.
     pub slow: f64,
     /// Refuses each request before starting it.
     pub refuse: bool,
@@ -34,29 +35,29 @@
     pub fail: bool,
     /// Breaks each stream after this many tokens; 0 means never.
     pub cut_after: usize,
-    /// Number of responses to come that are lost after the request ran.
+    /// Number of next responses that are lost after the request ran.
     pub lose_answers: u32,
-    /// How late reported load is, in milliseconds.
+    /// Delay of the reported load, in milliseconds.
     pub load_lag_ms: u64,
-    /// How late cache events are, in milliseconds.
+    /// Delay of the cache events, in milliseconds.
     pub cache_lag_ms: u64,
     /// Drops every n-th cache event; 0 drops none.
     pub cache_gap: u64,
-    /// Time a plain call takes, in milliseconds; 0 means 5.
+    /// Duration of a plain call, in milliseconds; 0 means 5.
     pub answer_ms: u64,
 }
 
 impl EndpointFaults {
-    /// Factor by which everything takes longer.
+    /// Factor by which all work takes longer.
     pub fn slowdown(&self) -> f64 {
         if self.slow > 0.0 { self.slow } else { 1.0 }
     }
 }
 
-/// What an endpoint has done since it started.
+/// Work that an endpoint has done since it started.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct WorkCounts {
-    /// Runs by request id.
+    /// Number of runs, by request id.
     pub runs: HashMap<String, u32>,
     /// Prompt tokens computed.
     pub prefill_tokens: u64,
@@ -66,16 +67,16 @@
     pub resumed_tokens: u64,
     /// Tokens generated.
     pub generated_tokens: u64,
-    /// Requests begun.
+    /// Number of requests begun.
     pub begun: u64,
 }
 
-/// What the handlers of one endpoint share.
+/// State that the handlers of one endpoint share.
 pub(super) struct EndpointState {
     pub(super) model: EngineModel,
     pub(super) faults: EndpointFaults,
     pub(super) counts: WorkCounts,
-    /// Streams that wait for a slot: priority, then arrival.
+    /// Streams that wait for a slot, by priority and then by arrival.
     pub(super) waiting: BTreeSet<(u8, u64)>,
     pub(super) arrivals: u64,
     loads: VecDeque<(Instant, LoadReport)>,
@@ -85,7 +86,7 @@
 }
 
 impl EndpointState {
-    /// Records the load as it is now.
+    /// Adds the current load to the past loads.
     pub(super) fn record_load(&mut self) {
         let running = self.model.running() as u32;
         let report = LoadReport { running, waiting: self.waiting.len() as u32 };
@@ -113,7 +114,7 @@
     pub(super) fn reported_load(&self) -> LoadReport {
         let lag = Duration::from_millis(self.faults.load_lag_ms);
         let seen = self.loads.iter().rev().find(|(since, _)| since.elapsed() >= lag);
-        // Nothing that old: the endpoint was idle then.
+        // Without a load that old, the endpoint was still idle at that time.
         seen.map(|(_, report)| *report).unwrap_or_default()
     }
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// One endpoint; clones share it.
+/// One endpoint; its clones share the state.
 #[derive(Clone)]
 pub(super) struct EndpointStandin {
     pub(super) state: Rc<RefCell<EndpointState>>,
@@ -138,10 +139,10 @@
 }
 
 impl EndpointStandin {
-    /// Endpoint at `address`: an engine of that speed, or a plain service.
+    /// Creates an endpoint at `address`: an engine if `speed` is given, else a plain service.
     pub(super) fn new(address: SocketAddr, speed: Option<EngineSpeed>) -> Self {
         let state = EndpointState {
-            // A plain service has the slots of an engine, which it never fills.
+            // A plain service also uses the model of an engine; it never fills the slots.
             model: EngineModel::new(speed.unwrap_or_default()),
             faults: EndpointFaults::default(),
             counts: WorkCounts::default(),
@@ -161,9 +162,9 @@
     }
 
     /// Waits while the endpoint is frozen.
-    pub(super) async fn thaw(&self) {
+    pub(super) async fn wait_until_thawed(&self) {
         let mut thawed = self.thawed.subscribe();
-        // The sender lives as long as `self`, so waiting cannot fail.
+        // Can't fail: the sender lives as long as `self`.
         let _ = thawed.wait_for(|thawed| *thawed).await;
     }
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,5 +1,5 @@
 //! Streams of the engine stand-in: each waits for a slot, computes the prompt, then sends one
-//! token a step as server-sent events. Also moves of KV cache between engines.
+//! token per decoding step as a server-sent event. Also the transfer of KV cache between engines.
 
 use std::time::Duration;
 
@@ -22,24 +22,25 @@
     },
 };
 
-/// Time to move one block of KV cache, in milliseconds: 0.125 ms a token.
-const MOVE_BLOCK_MS: u64 = 2;
-/// Pause between looks for a free slot: short beside a decoding step (12 ms).
-const SLOT_POLL: Duration = Duration::from_millis(2);
-/// Longest time that another engine may take to export its cache.
-const IMPORT_LIMIT: Duration = Duration::from_secs(30);
-/// Chunks that wait for a slow reader before the engine waits too.
+/// Time to transfer one block of KV cache, in milliseconds: 0.125 ms per token.
+const TRANSFER_BLOCK_MS: u64 = 2;
+/// Interval at which a waiting stream checks for a free slot: short compared with a decoding step
+/// (12 ms).
+const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Time limit for another engine to export its cache.
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of chunks buffered for a slow reader before the engine waits for it.
 const STREAM_CAPACITY: usize = 16;
-/// How far the steps of a thawed stream may lie in the past; without a bound a thawed stream would
-/// send all tokens that it missed at once. A few decoding steps.
-const CATCH_UP: Duration = Duration::from_millis(50);
+/// Longest time by which a thawed stream may be behind its schedule, a few decoding steps; without
+/// this bound it would send all tokens that it missed at once.
+const MAX_CATCH_UP: Duration = Duration::from_millis(50);
 
-/// A stream was cut by its fault switch.
+/// The stream was broken off by the fault switch `cut_after`.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
-#[display("stream cut")]
+#[display("stream broken off by a fault switch")]
 pub struct CutError;
 
-/// One running stream; ends its slot when dropped, also when the reader has left.
+/// Slot of a running stream; freed when dropped, also after the reader has disconnected.
 struct StreamSlot {
     endpoint: EndpointStandin,
 }
@@ -52,19 +53,19 @@
     }
 }
 
-/// One stream waiting for its slot.
-struct WaitingPlace {
+/// Place of a stream in the queue for a slot; left when dropped.
+struct QueuePlace {
     endpoint: EndpointStandin,
     place: (u8, u64),
 }
 
-impl Drop for WaitingPlace {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
         self.endpoint.state.borrow_mut().waiting.remove(&self.place);
     }
 }
 
-/// Answers `POST /v1/completions`.
+/// Handles `POST /v1/completions`.
 pub async fn complete(
     endpoint: &EndpointStandin,
     request: Request<Incoming>,
@@ -81,17 +82,17 @@
     }
     let (sender, body) = Channel::<Bytes, CutError>::new(STREAM_CAPACITY);
     let endpoint = endpoint.clone();
-    tokio::task::spawn_local(async move { stream(endpoint, order, sender).await });
-    let mut answer = Response::new(body.map_err(BodyError::from).boxed_unsync());
+    tokio::task::spawn_local(async move { run_stream(endpoint, order, sender).await });
+    let mut response = Response::new(body.map_err(BodyError::from).boxed_unsync());
     let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-    answer.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
+    response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
     if let Ok(value) = attempt.parse() {
-        answer.headers_mut().insert(headers::ATTEMPT_ID, value);
+        response.headers_mut().insert(headers::ATTEMPT_ID, value);
     }
-    answer
+    response
 }
 
-impl WaitingPlace {
+impl QueuePlace {
     fn new(endpoint: &EndpointStandin, priority: u8) -> Self {
         let mut state = endpoint.state.borrow_mut();
         state.arrivals += 1;
@@ -100,21 +101,21 @@
         Self { endpoint: endpoint.clone(), place }
     }
 
-    fn has_turn(&self) -> bool {
+    fn can_start(&self) -> bool {
         let state = self.endpoint.state.borrow();
         state.model.has_slot() && state.waiting.first() == Some(&self.place)
     }
 }
 
-/// Waits for a slot, those of a lower priority number first.
+/// Waits for a slot; streams with a lower priority number go first.
 async fn wait_for_slot(endpoint: &EndpointStandin, priority: u8) {
-    let place = WaitingPlace::new(endpoint, priority);
-    while !place.has_turn() {
-        sleep(SLOT_POLL).await;
+    let place = QueuePlace::new(endpoint, priority);
+    while !place.can_start() {
+        sleep(SLOT_POLL_INTERVAL).await;
     }
 }
 
-fn start(endpoint: &EndpointStandin, order: &EngineOrder) -> (StreamSlot, Duration) {
+fn start_stream(endpoint: &EndpointStandin, order: &EngineOrder) -> (StreamSlot, Duration) {
     let text = format!("{} {}", order.prompt, order.resume_tokens.concat());
     let mut state = endpoint.state.borrow_mut();
     let (cost, stored, forgotten) = state.model.start(&text);
@@ -129,20 +130,20 @@
     (StreamSlot { endpoint: endpoint.clone() }, wait)
 }
 
-async fn stream(
+async fn run_stream(
     endpoint: EndpointStandin,
     order: EngineOrder,
     mut sender: Sender<Bytes, CutError>,
 ) {
     wait_for_slot(&endpoint, order.priority).await;
-    let (_slot, prefill) = start(&endpoint, &order);
+    let (_slot, prefill) = start_stream(&endpoint, &order);
     let mut next_at = Instant::now() + prefill;
     let first = order.resume_tokens.len();
     for index in first..order.max_tokens {
-        next_at += step(&endpoint);
+        next_at += step_time(&endpoint);
         sleep_until(next_at).await;
-        endpoint.thaw().await;
-        next_at = next_at.max(Instant::now() - CATCH_UP);
+        endpoint.wait_until_thawed().await;
+        next_at = next_at.max(Instant::now() - MAX_CATCH_UP);
         let cut_after = endpoint.state.borrow().faults.cut_after;
         if cut_after > 0 && index - first >= cut_after {
             sender.abort(CutError);
@@ -156,16 +157,16 @@
             return;
         }
     }
-    // Fails only when the reader has left, who then needs no end.
+    // Fails only if the reader has disconnected, which then doesn't need the end marker.
     let _ = sender.send_data(Bytes::from(format!("data: {STREAM_END}\n\n"))).await;
 }
 
-fn step(endpoint: &EndpointStandin) -> Duration {
+fn step_time(endpoint: &EndpointStandin) -> Duration {
     let state = endpoint.state.borrow();
     Duration::from_secs_f64(state.model.step_ms() / 1e3).mul_f64(state.faults.slowdown())
 }
 
-/// Answers `POST /kv/import`: takes cache blocks from another engine.
+/// Handles `POST /kv/import`: fetches cache blocks from another engine.
 pub async fn import_cache(
     endpoint: &EndpointStandin,
     request: Request<Incoming>,
@@ -175,9 +176,9 @@
     };
     let tokens = count_tokens(&order.text);
     let path = format!("/kv/export?tokens={tokens}");
-    let call = OutgoingCall::get("export", &order.from, path);
-    match HttpClient::new().fetch(&call, IMPORT_LIMIT).await {
-        Ok(answer) if answer.status.is_success() => {
+    let call = OutgoingCall::get("export KV cache", &order.from, path);
+    match HttpClient::new().fetch(&call, EXPORT_TIMEOUT).await {
+        Ok(response) if response.status.is_success() => {
             let mut state = endpoint.state.borrow_mut();
             let (_, stored, forgotten) = state.model.start(&order.text);
             state.model.end();
@@ -188,14 +189,14 @@
     }
 }
 
-/// Answers `GET /kv/export`: takes the time that moving the blocks takes.
+/// Handles `GET /kv/export`: waits for as long as the transfer of the blocks takes.
 pub async fn export_cache(
     endpoint: &EndpointStandin,
     request: &Request<Incoming>,
 ) -> Response<ResponseBody> {
     let tokens = reply::query(request).get("tokens").copied().unwrap_or(0);
     let blocks = tokens / crate::native::decide::prefix::BLOCK_TOKENS as u64;
-    sleep(Duration::from_millis(blocks * MOVE_BLOCK_MS)).await;
-    endpoint.thaw().await;
+    sleep(Duration::from_millis(blocks * TRANSFER_BLOCK_MS)).await;
+    endpoint.wait_until_thawed().await;
     reply::json(StatusCode::OK, &json!({ "address": endpoint.address.to_string() }))
 }
--- a/src/standin/engine_model.rs
+++ b/src/standin/engine_model.rs
@@ -1,27 +1,27 @@
-//! Timing and content of the engine stand-in, without I/O: continuous batching, a limited
-//! prefix cache, tokens that depend on prompt, seed and index alone, so that a response has one
-//! right text whichever engines made it.
+//! Timing and output of the engine stand-in, without I/O: continuous batching, a prefix cache of
+//! limited size, and tokens that depend only on prompt, seed and index, so that a request has the
+//! same correct response on any engine.
 
 use crate::{
     ids::hash_parts,
     native::decide::prefix::{BLOCK_TOKENS, PrefixCache, count_tokens, prefix_chain},
 };
 
-/// Different tokens that the stand-in knows.
+/// Number of different tokens that the stand-in generates.
 const VOCABULARY: u64 = 4_096;
 
-/// Speeds and sizes of one engine.
+/// Speed and capacity of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
-    /// Streams computed at once; more wait.
+    /// Number of streams computed at the same time; further ones wait.
     pub slots: usize,
-    /// Time of one decoding step with one stream, in milliseconds.
+    /// Duration of a decoding step with a single stream, in milliseconds.
     pub step_ms: f64,
-    /// Share by which a full batch lengthens the step.
+    /// Fraction by which a full batch lengthens the decoding step.
     pub batch_slowdown: f64,
-    /// Time to compute one prompt token that is not cached, in milliseconds.
+    /// Time to compute one uncached prompt token, in milliseconds.
     pub prefill_ms: f64,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
 }
 
@@ -37,10 +37,10 @@
     }
 }
 
-/// What starting a stream costs.
+/// Cost of computing the prompt of a stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillCost {
-    /// Tokens that had to be computed because they were not cached.
+    /// Tokens that were not cached and had to be computed.
     pub computed_tokens: usize,
     /// Tokens found in the cache.
     pub cached_tokens: usize,
@@ -48,7 +48,7 @@
     pub millis: f64,
 }
 
-/// One engine.
+/// Batch and prefix cache of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     speed: EngineSpeed,
@@ -57,34 +57,34 @@
 }
 
 impl EngineModel {
-    /// Idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(speed: EngineSpeed) -> Self {
         Self { speed, cache: PrefixCache::new(speed.cache_blocks), running: 0 }
     }
 
-    /// Streams being computed.
+    /// Number of streams being computed.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Whether one more stream can be computed at once.
+    /// Whether one more stream can start now.
     pub fn has_slot(&self) -> bool {
         self.running < self.speed.slots
     }
 
-    /// Starts a stream over `text` (prompt and tokens resumed from); returns its cost
-    /// and the blocks that were stored and forgotten.
+    /// Starts a stream whose prompt and tokens to resume from are `text`; returns its cost and the
+    /// cache blocks that were stored and evicted.
     pub fn start(&mut self, text: &str) -> (PrefillCost, Vec<u64>, Vec<u64>) {
         self.running += 1;
         let chain = prefix_chain(text);
         let cached_tokens = self.cache.overlap(&chain) * BLOCK_TOKENS;
         let computed_tokens = count_tokens(text).saturating_sub(cached_tokens);
-        let forgotten = self.cache.insert(&chain);
+        let evicted = self.cache.insert(&chain);
         let millis = computed_tokens as f64 * self.speed.prefill_ms;
-        (PrefillCost { computed_tokens, cached_tokens, millis }, chain, forgotten)
+        (PrefillCost { computed_tokens, cached_tokens, millis }, chain, evicted)
     }
 
-    /// Time of the next decoding step, in milliseconds.
+    /// Duration of the next decoding step, in milliseconds.
     pub fn step_ms(&self) -> f64 {
         let fill = self.running.saturating_sub(1) as f64 / self.speed.slots as f64;
         self.speed.step_ms * (1.0 + self.speed.batch_slowdown * fill)
@@ -102,7 +102,7 @@
     format!("w{:x} ", hash % VOCABULARY)
 }
 
-/// The whole response to `prompt`, against which tests compare byte for byte.
+/// Complete response to `prompt`; tests compare against it byte for byte.
 pub fn whole_answer(prompt: &str, seed: u64, tokens: usize) -> String {
     (0..tokens).map(|index| answer_token(prompt, seed, index)).collect()
 }
--- a/src/standin/object_store.rs
+++ b/src/standin/object_store.rs
@@ -1,5 +1,5 @@
-//! Objects of the platform stand-in, in memory: versions, conditional writes, and a log for
-//! watches and stale reads.
+//! In-memory object store of the platform stand-in: versions, conditional writes, and a log of
+//! the writes for watches and stale reads.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +11,20 @@
     store_position::StoreEra,
 };
 
-/// Condition of a write, as its headers give it.
+/// Condition of a write, from its `if-match` and `if-none-match` headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCondition {
     /// The object must not exist.
     Absent,
     /// The object must have this version.
     Version(u64),
-    /// Any state will do.
+    /// No condition.
     Any,
 }
 
 type ObjectKey = (String, SharedName);
 
-/// The store itself.
+/// Objects by kind and name, with the log of all writes.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectStore {
     revision: u64,
@@ -38,7 +38,7 @@
         self.revision
     }
 
-    /// One object; a missing one has version 0 and no value.
+    /// Reads one object; a missing one has version 0 and no value.
     pub fn read(&self, kind: &str, name: &str) -> ObjectEntry {
         let name: SharedName = name.into();
         match self.objects.get(&(kind.to_owned(), name.clone())) {
@@ -84,7 +84,8 @@
         ObjectList { revision: self.revision, entries, era: StoreEra::default() }
     }
 
-    /// Writes (`Some`) or deletes (`None`) if `condition` holds; else the current entry.
+    /// Writes (`Some`) or deletes (`None`) an object if `condition` holds, and returns the new
+    /// version; otherwise fails with the current entry.
     pub fn write(
         &mut self,
         kind: &str,
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,9 +1,11 @@
-//! Stand-in of the platform that the native interface meets: object API, cloud API, lagging
-//! VM list and weight store, on one address. It speaks the wire of `native::cloud_api`.
+//! Stand-in for the platform behind the native interface: object API, cloud API with a VM list
+//! that may lag, and weight store, on one address. It implements the protocol of
+//! `native::cloud_api`.
 //!
-//! `POST /faults` throws its switches, `POST /reclaim` announces that VMs go, `POST /gone/ID`
-//! takes one, `GET /stats` counts the calls. `POST /copy` copies the objects, `POST /restore` brings
-//! the copy back, in a new era that the header of each response names.
+//! `POST /faults` switches faults on and off, `POST /reclaim` announces that VMs will be reclaimed,
+//! `POST /gone/ID` removes a VM, `GET /stats` returns the numbers of calls. `POST /copy` makes a
+//! copy of the objects and `POST /restore` restores it, which begins a new era; a header of each
+//! response gives the current era.
 
 mod objects;
 mod state;
@@ -42,7 +44,7 @@
     server::serve(listener, phase, move |request| {
         let platform = platform.clone();
         async move {
-            let mut response = platform.answer(request).await;
+            let mut response = platform.handle(request).await;
             let era = HeaderValue::from(platform.state.borrow().era);
             response.headers_mut().insert(ERA_HEADER, era);
             response
@@ -62,7 +64,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         let method = request.method().clone();
@@ -70,7 +72,7 @@
             ["faults"] => return self.set_faults(request).await,
             ["stats"] => return reply::json(StatusCode::OK, &self.state.borrow().counts),
             ["reclaim"] => return self.reclaim(request).await,
-            ["gone", id] => return self.gone(id),
+            ["gone", id] => return self.remove_vm(id),
             ["copy"] => return self.copy_objects(),
             ["restore"] => return self.restore_objects(),
             _ => {}
@@ -91,7 +93,7 @@
             (&Method::GET, ["watch", kind]) => self.watch(kind, &request).await,
             (&Method::GET, ["vms"]) => self.list_vms(),
             (&Method::POST, ["vms"]) => self.start_vm(request).await,
-            (&Method::DELETE, ["vms", id]) => self.gone(id),
+            (&Method::DELETE, ["vms", id]) => self.remove_vm(id),
             (&Method::GET, ["notices"]) => self.notices(&request).await,
             (&Method::GET, ["prices"]) => reply::json(StatusCode::OK, &self.state.borrow().prices),
             (&Method::GET, ["weights", _]) => self.load_weights(),
@@ -118,22 +120,22 @@
         let current = self.state.borrow().faults.clone();
         match reply::change_faults(request, &current).await {
             Ok(faults) => {
-                let answer = reply::json(StatusCode::OK, &faults);
+                let response = reply::json(StatusCode::OK, &faults);
                 self.state.borrow_mut().faults = faults;
-                // Watches that wait see an outage at once.
+                // Wakes the waiting watches, so that an outage ends them at once.
                 self.notify();
-                answer
+                response
             }
             Err(refusal) => refusal,
         }
     }
 
-    /// Waits at most `wait` until `found` finds something, looking after each change.
-    async fn wait_for<T>(&self, found: impl Fn() -> Option<T>, wait: Duration) -> Option<T> {
+    /// Waits until `find` returns a value, for at most `wait`; calls `find` again after each change.
+    async fn wait_for<T>(&self, find: impl Fn() -> Option<T>, wait: Duration) -> Option<T> {
         let mut changed = self.changed.subscribe();
         let waiting = async {
             loop {
-                if let Some(value) = found() {
+                if let Some(value) = find() {
                     return value;
                 }
                 if changed.changed().await.is_err() {
--- a/src/standin/platform/objects.rs
+++ b/src/standin/platform/objects.rs
@@ -26,8 +26,8 @@
             return reply::empty(StatusCode::TOO_MANY_REQUESTS);
         }
         let mut state = self.state.borrow_mut();
-        if let Some(horizon) = state.stale_horizon() {
-            return reply::json(StatusCode::OK, &state.store.list_as_of(kind, horizon));
+        if let Some(revision) = state.take_stale_revision() {
+            return reply::json(StatusCode::OK, &state.store.list_as_of(kind, revision));
         }
         reply::json(StatusCode::OK, &state.store.list(kind))
     }
@@ -37,8 +37,8 @@
             return reply::empty(StatusCode::TOO_MANY_REQUESTS);
         }
         let mut state = self.state.borrow_mut();
-        if let Some(horizon) = state.stale_horizon() {
-            let old = state.store.list_as_of(kind, horizon);
+        if let Some(revision) = state.take_stale_revision() {
+            let old = state.store.list_as_of(kind, revision);
             let entry = old.entries.into_iter().find(|entry| &*entry.name == name);
             let absent = ObjectEntry { name: name.into(), version: 0, value: None };
             return reply::json(StatusCode::OK, &entry.unwrap_or(absent));
@@ -81,7 +81,7 @@
         drop(state);
         self.notify();
         match written {
-            Ok(_) if lost => reply::lost(),
+            Ok(_) if lost => reply::lost_response(),
             Ok(version) => reply::json(StatusCode::OK, &WriteReceipt { version }),
             Err(current) => reply::json(StatusCode::PRECONDITION_FAILED, &current),
         }
@@ -98,13 +98,13 @@
         }
         let query = reply::query(request);
         let after = query.get("after").copied().unwrap_or(0);
-        let found = || {
+        let find_changes = || {
             let state = self.state.borrow();
             let changes = state.store.changes(kind, after);
             (!changes.entries.is_empty() || state.faults.outage).then_some(changes)
         };
         let wait = Duration::from_millis(query.get("wait_ms").copied().unwrap_or(0));
-        let changes = self.wait_for(found, wait).await;
+        let changes = self.wait_for(find_changes, wait).await;
         if self.state.borrow().faults.outage {
             return reply::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -1,4 +1,4 @@
-//! State of the platform stand-in: objects, VMs, notices, fault switches, rate limits.
+//! State of the platform stand-in: objects, VMs, reclaim notices, fault switches, rate limits.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,83 +12,84 @@
     store_position::StoreEra,
 };
 
-/// Writes a second that the object API admits: low enough for tests to meet the limit.
+/// Writes per second that the object API admits: low enough that tests reach the limit.
 const WRITES_PER_S: f64 = 100.0;
-/// Reads a second that the object API admits.
+/// Reads per second that the object API admits.
 const READS_PER_S: f64 = 2_000.0;
-/// Loads a second that the weight store admits.
+/// Loads of model weights per second that the weight store admits.
 const WEIGHTS_PER_S: f64 = 2.0;
 
-/// Service of VMs in the starting list that are not held yet, but can be started.
+/// Service name that marks VMs of the initial list as spare: they don't run yet, but can be
+/// started.
 const SPARE_SERVICE: &str = "spare";
-/// Earlier VM lists that are kept: more changes than any lag in the tests spans.
-const LIST_HISTORY: usize = 256;
-/// Cost units for an hour of an on-demand VM; the others are relative to it.
+/// Number of past VM lists kept: more than change within the longest lag of the tests.
+const MAX_PAST_VM_LISTS: usize = 256;
+/// Price of an on-demand VM per hour, in cost units; the other prices are relative to it.
 const ON_DEMAND_PRICE: f64 = 1.0;
-/// Cost units for an hour of a reclaimable VM.
+/// Price of a reclaimable VM per hour, in cost units.
 const RECLAIMABLE_PRICE: f64 = 0.3;
 
 /// Fault switches of the platform.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every call of object and cloud API fails.
+    /// All calls of the object API and the cloud API fail.
     pub outage: bool,
-    /// Extra time each call takes, in milliseconds.
+    /// Additional duration of each call, in milliseconds.
     pub delay_ms: u64,
-    /// Number of writes to come that take effect but whose response is lost.
+    /// Number of next writes that take effect but whose response is lost.
     pub lose_answers: u32,
-    /// Number of reads to come that show the store as it was `stale_by` revisions ago.
+    /// Number of next reads that return the state of `stale_by` revisions ago.
     pub stale_reads: u32,
-    /// How far back a stale read goes.
+    /// Age of the state that a stale read returns, in revisions.
     pub stale_by: u64,
-    /// How late the VM list is, in milliseconds.
+    /// Delay of the VM list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Zones in which starts are refused.
+    /// Zones in which VM starts are refused.
     pub refuse_starts: Vec<SharedName>,
 }
 
-/// Calls since the start.
+/// Numbers of calls since the start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct CallCounts {
     pub(super) reads: u64,
     pub(super) writes: u64,
     pub(super) watches: u64,
     pub(super) cloud: u64,
-    /// Calls refused for their rate.
+    /// Calls refused because of the rate limits.
     pub(super) limited: u64,
 }
 
-/// Token bucket that holds one second of calls.
+/// Token bucket with a capacity of one second of calls.
 pub(super) struct RateLimiter {
     per_second: f64,
-    level: f64,
-    filled_at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl RateLimiter {
     fn new(per_second: f64) -> Self {
-        Self { per_second, level: per_second, filled_at: Instant::now() }
+        Self { per_second, tokens: per_second, refilled_at: Instant::now() }
     }
 
     pub(super) fn admit(&mut self) -> bool {
-        let elapsed = self.filled_at.elapsed().as_secs_f64();
-        self.filled_at = Instant::now();
-        self.level = (self.level + elapsed * self.per_second).min(self.per_second);
-        let admitted = self.level >= 1.0;
+        let elapsed = self.refilled_at.elapsed().as_secs_f64();
+        self.refilled_at = Instant::now();
+        self.tokens = (self.tokens + elapsed * self.per_second).min(self.per_second);
+        let admitted = self.tokens >= 1.0;
         if admitted {
-            self.level -= 1.0;
+            self.tokens -= 1.0;
         }
         admitted
     }
 }
 
-/// Everything that the stand-in knows.
+/// State that all handlers of the platform share.
 pub(super) struct PlatformState {
     pub(super) store: ObjectStore,
-    /// What the store is restored from.
+    /// Copy from which the store is restored.
     pub(super) copy: ObjectStore,
-    /// How often it was restored from the copy.
+    /// Number of times the store was restored from the copy.
     pub(super) era: u64,
     pub(super) faults: PlatformFaults,
     pub(super) counts: CallCounts,
@@ -96,8 +97,8 @@
     pub(super) reads: RateLimiter,
     pub(super) weights: RateLimiter,
     pub(super) vms: Vec<VmEntry>,
-    /// Earlier VM lists with the time each became true.
-    pub(super) history: VecDeque<(Instant, VmList)>,
+    /// Past VM lists, each with the time from which it applied.
+    pub(super) past_vm_lists: VecDeque<(Instant, VmList)>,
     pub(super) list_revision: u64,
     pub(super) notices: Vec<ReclaimNotice>,
     pub(super) prices: Vec<PriceEntry>,
@@ -106,7 +107,7 @@
 }
 
 impl PlatformState {
-    /// State in which `vms` run, but for the spare ones.
+    /// Creates a state in which all `vms` run, except the spare ones.
     pub(super) fn new(vms: Vec<VmEntry>) -> Self {
         let prices = default_prices(&vms);
         let (spare, vms): (Vec<VmEntry>, Vec<VmEntry>) =
@@ -126,18 +127,18 @@
             weights: RateLimiter::new(WEIGHTS_PER_S),
             prices,
             vms,
-            history: VecDeque::new(),
+            past_vm_lists: VecDeque::new(),
             list_revision: 0,
             notices: Vec::new(),
             free_addresses,
             started: 0,
         };
-        state.record_list();
+        state.record_vm_list();
         state
     }
 
-    /// Revision that the next read shows, if it is to be a stale one.
-    pub(super) fn stale_horizon(&mut self) -> Option<u64> {
+    /// Revision that the current read returns if it is to be stale; counts the stale read.
+    pub(super) fn take_stale_revision(&mut self) -> Option<u64> {
         if self.faults.stale_reads == 0 {
             return None;
         }
@@ -145,17 +146,17 @@
         Some(self.store.revision().saturating_sub(self.faults.stale_by))
     }
 
-    /// Records the VM list as it is now, for reads that lag.
-    pub(super) fn record_list(&mut self) {
+    /// Adds the current VM list to the past lists, so that it can be returned late.
+    pub(super) fn record_vm_list(&mut self) {
         self.list_revision += 1;
         let list = VmList {
             revision: self.list_revision,
             vms: self.vms.clone(),
             era: StoreEra::default(),
         };
-        self.history.push_back((Instant::now(), list));
-        if self.history.len() > LIST_HISTORY {
-            self.history.pop_front();
+        self.past_vm_lists.push_back((Instant::now(), list));
+        if self.past_vm_lists.len() > MAX_PAST_VM_LISTS {
+            self.past_vm_lists.pop_front();
         }
     }
 }
@@ -164,7 +165,7 @@
     let mut zones: Vec<SharedName> = vms.iter().map(|vm| vm.zone.clone()).collect();
     zones.sort();
     zones.dedup();
-    let both = |zone: SharedName| {
+    let prices_of_zone = |zone: SharedName| {
         [
             PriceEntry {
                 zone: zone.clone(),
@@ -174,5 +175,5 @@
             PriceEntry { zone, class: PriceClass::Reclaimable, per_hour: RECLAIMABLE_PRICE },
         ]
     };
-    zones.into_iter().flat_map(both).collect()
+    zones.into_iter().flat_map(prices_of_zone).collect()
 }
--- a/src/standin/platform/vms.rs
+++ b/src/standin/platform/vms.rs
@@ -1,4 +1,4 @@
-//! The cloud API, the lagging VM list and the weight store.
+//! The cloud API, with a VM list that may lag, and the weight store.
 
 use std::time::Duration;
 
@@ -28,8 +28,8 @@
         let mut state = self.state.borrow_mut();
         state.counts.cloud += 1;
         let lag = Duration::from_millis(state.faults.list_lag_ms);
-        let seen = state.history.iter().rev().find(|(since, _)| since.elapsed() >= lag);
-        let list = seen.or(state.history.front()).map(|(_, list)| list.clone());
+        let recorded = state.past_vm_lists.iter().rev().find(|(since, _)| since.elapsed() >= lag);
+        let list = recorded.or(state.past_vm_lists.front()).map(|(_, list)| list.clone());
         reply::json(StatusCode::OK, &list)
     }
 
@@ -58,18 +58,18 @@
             state: VmState::Live,
         };
         state.vms.push(vm.clone());
-        state.record_list();
+        state.record_vm_list();
         drop(state);
         self.notify();
         reply::json(StatusCode::OK, &vm)
     }
 
-    pub(super) fn gone(&self, id: &str) -> Response<ResponseBody> {
+    pub(super) fn remove_vm(&self, id: &str) -> Response<ResponseBody> {
         let mut state = self.state.borrow_mut();
         if let Some(index) = state.vms.iter().position(|vm| &*vm.id == id) {
             let vm = state.vms.remove(index);
             state.free_addresses.entry(vm.zone).or_default().push(vm.address);
-            state.record_list();
+            state.record_vm_list();
         }
         drop(state);
         self.notify();
@@ -95,7 +95,7 @@
             let sequence = state.notices.len() as u64 + 1;
             state.notices.push(ReclaimNotice { sequence, vm: vm.clone(), gone_at_ms });
         }
-        state.record_list();
+        state.record_vm_list();
         drop(state);
         self.notify();
         reply::json(StatusCode::OK, &leaving)
@@ -105,15 +105,15 @@
         self.state.borrow_mut().counts.cloud += 1;
         let query = reply::query(request);
         let after = query.get("after").copied().unwrap_or(0) as usize;
-        let found = || {
+        let find_newer = || {
             let state = self.state.borrow();
-            // A reader that has all notices, or asks from beyond them, waits.
+            // A reader that has all notices, or asks from beyond the last one, waits.
             let newer = state.notices.get(after..).unwrap_or_default().to_vec();
             (!newer.is_empty()).then_some(newer)
         };
         let wait = Duration::from_millis(query.get("wait_ms").copied().unwrap_or(0));
-        // Without new notices within the wait, the response is an empty list.
-        let notices = self.wait_for(found, wait).await.unwrap_or_default();
+        // If none arrive in time, the response is an empty list.
+        let notices = self.wait_for(find_newer, wait).await.unwrap_or_default();
         reply::json(StatusCode::OK, &NoticeList { notices, era: StoreEra::default() })
     }
 
--- a/src/standin/reply.rs
+++ b/src/standin/reply.rs
@@ -1,4 +1,4 @@
-//! Shared pieces of the stand-ins' HTTP handlers: JSON responses, bodies, fault switches.
+//! Helpers for the stand-ins' HTTP handlers: responses, request bodies, fault switches.
 
 use std::collections::HashMap;
 
@@ -10,12 +10,12 @@
 
 use crate::http::{ResponseBody, server::CloseConnection, whole_body};
 
-/// Longest body that a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_LIMIT: usize = 4 * 1024 * 1024;
 
 /// JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
-    // Cannot fail: the stand-ins' own types have a JSON form.
+    // Can't fail: all types that the stand-ins pass can be serialized as JSON.
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(whole_body(body));
     *response.status_mut() = status;
@@ -31,25 +31,26 @@
     response
 }
 
-/// Response that never arrives: its connection closes instead.
-pub fn lost() -> Response<ResponseBody> {
+/// Response that never reaches the client: the connection is closed instead.
+pub fn lost_response() -> Response<ResponseBody> {
     let mut response = empty(StatusCode::OK);
     response.extensions_mut().insert(CloseConnection);
     response
 }
 
-/// Body of `request`, read whole.
+/// Reads the whole body of `request`.
 pub async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
     let limited = Limited::new(request.into_body(), BODY_LIMIT);
     Some(limited.collect().await.ok()?.to_bytes())
 }
 
-/// Body of `request` as JSON.
+/// Reads the body of `request` as JSON.
 pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     serde_json::from_slice(&read_body(request).await?).ok()
 }
 
-/// Merges the keys of a `POST /faults` body into `faults`, and responds with the result.
+/// Replaces the keys of `faults` that the body of a `POST /faults` request gives; fails with the
+/// response to an invalid body.
 pub async fn change_faults<T: Serialize + DeserializeOwned>(
     request: Request<Incoming>,
     faults: &T,
@@ -69,7 +70,7 @@
     serde_json::from_value(merged).ok()
 }
 
-/// Numbers in the query of `request`; what is no number is left out.
+/// Numeric parameters in the query of `request`; others are left out.
 pub fn query(request: &Request<Incoming>) -> HashMap<String, u64> {
     let pairs = request.uri().query().unwrap_or("").split('&');
     let numbers = pairs.filter_map(|pair| {
@@ -79,7 +80,7 @@
     numbers.collect()
 }
 
-/// Text of the header `name`.
+/// Value of the header `name`, if it is text.
 pub fn header<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
