--- a/src/standin/clients/request.rs
+++ b/src/standin/clients/request.rs
@@ -14,7 +14,7 @@
 use crate::{
     http::client::OutgoingCall,
     native::headers,
-    standin::{endpoint::plain_answer, engine_model::whole_answer},
+    standin::{endpoint::plain_service_response, engine_model::expected_completion},
 };
 
 /// Outcome of one attempt.
@@ -84,7 +84,7 @@
 
     /// Compares the tokens of a completed stream with the expected ones.
     pub(super) fn check_tokens(&self) -> TryOutcome {
-        let expected = whole_answer(&self.prompt, self.seed, self.entry.max_tokens);
+        let expected = expected_completion(&self.prompt, self.seed, self.entry.max_tokens);
         let received = self.received.concat();
         if received == expected {
             TryOutcome::Done
@@ -101,7 +101,7 @@
     /// Compares the body of a plain response with the expected one.
     pub(super) fn check_plain(&self, body: &[u8]) -> TryOutcome {
         let path = format!("/{}", self.entry.path);
-        let expected = json!(plain_answer(&path, self.body.as_bytes()));
+        let expected = json!(plain_service_response(&path, self.body.as_bytes()));
         // A body that isn't JSON counts as null, which is never expected.
         let received: Value = serde_json::from_slice(body).unwrap_or_default();
         if received == expected {
--- a/src/standin/endpoint.rs
+++ b/src/standin/endpoint.rs
@@ -129,7 +129,7 @@
         if fails {
             return reply::empty(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        let mut response = reply::json(StatusCode::OK, &plain_answer(&path, &body));
+        let mut response = reply::json(StatusCode::OK, &plain_service_response(&path, &body));
         if let Ok(value) = attempt.parse() {
             response.headers_mut().insert(headers::ATTEMPT_ID, value);
         }
@@ -160,7 +160,7 @@
 }
 
 /// Response of a plain service to a call of `path` with `body`; tests compare against it.
-pub fn plain_answer(path: &str, body: &[u8]) -> BTreeMap<&'static str, String> {
+pub fn plain_service_response(path: &str, body: &[u8]) -> BTreeMap<&'static str, String> {
     let digest = crate::ids::hash_parts(&[path.as_bytes(), body]);
     BTreeMap::from([("path", path.to_owned()), ("digest", format!("{digest:016x}"))])
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::{endpoint_state::EndpointStandin, engine_model::answer_token, reply};
+use super::{endpoint_state::EndpointStandin, engine_model::completion_token, reply};
 use crate::{
     http::{
         BodyError, ResponseBody,
@@ -149,7 +149,7 @@
             sender.abort(CutError);
             return;
         }
-        let text = answer_token(&order.prompt, order.seed, index);
+        let text = completion_token(&order.prompt, order.seed, index);
         let token = json!(EngineToken { index, text });
         let event = format!("data: {token}\n\n");
         endpoint.state.borrow_mut().counts.generated_tokens += 1;
--- a/src/standin/engine_model.rs
+++ b/src/standin/engine_model.rs
@@ -97,12 +97,12 @@
 }
 
 /// Token `index` of the response to `prompt` under `seed`.
-pub fn answer_token(prompt: &str, seed: u64, index: usize) -> String {
+pub fn completion_token(prompt: &str, seed: u64, index: usize) -> String {
     let hash = hash_parts(&[prompt.as_bytes(), &seed.to_le_bytes(), &index.to_le_bytes()]);
     format!("w{:x} ", hash % VOCABULARY)
 }
 
 /// Complete response to `prompt`; tests compare against it byte for byte.
-pub fn whole_answer(prompt: &str, seed: u64, tokens: usize) -> String {
-    (0..tokens).map(|index| answer_token(prompt, seed, index)).collect()
+pub fn expected_completion(prompt: &str, seed: u64, tokens: usize) -> String {
+    (0..tokens).map(|index| completion_token(prompt, seed, index)).collect()
 }
--- a/tests/native/harness/http_client.rs
+++ b/tests/native/harness/http_client.rs
@@ -110,5 +110,5 @@
 
 /// The answer that `completion` must get, byte for byte.
 pub fn expected(prompt: &str, tokens: usize) -> String {
-    willowarch::standin::engine_model::whole_answer(prompt, 7, tokens)
+    willowarch::standin::engine_model::expected_completion(prompt, 7, tokens)
 }
