--- a/benches/daemons.rs
+++ b/benches/daemons.rs
@@ -1,5 +1,5 @@
-//! Real daemons as processes: CPU, memory and bytes a second, idle and under load, and
-//! the platform's calls, over the number of daemons. docs/CAPACITY.md quotes it.
+//! Resource usage of real daemon processes, idle and under load, for several numbers of daemons:
+//! CPU, memory, bytes per second and calls of the platform. docs/CAPACITY.md quotes the results.
 //!
 //!     cargo bench --bench daemons [-- COUNT...]
 
@@ -13,10 +13,10 @@
 use serde_json::{Value, json};
 use willowarch::standin::clients::{ClientPlayer, MixEntry, MixKind, RequestMix};
 
-const IDLE: Duration = Duration::from_secs(12);
-const LOADED: Duration = Duration::from_secs(12);
+const IDLE_TIME: Duration = Duration::from_secs(12);
+const LOAD_TIME: Duration = Duration::from_secs(12);
 
-/// What the daemons and the platform have used so far.
+/// Resource usage so far: mean per daemon, and the total numbers of platform calls.
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
     cpu_s: f64,
@@ -50,7 +50,7 @@
     usage
 }
 
-fn show(what: &str, count: usize, length: f64, before: Usage, after: Usage) {
+fn print_usage(what: &str, count: usize, length: f64, before: Usage, after: Usage) {
     println!(
         "{count:>3} daemons, {what:<28} CPU {:5.2}% of a core, RSS {:5.1} MB, peers {:6.0} B/s \
          (of which copies {:6.0}), platform {:5.1} calls/s in all, {:4.2} writes/s",
@@ -91,7 +91,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let local = tokio::task::LocalSet::new();
     let report = local.block_on(&runtime.expect("a runtime"), async move {
-        ClientPlayer::new(daemons, mix(pace)).play(LOADED, 1).await
+        ClientPlayer::new(daemons, mix(pace)).play(LOAD_TIME, 1).await
     });
     json!(report)
 }
@@ -102,14 +102,14 @@
     std::thread::sleep(Duration::from_secs(3));
     let before = usage(&deployment);
     let from = Instant::now();
-    std::thread::sleep(IDLE);
-    show("idle", count, from.elapsed().as_secs_f64(), before, usage(&deployment));
+    std::thread::sleep(IDLE_TIME);
+    print_usage("idle", count, from.elapsed().as_secs_f64(), before, usage(&deployment));
     for pace in [40.0, 120.0] {
         let before = usage(&deployment);
         let from = Instant::now();
         let report = play(&deployment, pace);
         let what = format!("{pace} requests/s in all");
-        show(&what, count, from.elapsed().as_secs_f64(), before, usage(&deployment));
+        print_usage(&what, count, from.elapsed().as_secs_f64(), before, usage(&deployment));
         println!(
             "      answered {} of {}, first token {} ms, gap {} ms",
             report["answered"],
--- a/benches/decisions/fleet.rs
+++ b/benches/decisions/fleet.rs
@@ -1,5 +1,6 @@
-//! Cost of holding VMs through a burst with waves of reclaims: the real planner, minute
-//! by minute, against simple fleets and a bound that knows the future.
+//! Cost of the VMs during a burst of load with waves of reclaims: compares the planner of the
+//! daemons, simulated minute by minute, with simple strategies and with a lower bound that knows
+//! the future.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -17,7 +18,7 @@
 
 use crate::{
     SEEDS,
-    report::{WayResults, plot_seeds, write_table},
+    report::{StrategyResults, plot_seeds, write_table},
 };
 
 const MINUTES: usize = 720;
@@ -26,27 +27,27 @@
 const SHORTAGE: f64 = 20.0;
 const ZONE_LOSS_PER_HOUR: f64 = 0.02;
 const REPLACE_HOURS: f64 = 0.1;
-/// Decisions of the planner in a minute.
+/// Number of times the planner decides in a minute.
 const PLANNER_ROUNDS: usize = 4;
-/// Minutes of surplus after which the simple ways release a VM.
+/// Minutes of surplus after which the simple strategies release a VM.
 const RELEASE_AFTER_MINUTES: usize = 5;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    Ours { recompute: f64 },
+enum Strategy {
+    Planner { recompute: f64 },
     OnDemandOnly,
     CheapestOnly,
 }
 
-/// What happens, the same for all ways of one seed.
-struct World {
-    /// VMs needed, by minute.
+/// Load, prices and reclaims of one seed, the same for all strategies.
+struct Scenario {
+    /// Number of VMs needed, by minute.
     need: Vec<f64>,
     /// Prices, by minute.
     prices: Vec<Vec<PriceEntry>>,
-    /// Zones whose reclaimable VMs go in this minute.
+    /// Zone whose reclaimable VMs are reclaimed, by minute.
     waves: HashMap<usize, usize>,
-    /// Minute until which a zone refuses reclaimable starts, by zone and start.
+    /// Periods in which a zone refuses to start reclaimable VMs: zone, first minute, end.
     refusals: Vec<(usize, usize, usize)>,
 }
 
@@ -54,7 +55,7 @@
     format!("z{index}").into()
 }
 
-fn make_world(seed: u64, burst: f64) -> World {
+fn random_scenario(seed: u64, burst: f64) -> Scenario {
     let mut rng = SmallRng::seed_from_u64(seed);
     let need = (0..MINUTES)
         .map(|minute| {
@@ -77,7 +78,7 @@
         .collect();
     let mut waves = HashMap::new();
     let mut refusals = Vec::new();
-    // One wave during the burst: two zones, one after another.
+    // During the burst, the VMs of two zones are reclaimed one after the other.
     let first = rng.random_range(240..400);
     let zones = [rng.random_range(0..ZONES), rng.random_range(0..ZONES)];
     for (number, zone) in zones.into_iter().enumerate() {
@@ -85,7 +86,7 @@
         waves.insert(minute, zone);
         refusals.push((zone, minute.saturating_sub(2), minute + 40));
     }
-    World { need, prices, waves, refusals }
+    Scenario { need, prices, waves, refusals }
 }
 
 #[derive(Clone)]
@@ -103,58 +104,62 @@
     reclaimed: f64,
 }
 
-/// Starts asked for by one of the simple ways: it follows the need as it is.
-fn simple_actions(
-    way: Way,
+/// Actions of a simple strategy, which follows the current need: the number of VMs to start, their
+/// place, and the number of surplus VMs.
+fn simple_strategy_actions(
+    strategy: Strategy,
     need: f64,
     vms: &[Vm],
     prices: &[PriceEntry],
 ) -> (usize, FleetPlace, usize) {
-    let class =
-        if way == Way::OnDemandOnly { PriceClass::OnDemand } else { PriceClass::Reclaimable };
+    let class = if strategy == Strategy::OnDemandOnly {
+        PriceClass::OnDemand
+    } else {
+        PriceClass::Reclaimable
+    };
     let of_class = prices.iter().filter(|price| price.class == class);
     let cheapest = of_class.min_by(|left, right| left.per_hour.total_cmp(&right.per_hour));
     let place = FleetPlace { zone: cheapest.map_or(zone(0), |price| price.zone.clone()), class };
-    let wanted = need.ceil() as usize;
-    (wanted.saturating_sub(vms.len()), place, vms.len().saturating_sub(wanted))
+    let target = need.ceil() as usize;
+    (target.saturating_sub(vms.len()), place, vms.len().saturating_sub(target))
 }
 
-fn play(world: &World, way: Way) -> Outcome {
-    let mut run = FleetRun::new(world, way);
+fn simulate(scenario: &Scenario, strategy: Strategy) -> Outcome {
+    let mut run = FleetRun::new(scenario, strategy);
     for minute in 0..MINUTES {
         run.lose_wave(minute);
-        match way {
-            Way::Ours { recompute } => run.follow_planner(minute, recompute),
-            Way::OnDemandOnly | Way::CheapestOnly => run.follow_need(minute),
+        match strategy {
+            Strategy::Planner { recompute } => run.follow_planner(minute, recompute),
+            Strategy::OnDemandOnly | Strategy::CheapestOnly => run.follow_need(minute),
         }
-        run.account(minute);
+        run.add_costs(minute);
     }
     run.outcome
 }
 
-/// One way's fleet on its way through a world.
+/// Simulation of one strategy in a scenario.
 struct FleetRun<'a> {
-    world: &'a World,
-    way: Way,
+    scenario: &'a Scenario,
+    strategy: Strategy,
     base: Instant,
     planner: FleetPlanner,
     vms: Vec<Vm>,
     started: usize,
     /// Last minute without a surplus.
-    low_since: usize,
+    no_surplus_at: usize,
     outcome: Outcome,
 }
 
 impl<'a> FleetRun<'a> {
-    fn new(world: &'a World, way: Way) -> Self {
+    fn new(scenario: &'a Scenario, strategy: Strategy) -> Self {
         Self {
-            world,
-            way,
+            scenario,
+            strategy,
             base: Instant::now(),
             planner: FleetPlanner::default(),
             vms: Vec::new(),
             started: 0,
-            low_since: 0,
+            no_surplus_at: 0,
             outcome: Outcome { vm_cost: 0.0, missing: 0.0, needed: 0.0, reclaimed: 0.0 },
         }
     }
@@ -163,24 +168,24 @@
         self.base + Duration::from_secs(60 * minute as u64)
     }
 
-    /// Takes the VMs of this minute's wave, which the planner sees with its notice first.
+    /// Removes the VMs that are reclaimed in this minute; the planner gets the notice first.
     fn lose_wave(&mut self, minute: usize) {
-        let Some(lost) = self.world.waves.get(&minute) else { return };
+        let Some(lost) = self.scenario.waves.get(&minute) else { return };
         let lost = FleetPlace { zone: zone(*lost), class: PriceClass::Reclaimable };
-        if let Way::Ours { recompute } = self.way {
-            let view = service_view(&self.vms, self.world.need[minute], recompute, Some(&lost));
-            self.planner.decide(&view, &self.world.prices[minute], self.at(minute));
+        if let Strategy::Planner { recompute } = self.strategy {
+            let view = service_view(&self.vms, self.scenario.need[minute], recompute, Some(&lost));
+            self.planner.decide(&view, &self.scenario.prices[minute], self.at(minute));
         }
         self.outcome.reclaimed += self.vms.iter().filter(|vm| vm.place == lost).count() as f64;
         self.vms.retain(|vm| vm.place != lost);
     }
 
-    /// Several rounds of the planner fit into a minute.
+    /// Carries out the decisions of the planner, which decides several times a minute.
     fn follow_planner(&mut self, minute: usize, recompute: f64) {
         let now = self.at(minute);
         for _ in 0..PLANNER_ROUNDS {
-            let view = service_view(&self.vms, self.world.need[minute], recompute, None);
-            for action in self.planner.decide(&view, &self.world.prices[minute], now) {
+            let view = service_view(&self.vms, self.scenario.need[minute], recompute, None);
+            for action in self.planner.decide(&view, &self.scenario.prices[minute], now) {
                 match action {
                     FleetAction::Start { name, place } => {
                         if !self.start(minute, &place, Some(name)) {
@@ -193,24 +198,24 @@
         }
     }
 
-    /// Starts what is missing; like the planner, waits some minutes before it releases.
+    /// Starts the missing VMs and, like the planner, releases surplus ones only after some minutes.
     fn follow_need(&mut self, minute: usize) {
-        let need = self.world.need[minute];
+        let need = self.scenario.need[minute];
         let (starts, place, surplus) =
-            simple_actions(self.way, need, &self.vms, &self.world.prices[minute]);
+            simple_strategy_actions(self.strategy, need, &self.vms, &self.scenario.prices[minute]);
         for _ in 0..starts {
             self.start(minute, &place, None);
         }
-        self.low_since = if surplus == 0 { minute } else { self.low_since };
-        if minute - self.low_since >= RELEASE_AFTER_MINUTES {
+        self.no_surplus_at = if surplus == 0 { minute } else { self.no_surplus_at };
+        if minute - self.no_surplus_at >= RELEASE_AFTER_MINUTES {
             self.vms.truncate(self.vms.len() - surplus.min(1));
         }
     }
 
-    /// Starts a VM unless its zone refuses.
+    /// Starts a VM; returns `false` if its zone refuses.
     fn start(&mut self, minute: usize, place: &FleetPlace, name: Option<SharedName>) -> bool {
         let refuses = place.class == PriceClass::Reclaimable
-            && self.world.refusals.iter().any(|(refused, from, until)| {
+            && self.scenario.refusals.iter().any(|(refused, from, until)| {
                 zone(*refused) == place.zone && (*from..*until).contains(&minute)
             });
         if refuses {
@@ -224,8 +229,8 @@
         true
     }
 
-    fn account(&mut self, minute: usize) {
-        let (need, prices) = (self.world.need[minute], &self.world.prices[minute]);
+    fn add_costs(&mut self, minute: usize) {
+        let (need, prices) = (self.scenario.need[minute], &self.scenario.prices[minute]);
         let ready = self.vms.iter().filter(|vm| vm.ready_at <= minute).count() as f64;
         self.outcome.missing += (need - ready).max(0.0);
         self.outcome.needed += need;
@@ -268,9 +273,9 @@
     }
 }
 
-/// Cost that no fleet can be under: each minute the need at the cheapest price there is.
-fn bound(world: &World) -> f64 {
-    let minutes = world.need.iter().zip(&world.prices);
+/// Lower bound of the cost of any fleet: the need of each minute at its cheapest price.
+fn lower_bound(scenario: &Scenario) -> f64 {
+    let minutes = scenario.need.iter().zip(&scenario.prices);
     let cost = minutes.map(|(need, prices)| {
         let cheapest = prices.iter().map(|price| price.per_hour).fold(f64::INFINITY, f64::min);
         need * cheapest / 60.0
@@ -279,22 +284,22 @@
 }
 
 pub fn fleet() {
-    let ways = [
-        ("ours, bakery (reclaim 0.1)", Way::Ours { recompute: 0.1 }),
-        ("ours, Inkbridge (reclaim 3)", Way::Ours { recompute: 3.0 }),
-        ("on-demand only", Way::OnDemandOnly),
-        ("cheapest only", Way::CheapestOnly),
+    let strategies = [
+        ("ours, bakery (reclaim 0.1)", Strategy::Planner { recompute: 0.1 }),
+        ("ours, Inkbridge (reclaim 3)", Strategy::Planner { recompute: 3.0 }),
+        ("on-demand only", Strategy::OnDemandOnly),
+        ("cheapest only", Strategy::CheapestOnly),
     ];
     let mut results = Vec::new();
-    for (name, way) in ways {
+    for (name, strategy) in strategies {
         let values = SEEDS.map(|seed| {
-            let world = make_world(seed, 24.0);
-            let outcome = play(&world, way);
+            let scenario = random_scenario(seed, 24.0);
+            let outcome = simulate(&scenario, strategy);
             let missing = outcome.missing / outcome.needed * 100.0;
             let total = outcome.vm_cost + outcome.missing / 60.0 * SHORTAGE;
-            vec![outcome.vm_cost, missing, total, total / bound(&world), outcome.reclaimed]
+            vec![outcome.vm_cost, missing, total, total / lower_bound(&scenario), outcome.reclaimed]
         });
-        results.push(WayResults { way: name, values: values.collect() });
+        results.push(StrategyResults { label: name, values: values.collect() });
     }
     let about = format!(
         "{} hours with a burst to seven times the base; during it two zones' reclaimable VMs go \
--- a/benches/decisions/main.rs
+++ b/benches/decisions/main.rs
@@ -1,7 +1,7 @@
-//! Experiments on the decisions: ours against naive ones and against bounds that know
-//! the future, over seeds. Each writes a table and a plot into docs/measurements.
-//! Routing, fairness, limits and retries were measured here once; docs/measurements/README.md
-//! keeps their tables.
+//! Experiments that compare the decision algorithms with naive ones and with bounds that know the
+//! future, over several seeds. Each writes a table and a plot to docs/measurements.
+//! Earlier experiments on routing, fairness, limits and retries have been removed;
+//! docs/measurements/README.md keeps their tables.
 //!
 //!     cargo bench --bench decisions [-- reclaim|fleet]
 
@@ -13,11 +13,11 @@
 const SEEDS: std::ops::Range<u64> = 1..13;
 
 fn main() {
-    let wanted: Vec<String> =
+    let selected: Vec<String> =
         std::env::args().skip(1).filter(|text| !text.starts_with("--")).collect();
     let experiments: [(&str, fn()); 2] = [("reclaim", reclaim::reclaim), ("fleet", fleet::fleet)];
     for (name, run) in experiments {
-        if wanted.is_empty() || wanted.iter().any(|text| text == name) {
+        if selected.is_empty() || selected.iter().any(|text| text == name) {
             run();
         }
     }
--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,10 +1,11 @@
-//! Slopes of membership, spread and averaging over the size of the fleet: the real
-//! cores, many in one process. docs/CAPACITY.md quotes it.
+//! How the cost of membership, of spreading items and of averaging grows with the size of the
+//! fleet: runs the cluster code of the daemons without I/O, many daemons in one process.
+//! docs/CAPACITY.md quotes the results.
 //!
 //!     cargo bench --bench fleet [-- SIZE...]
 
 #[path = "../tests/native/in_memory_fleet.rs"]
-#[allow(dead_code, reason = "the tests use more of it")]
+#[allow(dead_code, reason = "the tests use the rest")]
 mod in_memory_fleet;
 #[path = "../tests/native/process_usage.rs"]
 mod process_usage;
@@ -45,14 +46,14 @@
 
 const ZONES: usize = 8;
 
-fn row(version: u64) -> SpreadItem {
+fn account_row(version: u64) -> SpreadItem {
     let row = serde_json::json!({
         "kind": "account", "name": "reader", "api_key": "key", "weight": 2.0, "tokens_per_s": 9.0,
     });
     SpreadItem::new(ItemKind::Row, "account.reader".into(), version, &row)
 }
 
-fn holds_everywhere(fleet: &InMemoryFleet, version: u64) -> bool {
+fn all_nodes_hold(fleet: &InMemoryFleet, version: u64) -> bool {
     let key = ItemKey { kind: ItemKind::Row, name: "account.reader".into() };
     fleet.nodes.iter().all(|node| node.core.items().version(&key) == Some(version))
 }
@@ -65,7 +66,8 @@
     cpu_and_rss("self").0
 }
 
-/// Quiet traffic, an edit, an edit under loss, an edit across a healed cut, freezes.
+/// Measures the traffic of an unchanged fleet, and the time until an edit has reached all nodes:
+/// without loss, with message loss, and after a network partition has healed.
 fn measure_fleet(size: usize) {
     let before_mb = rss_mb();
     let mut fleet = InMemoryFleet::new(size, ZONES, size as u64);
@@ -85,7 +87,7 @@
     fleet.loss = 0.1;
     let lossy = measure_edit(&mut fleet, 2);
     fleet.loss = 0.0;
-    let healed = measure_cut(&mut fleet, 3);
+    let healed = measure_partition(&mut fleet, 3);
     println!(
         "{size:>5} nodes: {node_kb:7.0} KB a node; quiet {messages_s:5.1} messages/s {bytes_s:6.0} B/s \
          {cpu_us:6.0} us CPU/s a node; edit everywhere {edit:5.2} s, with 10% loss {lossy:5.2} s, \
@@ -95,24 +97,24 @@
 
 fn measure_edit(fleet: &mut InMemoryFleet, version: u64) -> f64 {
     let from = fleet.now();
-    fleet.inject(fleet.nodes.len() / 3, row(version));
+    fleet.inject(fleet.nodes.len() / 3, account_row(version));
     let until = from + Duration::from_secs(60);
-    let found = fleet.run_until_holds(until, |fleet| holds_everywhere(fleet, version));
+    let found = fleet.run_until_holds(until, |fleet| all_nodes_hold(fleet, version));
     found.map_or(f64::NAN, |found| (found - from).as_secs_f64())
 }
 
-fn measure_cut(fleet: &mut InMemoryFleet, version: u64) -> f64 {
+fn measure_partition(fleet: &mut InMemoryFleet, version: u64) -> f64 {
     fleet.cut_zone = Some(1);
-    fleet.inject(0, row(version));
+    fleet.inject(0, account_row(version));
     fleet.run_until(fleet.now() + Duration::from_secs(10));
     fleet.cut_zone = None;
     let from = fleet.now();
     let until = from + Duration::from_secs(120);
-    let found = fleet.run_until_holds(until, |fleet| holds_everywhere(fleet, version));
+    let found = fleet.run_until_holds(until, |fleet| all_nodes_hold(fleet, version));
     found.map_or(f64::NAN, |found| (found - from).as_secs_f64())
 }
 
-/// Share of frozen nodes that were removed, by the length of the freeze.
+/// Measures how often a frozen node is removed from the fleet, by the length of the freeze.
 fn measure_freezes(size: usize) {
     for seconds in [1, 3, 10] {
         let mut removed = 0;
@@ -131,7 +133,7 @@
     }
 }
 
-/// Error of the averages after one epoch.
+/// Measures the error of the averages after one epoch.
 fn measure_averaging(size: usize) {
     const ACCOUNTS: usize = 100;
     let mut rng = SmallRng::seed_from_u64(size as u64);
@@ -172,7 +174,8 @@
             worst = worst.max((node.result()[&name] / mean - 1.0).abs());
         }
     }
-    // Values there and back, for the exchanges begun and those answered.
+    // A node begins one exchange per interval and answers one on average; each sends the values in
+    // both directions.
     let bytes_s = (ACCOUNTS as f64 * 4.0 + 100.0) * 4.0 * 1e3 / EXCHANGE_MS as f64;
     println!(
         "{size:>5} nodes: averages of {ACCOUNTS} accounts after {rounds} rounds: worst error \
@@ -181,7 +184,7 @@
     );
 }
 
-fn list_of(size: usize) -> MemberList {
+fn member_list(size: usize) -> MemberList {
     let mut members = MemberList::default();
     for number in 0..size as u64 {
         let record = MemberRecord {
@@ -200,7 +203,7 @@
     members
 }
 
-fn per_call(count: usize, mut call: impl FnMut(usize)) -> f64 {
+fn us_per_call(count: usize, mut call: impl FnMut(usize)) -> f64 {
     let started_at = Instant::now();
     for index in 0..count {
         call(index);
@@ -217,11 +220,11 @@
     }
 }
 
-/// Decisions on the path of a request, by the size of what they look at.
+/// Measures the decisions on the path of a request, by the numbers of daemons and replicas.
 fn measure_decisions() {
     for (daemons, replicas) in [(8, 60), (64, 500), (512, 2_500), (2_100, 10_000)] {
-        let members = list_of(daemons);
-        let placed = per_call(2_000, |index| {
+        let members = member_list(daemons);
+        let placed = us_per_call(2_000, |index| {
             std::hint::black_box(members.placed_for(&index.to_le_bytes(), 3));
         });
         let watchers =
@@ -234,7 +237,7 @@
         routes.set_endpoints(&"model".into(), infos, 64, sharing);
         let chain = prefix_chain(&"word ".repeat(800));
         let mut rng = SmallRng::seed_from_u64(1);
-        let picked = per_call(20_000, |_| {
+        let picked = us_per_call(20_000, |_| {
             let query = RouteQuery {
                 service: "model",
                 chain: &chain,
@@ -250,7 +253,8 @@
     }
 }
 
-/// State that grows with requests or with time, not with the fleet.
+/// Measures the memory and CPU time of state that grows with requests or with time, not with the
+/// size of the fleet.
 fn measure_state() {
     let now = tokio::time::Instant::now();
     for count in [10_000, 50_000, 150_000] {
@@ -258,7 +262,7 @@
         let mut held = TicketLedger::new(IncarnationId(1));
         let mut witness = WitnessLedger::default();
         let scope = TicketId::scope_of("press");
-        let cpu = per_call(count, |_| {
+        let cpu = us_per_call(count, |_| {
             let ticket = held.issue(IncarnationId(2), scope, now);
             held.begin(ticket, [1; 32]);
             witness.consent(ticket, now);
@@ -271,13 +275,13 @@
         measure_records(count);
     }
     let timeline = TimelineHandle::new("daemon".into());
-    let cpu = per_call(60_000, |index| {
+    let cpu = us_per_call(60_000, |index| {
         timeline.record(EventKind::Ended, Some("reader/k".into()), format!("answered; {index}"));
     });
     println!("time line: {cpu:.2} us an event, {} events kept", timeline.read("").len());
     let mut limiter = AccountLimiter::default();
     let account: SharedName = "reader".into();
-    let cpu = per_call(200_000, |_| {
+    let cpu = us_per_call(200_000, |_| {
         std::hint::black_box(limiter.admit(&account, 1.0, 10.0, 1e9, tokio::time::Instant::now()));
     });
     println!("limiter: {cpu:.2} us a request");
@@ -297,8 +301,8 @@
     }
 }
 
-/// Memory of ended request records as partners keep them: 244 tokens each, as the mean
-/// answer at the two-year target.
+/// Measures the memory of the request records that partners keep: 244 tokens each, the mean length
+/// of a response at the two-year target.
 fn measure_records(count: usize) {
     const TOKENS: usize = 244;
     let now = tokio::time::Instant::now();
