--- a/src/standin/clients.rs
+++ b/src/standin/clients.rs
@@ -27,7 +27,7 @@
 /// Time limit for the head of a response and for each chunk of its body: longer than the time
 /// limits of the daemons.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// Maximum number of attempts per request: enough to outlast the faults that the tests inject.
+/// Maximum number of tries per request: enough to outlast the faults that the tests inject.
 const MAX_TRIES: u32 = 40;
 /// Pause before trying another daemon after a broken connection.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
@@ -81,7 +81,7 @@
     }
 
     async fn run(&self, mut request: ClientRequest) {
-        let mut last = (FailedOutcome::Failed, String::from("not attempted"));
+        let mut last = (FailedOutcome::Failed, String::from("not tried"));
         for _ in 0..MAX_TRIES {
             match self.try_once(&mut request).await {
                 TryOutcome::Done => {
--- a/src/standin/clients/report.rs
+++ b/src/standin/clients/report.rs
@@ -13,9 +13,9 @@
 };
 
 /// Maximum number of failures described in a report: enough to see what goes wrong.
-const DESCRIBED_FAILURES: usize = 10;
+const MAX_DESCRIBED_FAILURES: usize = 10;
 /// Longest duration that the histograms distinguish, in microseconds: ten minutes, more than all
-/// attempts of a request take.
+/// tries of a request take.
 const MAX_DURATION_US: u64 = 600_000_000;
 /// Significant digits of recorded durations: an error below 0.1%.
 const SIGNIFICANT_DIGITS: u8 = 3;
@@ -35,7 +35,7 @@
     pub requests: u64,
     /// Complete and correct responses.
     pub answered: u64,
-    /// Requests whose last attempt was refused as "not run".
+    /// Requests whose last try was refused as "not run".
     pub not_run: u64,
     /// Requests that may have run.
     pub unknown: u64,
@@ -65,7 +65,7 @@
 /// Outcome of a request that did not get the expected response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub(super) enum FailedOutcome {
-    /// All attempts were refused; the request has not run.
+    /// Still refused at the last try; the request has not run.
     #[display("not-run")]
     NotRun,
     /// The request may have run.
@@ -116,7 +116,7 @@
             FailedOutcome::Wrong => report.wrong += 1,
             FailedOutcome::Failed => report.failed += 1,
         }
-        if report.failures.len() < DESCRIBED_FAILURES {
+        if report.failures.len() < MAX_DESCRIBED_FAILURES {
             report.failures.push(format!("{request}: {outcome}: {detail}"));
         }
     }
--- a/src/standin/clients/request.rs
+++ b/src/standin/clients/request.rs
@@ -1,4 +1,4 @@
-//! One request of a client: its calls, its expected response, and the outcome of each attempt.
+//! One request of a client: its calls, its expected response, and the outcome of each try.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,16 +17,16 @@
     standin::{endpoint::plain_service_response, engine_model::expected_completion},
 };
 
-/// Outcome of one attempt.
+/// Outcome of one try.
 pub(super) enum TryOutcome {
     /// The expected response arrived.
     Done,
-    /// Refused, to be retried after this time; if no attempts are left, the request counts as the
+    /// Refused, to be retried after this time; if no tries are left, the request counts as the
     /// given outcome.
     RetryAfter(Duration, FailedOutcome),
     /// The connection broke; the request is to be resumed at another daemon.
     Resume,
-    /// Failed without a further attempt, with a description.
+    /// Failed without another try, with a description.
     Final(FailedOutcome, String),
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// HTTP call of the next attempt, which resumes after the tokens received so far.
+    /// HTTP call of the next try, which resumes after the tokens received so far.
     pub(super) fn next_call(&self, daemon: SocketAddr) -> OutgoingCall {
         let path = match self.entry.kind {
             MixKind::Completion => "/v1/completions".to_owned(),
