--- a/src/native/peer.rs
+++ b/src/native/peer.rs
@@ -1,9 +1,9 @@
 //! The protocol between daemons of the native interface: Cap'n Proto RPC over TCP
-//! (schema/peer.capnp). The gateway's daemons speak another one (`gateway::gossip`).
+//! (schema/peer.capnp). The gateway's daemons use a different protocol (`gateway::gossip`).
 //!
-//! `server` and `served_calls` are the serving side, `client` (connections) and `calls` the
-//! calling side; `codec` translates between wire and typed messages. The state behind the
-//! calls belongs to the services of `native::{cluster, serve}`.
+//! `server` and `served_calls` are the server side, `client` (connections) and `calls` the client
+//! side; `codec` converts between Cap'n Proto and typed messages. The state that the calls read
+//! and change belongs to the services of `native::{cluster, serve}`.
 
 pub mod calls;
 pub mod client;
@@ -16,31 +16,31 @@
     kernel::SendError,
 };
 
-/// Protocol version that this build speaks.
+/// Protocol version of this build.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Whether peers of these protocol versions work together: rolling upgrades need adjacent
-/// versions to understand each other.
+/// Whether daemons with these protocol versions can work together. Rolling upgrades need adjacent
+/// versions to be compatible.
 pub fn is_compatible(own: u32, theirs: u32) -> bool {
     theirs.abs_diff(own) <= 1
 }
 
-/// What this daemon says of itself in its hello.
+/// What this daemon sends about itself in its hello.
 #[derive(Clone, Debug)]
 pub struct LocalIdentity {
-    /// Deployment.
+    /// Name of the deployment.
     pub deployment: SharedName,
-    /// Incarnation.
+    /// Incarnation of this process.
     pub incarnation: IncarnationId,
-    /// Address at which peers connect to it.
+    /// Address that peers connect to.
     pub address: SharedName,
     /// Availability zone.
     pub zone: SharedName,
-    /// Protocol version that it speaks.
+    /// Protocol version.
     pub version: u32,
 }
 
-/// Error for a peer whose call a service could not take.
+/// Error returned to a peer when the service's inbox did not accept its call.
 fn overloaded(error: SendError) -> capnp::Error {
     capnp::Error::overloaded(error.to_string())
 }
--- a/src/native/peer/calls.rs
+++ b/src/native/peer/calls.rs
@@ -1,4 +1,4 @@
-//! Typed calls to other daemons, each within its time limit; `served_calls` is the other end.
+//! Typed calls to other daemons, each with a time limit; `served_calls` handles them.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 };
 
 impl PeerPool {
-    /// Probes the target.
+    /// Checks that the target responds.
     pub async fn probe(&self, target: &PeerTarget) -> Result<(), StepError> {
         let incarnation = target.incarnation.0;
         self.call("probe", target, CALL_LIMIT, |client| async move {
@@ -64,7 +64,8 @@
         .await
     }
 
-    /// Sends a summary; returns the target's differing buckets and their versions.
+    /// Sends the hashes of this daemon's item buckets; returns the buckets that differ at the
+    /// target and the versions of the items in them.
     pub async fn summary(
         &self,
         target: &PeerTarget,
@@ -99,7 +100,7 @@
         .await
     }
 
-    /// Offers a whole copy; returns the state that goes before it, if there is one.
+    /// Offers a whole copy; returns the target's own state if that takes precedence.
     pub async fn offer(
         &self,
         target: &PeerTarget,
@@ -119,7 +120,7 @@
         .await
     }
 
-    /// Sends news of copies; returns the names of those that the target cannot use.
+    /// Sends what was appended to copies; returns the names of those that the target rejected.
     pub async fn append(
         &self,
         target: &PeerTarget,
@@ -139,8 +140,8 @@
         .await
     }
 
-    /// Waits at the holder for tokens from `first_token` on; `None` if it does not know
-    /// the request.
+    /// Waits at most `wait` for the holder to have tokens from `first_token` on; `None` if it does
+    /// not know the request.
     pub async fn attach(
         &self,
         target: &PeerTarget,
@@ -164,7 +165,7 @@
         .await
     }
 
-    /// Has the holder of `ticket` run `call`, and waits for its final response.
+    /// Asks the holder of `ticket` to run `call`, and waits for the final response.
     pub async fn run_once(
         &self,
         target: &PeerTarget,
@@ -184,7 +185,7 @@
         .await
     }
 
-    /// Asks the witness of `ticket` for consent.
+    /// Asks the witness of `ticket` for consent to dispatch it.
     pub async fn consent(
         &self,
         target: &PeerTarget,
@@ -200,7 +201,7 @@
         .await
     }
 
-    /// Has the witness seal `ticket`.
+    /// Asks the witness to seal `ticket`, so that it can no longer be dispatched.
     pub async fn seal(
         &self,
         target: &PeerTarget,
@@ -239,7 +240,7 @@
         .await
     }
 
-    /// Exchanges averages; `None` if the target is in another epoch or order.
+    /// Exchanges demand averages; `None` if the target is in another epoch or order.
     pub async fn average(
         &self,
         target: &PeerTarget,
--- a/src/native/peer/client.rs
+++ b/src/native/peer/client.rs
@@ -1,8 +1,7 @@
-//! Connections to other daemons, one for each, and what a call over them needs: exactly the
-//! incarnation that is meant, a time limit, and an error that tells how it failed.
+//! Pool of connections to other daemons, one per daemon. Each call goes to one specific
+//! incarnation, has a time limit, and fails with an error that names the cause.
 //!
-//! A connection that breaks or times out is dropped from the pool and made anew by the next
-//! call.
+//! A connection that breaks or times out is removed from the pool; the next call opens a new one.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -19,10 +18,10 @@
     rpc_transport::{TrafficCounter, rpc_system},
 };
 
-/// Longest wait for a connection, and for the hello over it: as `CALL_LIMIT`.
+/// Longest wait for a connection, and for the hello over it: the same as `CALL_LIMIT`.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Longest wait for a response that a peer gives at once: the longest that a probe may take before
-/// a peer counts as not reached.
+/// Longest wait for a call that the peer answers without waiting for anything: a probe that takes
+/// longer counts as failed.
 pub(super) const CALL_LIMIT: Duration = Duration::from_millis(500);
 
 struct OpenPeer {
@@ -51,12 +50,12 @@
 pub struct GreetedPeer {
     /// Its incarnation.
     pub incarnation: IncarnationId,
-    /// What it says of itself.
+    /// Its address and zone, from its hello.
     pub record: MemberRecord,
 }
 
 impl PeerPool {
-    /// Pool of the daemon `identity`.
+    /// Creates an empty pool for the daemon `identity`.
     pub fn new(identity: LocalIdentity) -> Self {
         Self {
             identity: Rc::new(identity),
@@ -70,7 +69,7 @@
         self.open.borrow_mut().retain(|_, open| open.used.get().elapsed() < idle);
     }
 
-    /// Bytes over all connections to peers, also those that they opened.
+    /// Bytes sent and received over all connections to peers, including those that peers opened.
     pub fn traffic(&self) -> &TrafficCounter {
         &self.traffic
     }
@@ -98,7 +97,7 @@
         let mut rpc = rpc_system(stream, Side::Client, None, &self.traffic);
         let gate: gate::Client = rpc.bootstrap(Side::Server);
         let task = tokio::task::spawn_local(async move {
-            // Calls over a connection that has ended fail by themselves.
+            // The error is not needed: calls over a connection that has ended fail with their own.
             let _ = rpc.await;
         })
         .abort_handle();
@@ -141,7 +140,7 @@
         Ok((GreetedPeer { incarnation, record }, results.get_peer()?))
     }
 
-    /// Connection to exactly the incarnation of `target`.
+    /// Returns a connection to the incarnation of `target`; fails if another one has its address.
     async fn peer(
         &self,
         step: &'static str,
@@ -165,7 +164,7 @@
         Ok(found)
     }
 
-    /// Runs one call within `limit`; a broken connection is dropped from the pool.
+    /// Runs one call within `limit`; removes the connection from the pool if it broke or timed out.
     pub(super) async fn call<T, F>(
         &self,
         step: &'static str,
--- a/src/native/peer/codec.rs
+++ b/src/native/peer/codec.rs
@@ -1,5 +1,5 @@
-//! Translates between the daemon's typed messages and their Cap'n Proto forms. Whatever a peer
-//! sends is checked here: names, lengths of lists, sizes of digests.
+//! Converts between typed messages and Cap'n Proto. All input from peers is validated here: names,
+//! lengths of lists, sizes of digests.
 
 use std::sync::Arc;
 
@@ -22,15 +22,15 @@
     peer_capnp::{self, ConsentVerdict as WireVerdict, hello},
 };
 
-/// Most items, versions, copies or tokens accepted in one message: bounds what a faulty peer can
-/// make this process hold.
+/// Most items, versions, copies or tokens accepted in one message: bounds the memory that a faulty
+/// peer can make this process use.
 const LIST_LIMIT: u32 = 65_536;
 
 fn failed(what: &str) -> Error {
     Error::failed(format!("malformed {what}"))
 }
 
-/// Text of a name, checked.
+/// Reads a name and checks that it is allowed.
 pub fn read_name(text: capnp::text::Reader<'_>) -> Result<SharedName, Error> {
     let text = text.to_str().map_err(|_| failed("name"))?;
     if is_name(text) { Ok(text.into()) } else { Err(failed("name")) }
@@ -136,13 +136,14 @@
     serde_json::from_slice(data).map(Some).map_err(|_| failed(what))
 }
 
-/// JSON of a value.
+/// Encodes a value as JSON.
 pub fn to_json(value: &impl serde::Serialize) -> Vec<u8> {
-    // Cannot fail: the types sent have only text, numbers and lists. Empty data means none.
+    // Cannot fail: the types sent have only text, numbers and lists. Readers take empty data as
+    // no value.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Reads a digest; a copy that only appends tokens has none.
+/// Reads a digest; copies that only append tokens have none.
 fn read_digest(data: capnp::data::Reader<'_>) -> Result<Option<[u8; 32]>, Error> {
     if data.is_empty() {
         return Ok(None);
@@ -181,7 +182,7 @@
     builder.set_term(copy.takeovers);
     builder.set_holder(copy.holder.incarnation.0);
     builder.set_first_token(copy.first_token as u32);
-    // Appended tokens go to a peer that knows the request; it needs neither again.
+    // A peer that gets appended tokens already has the request's address and digest.
     if copy.first_token == 0 {
         builder.set_holder_address(&*copy.holder.address);
         if let Some(digest) = &copy.digest {
@@ -206,7 +207,7 @@
     builder.set_zone(&*identity.zone);
 }
 
-/// Reads what a peer says of itself.
+/// Reads the sender's address and zone from its hello.
 pub fn read_record(hello: hello::Reader<'_>) -> Result<MemberRecord, Error> {
     Ok(MemberRecord {
         address: read_name(hello.get_address()?)?,
@@ -233,7 +234,7 @@
     }
 }
 
-/// Reads values, which must be numbers of a demand.
+/// Reads demand values, which must be finite and not negative.
 pub fn read_values(values: capnp::primitive_list::Reader<'_, f32>) -> Result<Vec<f32>, Error> {
     let sound = |value: &f32| value.is_finite() && *value >= 0.0;
     let values: Vec<f32> = values.iter().collect();
--- a/src/native/peer/served_calls.rs
+++ b/src/native/peer/served_calls.rs
@@ -1,6 +1,6 @@
-//! Serves the calls of a peer that has said hello: translates each into a message to the
-//! service that owns the state, and its reply back. The only checks made here are that a
-//! ticket names this daemon as its witness, or the peer as its holder.
+//! Serves the calls of a peer after its hello: turns each into a message to the service that owns
+//! the state, and sends the service's reply back. The only checks made here are that a ticket
+//! names this daemon as its witness, or the peer as its holder.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -33,7 +33,8 @@
     peer_capnp::peer,
 };
 
-/// Longest time that a peer may have an attach call wait: bounds what a faulty peer can hold open.
+/// Longest wait of an attach call, whatever the peer asks for: bounds the calls that a faulty peer
+/// can keep open.
 const ATTACH_LIMIT: Duration = Duration::from_secs(5);
 
 fn read_ticket(text: capnp::text::Reader<'_>) -> Result<TicketId, Error> {
@@ -43,7 +44,7 @@
 
 /// Serves the calls of one peer, over one connection.
 pub(super) struct PeerServer {
-    /// Incarnation that the peer gave in its hello.
+    /// Incarnation from the peer's hello.
     pub(super) from: IncarnationId,
     pub(super) context: Rc<ServeContext>,
 }
@@ -166,7 +167,7 @@
             self.context.requests.ask(|reply| RequestMessage::View { name: name.clone(), reply });
         let Some(mut view) = view.await.map_err(overloaded)? else { return Ok(()) };
         let progress = view.wait_for(|progress| progress.ended || progress.tokens > first_token);
-        // Whether something came or the time is over: what there is is sent.
+        // After a timeout too, the response has everything known so far.
         let _ = timeout(wait, progress).await;
         let read =
             self.context.requests.ask(|reply| RequestMessage::Read { name, first_token, reply });
--- a/src/native/peer/server.rs
+++ b/src/native/peer/server.rs
@@ -1,6 +1,6 @@
-//! The listener at which other daemons connect. A connection begins with a hello (the
-//! schema's `Gate`), in which both sides check deployment and protocol version; only then
-//! does the peer get the interface whose calls `served_calls` serves.
+//! Listener for connections from other daemons. A connection begins with a hello (`Gate` in the
+//! schema), in which both sides check deployment and protocol version. Only then does the peer
+//! get access to the calls in `served_calls`.
 
 use std::rc::Rc;
 
@@ -32,7 +32,8 @@
 async fn serve_connection(stream: TcpStream, context: Rc<ServeContext>) {
     let traffic = context.pool.traffic().clone();
     let gate: gate::Client = capnp_rpc::new_client(GateServer { context });
-    // A peer that breaks off or sends malformed messages ends only its own connection.
+    // The error is not needed: a peer that disconnects or sends malformed messages ends only its
+    // own connection.
     let _ = rpc_system(stream, Side::Server, Some(gate.client), &traffic).await;
 }
 
@@ -48,7 +49,7 @@
     ) -> Result<(), Error> {
         let hello = params.get()?.get_hello()?;
         let identity = &self.context.identity;
-        let deployment = hello.get_deployment()?.to_str().unwrap_or("(not text)").to_owned();
+        let deployment = hello.get_deployment()?.to_str().unwrap_or("(not UTF-8)").to_owned();
         if deployment != *identity.deployment {
             self.context.refused_peer(&format!("deployment {deployment}"));
             return Err(Error::failed(format!("this is deployment {}", identity.deployment)));
@@ -56,8 +57,10 @@
         let version = hello.get_version();
         if !is_compatible(identity.version, version) {
             self.context.refused_peer(&format!("protocol version {version}"));
-            let message =
-                format!("protocol version {version} is unknown; {} here", identity.version);
+            let message = format!(
+                "protocol version {version} is unknown; this daemon has {}",
+                identity.version
+            );
             return Err(Error::failed(message));
         }
         let incarnation = IncarnationId(hello.get_incarnation());
