--- a/src/native/cloud_api.rs
+++ b/src/native/cloud_api.rs
@@ -1,10 +1,9 @@
-//! The platform's services as the native interface meets them: object API, cloud API, VM
-//! list. `standin::platform` serves the same wire; the gateway's platform is another one
+//! The platform's services that the native interface uses: object API, cloud API and VM list.
+//! `standin::platform` implements the same protocol; the gateway uses a different platform
 //! (`crate::platform`).
 
 pub mod client;
 pub mod messages;
 
-/// Header of each response that names the era of the objects: how often they were restored from
-/// a copy.
+/// Response header with the era of the objects: how many times they were restored from a backup.
 pub const ERA_HEADER: &str = "store-era";
--- a/src/native/cloud_api/client.rs
+++ b/src/native/cloud_api/client.rs
@@ -1,7 +1,7 @@
-//! Client of the platform's services, for the native interface; the gateway's platform has
-//! another wire (`platform::{store, cloud}`) over the same `http::api_client`.
+//! Client of the platform's services for the native interface. The gateway's platform has a
+//! different protocol (`platform::{store, cloud}`); both use `http::api_client`.
 //!
-//! Calls are counted because the rates that the object API admits grow more slowly than the
+//! Calls are counted because the call rate that the object API allows grows more slowly than the
 //! fleet.
 
 use std::time::Duration;
@@ -22,13 +22,13 @@
     store_position::StoreEra,
 };
 
-/// Longest wait for a response that the platform gives at once.
+/// Longest wait for a call that the platform answers without waiting for anything.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
-/// How long a watch waits for a change before it is renewed: a tenth of a call a second for each
-/// watch.
+/// How long a watch waits for a change before it is renewed; so each watch
+/// makes 0.1 calls a second.
 pub const WATCH_WAIT: Duration = Duration::from_secs(10);
 
-/// What must hold for a write to be carried out.
+/// Condition for a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteCondition {
     /// The object does not exist yet.
@@ -37,7 +37,7 @@
     Version(u64),
 }
 
-/// Client of object API, cloud API and VM list.
+/// Client of the object API, cloud API and VM list.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     object_api: ApiClient,
@@ -45,20 +45,20 @@
 }
 
 impl PlatformClient {
-    /// Client of the services at these addresses.
+    /// Creates a client of the services at these addresses.
     pub fn new(object_api: impl ToString, cloud_api: impl ToString) -> Self {
         let object_api = ApiClient::new(object_api);
         let cloud_api = object_api.sibling(cloud_api);
         Self { object_api, cloud_api }
     }
 
-    /// Calls made since the start to both services, waiting watches counted once each.
+    /// Calls to both services since the start; a watch counts once, however long it waits.
     pub fn calls(&self) -> u64 {
         // The count is shared with `cloud_api`.
         self.object_api.calls()
     }
 
-    /// Reads one object; a missing one has no value.
+    /// Reads one object; the value is `None` if the object does not exist.
     pub async fn read_object(&self, kind: &str, name: &str) -> Result<ObjectEntry, StepError> {
         let call = self.object_api.get("read object", format!("/objects/{kind}/{name}"));
         fetch(&self.object_api, call, CALL_LIMIT).await
@@ -80,7 +80,7 @@
         Ok(ObjectList { era, ..list })
     }
 
-    /// Writes one object if `condition` holds; fails with `FailureCause::Conflict` if not.
+    /// Writes one object if `condition` holds; otherwise fails with `FailureCause::Conflict`.
     pub async fn write_object(
         &self,
         kind: &str,
@@ -97,7 +97,7 @@
         fetch(&self.object_api, call, CALL_LIMIT).await
     }
 
-    /// Reads the lagging VM list.
+    /// Reads the VM list, which lags behind the actual state.
     pub async fn list_vms(&self) -> Result<VmList, StepError> {
         let call = self.cloud_api.get("list VMs", "/vms");
         let (list, era) = fetch_with_era(&self.cloud_api, call, CALL_LIMIT).await?;
@@ -112,13 +112,13 @@
         Ok(NoticeList { era, ..list })
     }
 
-    /// Starts a VM; the same name starts only one.
+    /// Starts a VM; a second call with the same name starts no second VM.
     pub async fn start_vm(&self, order: &StartOrder) -> Result<VmEntry, StepError> {
         let call = self.cloud_api.send("start VM", Method::POST, "/vms", order)?;
         fetch(&self.cloud_api, call, CALL_LIMIT).await
     }
 
-    /// Releases the VM of this identity.
+    /// Releases the VM with this identity.
     pub async fn release_vm(&self, id: &str) -> Result<Value, StepError> {
         let mut call = self.cloud_api.get("release VM", format!("/vms/{id}"));
         call.method = Method::DELETE;
@@ -131,7 +131,8 @@
     }
 }
 
-/// Body of a response and the era that it names; 0 if it names none, or no number.
+/// Returns the response body and the era from its header; era 0 if the header is missing or not a
+/// number.
 async fn fetch_with_era<T: DeserializeOwned>(
     api: &ApiClient,
     call: OutgoingCall,
--- a/src/native/cloud_api/messages.rs
+++ b/src/native/cloud_api/messages.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the platform's services, shared by the client, the tool and the stand-in.
+//! JSON bodies of the platform's services, used by the client, `willowctl` and the stand-in.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -12,16 +12,16 @@
     pub name: SharedName,
     /// Revision of the store at which this value was written.
     pub version: u64,
-    /// Value; absent when the object was deleted.
+    /// Value; `None` if the object was deleted or never existed.
     pub value: Option<Value>,
 }
 
-/// Answer to a list or a watch.
+/// Response to a list or a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectList {
     /// Revision up to which the entries are complete.
     pub revision: u64,
-    /// Entries; of a watch, the changes after the revision that was asked from.
+    /// For a list, all objects; for a watch, the changes after the requested revision.
     pub entries: Vec<ObjectEntry>,
     /// Era of the objects, from the header of the response.
     #[serde(skip)]
@@ -39,78 +39,78 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PriceClass {
-    /// Cheaper, may be reclaimed on seconds of notice.
+    /// Cheaper; may be reclaimed with a few seconds' notice.
     Reclaimable,
-    /// Dearer, stays.
+    /// More expensive; is not reclaimed.
     OnDemand,
 }
 
-/// State of a VM as the lagging VM list shows it.
+/// State of a VM according to the VM list, which lags behind the actual state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// Runs.
+    /// The VM runs.
     Live,
-    /// Has a notice.
+    /// The VM has a reclaim notice.
     Leaving,
 }
 
-/// One line of the VM list.
+/// One entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmEntry {
     /// Identity of the VM; never used again for another one.
     pub id: SharedName,
-    /// Name the VM was started under.
+    /// Name given when the VM was started.
     pub name: SharedName,
-    /// Address its endpoint listens on; may return as another VM's.
+    /// Address its endpoint listens on; may later be reused by another VM.
     pub address: SharedName,
     /// Availability zone.
     pub zone: SharedName,
     /// How it is paid for.
     pub class: PriceClass,
-    /// Service it is an endpoint of; `entry` for an entry VM.
+    /// Service it is an endpoint of; `entry` for VMs that run entry daemons.
     pub service: SharedName,
-    /// State, late by the list's lag.
+    /// State, delayed by the list's lag.
     pub state: VmState,
 }
 
 /// Name of the service under which the VM list shows entry VMs.
 pub const ENTRY_SERVICE: &str = "entry";
 
-/// Answer of the VM list.
+/// Response with the VM list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmList {
     /// Grows with every change of the list.
     pub revision: u64,
-    /// All VMs that the list knows.
+    /// All VMs in the list.
     pub vms: Vec<VmEntry>,
     /// Era of the list, from the header of the response.
     #[serde(skip)]
     pub era: StoreEra,
 }
 
-/// Notice that a VM will be taken back.
+/// Notice that a VM will be reclaimed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReclaimNotice {
-    /// Running number of the notice.
+    /// Sequence number of the notice.
     pub sequence: u64,
     /// Identity of the VM.
     pub vm: SharedName,
-    /// Wall-clock time at which the VM goes, in milliseconds since 1970.
+    /// Wall-clock time at which the VM is reclaimed, in milliseconds since 1970.
     pub gone_at_ms: u64,
 }
 
-/// Answer to a request for notices.
+/// Response to a request for notices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NoticeList {
-    /// Notices after the sequence asked from.
+    /// Notices after the requested sequence number.
     pub notices: Vec<ReclaimNotice>,
     /// Era of the notices, from the header of the response.
     #[serde(skip)]
     pub era: StoreEra,
 }
 
-/// Order to start a VM; starting the same name twice starts one VM.
+/// Request to start a VM; a second start with the same name starts no second VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
     /// Name of the VM.
