--- a/src/native/options.rs
+++ b/src/native/options.rs
@@ -1,8 +1,8 @@
-//! Settings and table rows of the native interface: parsed, checked and merged with defaults
-//! in one place. The gateway's settings are the platform's (`platform::settings`).
+//! Settings and table rows of the native interface: parsing, validation and defaults. The
+//! gateway's settings are in `platform::settings`.
 //!
-//! Every problem of a file is reported at once, each naming the offending key, its
-//! value and what is allowed there.
+//! All problems of a file are reported together, each with the key, its value and what is allowed
+//! there.
 
 pub mod check;
 pub mod rows;
--- a/src/native/options/check.rs
+++ b/src/native/options/check.rs
@@ -1,4 +1,4 @@
-//! Reads fields of a JSON object and collects every error instead of the first.
+//! Reads the fields of a JSON object and collects all errors instead of stopping at the first.
 
 use std::{collections::BTreeSet, fmt::Debug, ops::RangeInclusive, str::FromStr};
 
@@ -16,9 +16,9 @@
 pub struct OptionError {
     /// Path of the key, such as `rows[2].weight`.
     pub key: String,
-    /// Offending value as JSON, or `(missing)`.
+    /// The value as JSON, or `(missing)`.
     pub value: String,
-    /// What may stand there.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// Reader of `value`, whose keys are reported under `prefix`.
+    /// Creates a reader of `value`; errors name its keys under `prefix`.
     pub fn new(value: &'a Value, prefix: &str) -> Result<Self, OptionError> {
         let object = value.as_object().ok_or_else(|| OptionError {
             key: if prefix.is_empty() { "(whole file)".into() } else { prefix.into() },
@@ -56,14 +56,14 @@
         self.seen.insert(key);
     }
 
-    /// Records that `key` holds something that is not allowed.
+    /// Records an error: the value of `key` is not allowed.
     pub fn reject(&mut self, key: &'static str, allowed: impl Into<String>) {
         let value = self.object.get(key).map_or("(missing)".into(), Value::to_string);
         let error = OptionError { key: self.path(key), value, allowed: allowed.into() };
         self.errors.push(error);
     }
 
-    /// Required text of at least one character.
+    /// Required name; see [`is_name`].
     pub fn name(&mut self, key: &'static str) -> SharedName {
         match self.get(key).and_then(Value::as_str) {
             Some(text) if is_name(text) => text.into(),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Required value that parses from text, such as an address.
+    /// Required value that is parsed from text, such as an address.
     pub fn parsed<T: FromStr + Clone + Debug>(
         &mut self,
         key: &'static str,
@@ -129,7 +129,7 @@
         })
     }
 
-    /// List of values that parse from text; absent means empty.
+    /// List of values that are parsed from text; empty when absent.
     pub fn parsed_list<T: FromStr>(&mut self, key: &'static str, allowed: &str) -> Vec<T> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let parsed = value.as_array().and_then(|items| {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Errors found, after adding one for each key that nothing has read.
+    /// Returns all errors, including one for each key that was never read.
     pub fn finish(mut self) -> Vec<OptionError> {
         for (key, value) in self.object {
             if !self.seen.contains(key.as_str()) {
--- a/src/native/options/rows.rs
+++ b/src/native/options/rows.rs
@@ -9,26 +9,26 @@
 use super::check::{FieldReader, OptionError};
 use crate::ids::SharedName;
 
-/// Fields of a row's object that mark who wrote it last; they are not part of the row.
+/// Fields of a row's object that identify its last write; they are not part of the row.
 pub const EDIT_FIELDS: [&str; 2] = ["edit_id", "applied"];
 /// Largest weight, share or limit that a row may hold. Documented in docs/native/settings.md.
 const LARGEST_LIMIT: f64 = 1e9;
 
-/// Allowed weights of an account.
+/// Allowed weight of an account.
 const WEIGHTS: RangeInclusive<f64> = 0.001..=LARGEST_LIMIT;
-/// Allowed numbers of VMs, and of requests at one endpoint: ten times the target of 10,000
-/// endpoints.
+/// Largest number of VMs, and of requests at one endpoint, that a row may hold: ten times the
+/// target of 10,000 endpoints.
 const LARGEST_COUNT: u64 = 100_000;
-/// Allowed targets in milliseconds: up to an hour.
+/// Allowed latency targets in milliseconds: up to an hour.
 const TARGETS_MS: RangeInclusive<f64> = 1.0..=3_600_000.0;
 /// Allowed costs and cost weights.
 const COSTS: RangeInclusive<f64> = 0.0..=1e6;
-/// Allowed chances that a zone's reclaimable VMs go within an hour.
+/// Allowed probabilities that all reclaimable VMs of a zone are reclaimed within an hour.
 const ZONE_LOSSES: RangeInclusive<f64> = 0.0..=0.25;
 /// Allowed times until lost VMs are replaced, in minutes: up to a day.
 const REPLACE_MINUTES: RangeInclusive<f64> = 0.1..=1_440.0;
 
-/// Values of keys that a service's row leaves out.
+/// Defaults of keys that a service's row leaves out.
 mod defaults {
     pub const CONCURRENCY: u64 = 32;
     pub const TARGET_MS: f64 = 560.0;
@@ -38,7 +38,7 @@
     pub const REPLACE_MINUTES: f64 = 6.0;
 }
 
-/// What a service's endpoints speak.
+/// Protocol of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServiceType {
@@ -53,38 +53,38 @@
 pub struct AccountRow {
     /// Name of the account.
     pub name: SharedName,
-    /// Bearer key that its clients present.
+    /// API key that its clients send as a bearer token.
     pub api_key: SharedName,
-    /// Relative weight when capacity is short.
+    /// Share of the capacity relative to other accounts when capacity is short.
     pub weight: f64,
-    /// Most tokens a second over all daemons; plain calls count as one token.
+    /// Limit in tokens a second over all daemons; a call to a plain service counts as one token.
     pub tokens_per_s: f64,
 }
 
 /// Row of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRow {
-    /// Name of the service; clients give it as the model or in the path.
+    /// Name of the service; clients send it as the model name or in the path.
     pub name: SharedName,
-    /// What its endpoints speak.
+    /// Protocol of its endpoints.
     pub service_type: ServiceType,
     /// Whether its calls may be retried.
     pub repeatable: bool,
-    /// Most requests one endpoint is given at a time.
+    /// Most requests in progress at one endpoint.
     pub concurrency: u32,
     /// Fewest VMs to hold.
     pub min_vms: u32,
     /// Most VMs to hold.
     pub max_vms: u32,
-    /// Target for the first token or the response, in milliseconds.
+    /// Latency target for the first token or the response, in milliseconds.
     pub target_ms: f64,
-    /// What a recomputed token weighs; 1 is 50,000 tokens to a cost unit.
+    /// Cost weight of recomputed tokens; at 1, 50,000 of them cost one cost unit.
     pub recompute_weight: f64,
     /// Cost of one VM missing for an hour while there is demand for it, in cost units.
     pub shortage_cost: f64,
-    /// Chance that a given zone's reclaimable VMs go within an hour.
+    /// Probability that all reclaimable VMs of a given zone are reclaimed within an hour.
     pub zone_loss_per_hour: f64,
-    /// Minutes until lost VMs are replaced; longer where starts are often refused.
+    /// Minutes until lost VMs are replaced; set it higher where VM starts are often refused.
     pub replace_minutes: f64,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl TableRow {
-    /// Name of the row's object, unique over both kinds.
+    /// Name of the row's object, unique across accounts and services.
     pub fn object_name(&self) -> String {
         match self {
             Self::Account(row) => format!("account.{}", row.name),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Checks `value` as a row; `prefix` heads the keys in errors.
+    /// Parses and validates `value` as a row; errors name its keys under `prefix`.
     pub fn parse(value: &Value, prefix: &str) -> Result<Self, Vec<OptionError>> {
         let mut reader = FieldReader::new(value, prefix).map_err(|error| vec![error])?;
         let is_account = reader.choice("kind", &[("service", false), ("account", true)]);
@@ -165,7 +165,7 @@
     row
 }
 
-/// Checks a whole table given as a JSON list of rows.
+/// Parses and validates a whole table, a JSON list of rows.
 pub fn parse_table(value: &Value) -> Result<Vec<TableRow>, Vec<OptionError>> {
     let Some(items) = value.as_array() else {
         let shown = value.to_string();
@@ -183,7 +183,7 @@
     if errors.is_empty() { Ok(rows) } else { Err(errors) }
 }
 
-/// The table as requests see it: immutable, replaced whole when a row changes.
+/// Immutable copy of the table that requests read; a new one replaces it when a row changes.
 #[derive(Clone, Debug, Default)]
 pub struct TableSnapshot {
     accounts: HashMap<SharedName, Arc<AccountRow>>,
@@ -192,7 +192,7 @@
 }
 
 impl TableSnapshot {
-    /// Snapshot of `rows`.
+    /// Creates a snapshot of `rows`.
     pub fn new(rows: impl IntoIterator<Item = TableRow>) -> Self {
         let mut snapshot = Self::default();
         for row in rows {
@@ -210,17 +210,17 @@
         snapshot
     }
 
-    /// Account of that name.
+    /// Account with this name.
     pub fn account(&self, name: &str) -> Option<Arc<AccountRow>> {
         self.accounts.get(name).cloned()
     }
 
-    /// Account that presents `api_key`.
+    /// Account with this API key.
     pub fn account_by_key(&self, api_key: &str) -> Option<Arc<AccountRow>> {
         self.accounts_by_key.get(api_key).cloned()
     }
 
-    /// Service of that name.
+    /// Service with this name.
     pub fn service(&self, name: &str) -> Option<Arc<ServiceRow>> {
         self.services.get(name).cloned()
     }
@@ -235,7 +235,7 @@
         self.services.values()
     }
 
-    /// Whether no row is known: then nothing can be served.
+    /// Whether no row is known; no request can be served then.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty() && self.services.is_empty()
     }
--- a/src/native/options/settings.rs
+++ b/src/native/options/settings.rs
@@ -12,70 +12,70 @@
 use super::check::{FieldReader, OptionError};
 use crate::ids::SharedName;
 
-/// How much the daemon logs.
+/// Lowest level of lines that are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Everything that a developer may want.
+    /// Everything, for debugging.
     Debug,
-    /// What an operator wants on an ordinary day.
+    /// Normal operation.
     Info,
     /// Only what needs attention.
     Warn,
 }
 
-/// Checked settings of one daemon.
+/// Validated settings of one daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
-    /// Name of the deployment; peers of another one are refused.
+    /// Name of the deployment; connections from daemons of another one are refused.
     pub deployment: SharedName,
     /// Availability zone this daemon runs in.
     pub zone: SharedName,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub caller_address: SocketAddr,
-    /// Where operators connect.
+    /// Listening address for operators.
     pub admin_address: SocketAddr,
-    /// Where other daemons connect.
+    /// Listening address for other daemons.
     pub peer_address: SocketAddr,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub object_api: SocketAddr,
-    /// The platform's cloud API and VM list.
+    /// Address of the platform's cloud API and VM list.
     pub cloud_api: SocketAddr,
-    /// Other daemons to try first; the VM list adds more.
+    /// Peer addresses of daemons to contact at start; more are found in the VM list.
     pub seeds: Vec<SocketAddr>,
-    /// Copies of each request kept by daemons in other availability zones.
+    /// Number of copies of each request kept by daemons in other availability zones.
     pub copies: usize,
     /// Longest time a planned stop waits for requests.
     pub drain: Duration,
-    /// How long a final response is kept for a client that asks again.
+    /// How long a final response is kept for clients that repeat the request.
     pub answer_keep: Duration,
-    /// How long a request goes on after its client's connection broke.
+    /// How long a request continues after its client's connection broke.
     pub resume_grace: Duration,
     /// Longest wait for the first token or the response of one attempt.
     pub first_token_timeout: Duration,
-    /// Longest wait between tokens before a stream is moved.
+    /// Longest wait for the next token before a stream is moved to another endpoint.
     pub token_timeout: Duration,
     /// Most requests in progress at once.
     pub request_limit: usize,
-    /// How much to log.
+    /// Log level.
     pub log_level: LogLevel,
 }
 
-/// Stands for an address that was rejected; the error keeps the settings from being used.
+/// Placeholder for an address that was rejected; `parse` then returns errors instead of settings.
 const UNSET: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
-/// What errors say is allowed for an address.
+/// Description of an allowed address, for errors.
 const ADDRESS: &str = "an IP address and port such as 127.0.0.1:8080";
 /// Names of the log levels; the first is the default.
 const LEVELS: [(&str, LogLevel); 3] =
     [("info", LogLevel::Info), ("debug", LogLevel::Debug), ("warn", LogLevel::Warn)];
 
-/// Durations may be set from 1 ms to this, in milliseconds: a day.
+/// Allowed durations in milliseconds: up to a day.
 const DURATION_MS: RangeInclusive<u64> = 1..=86_400_000;
-/// Allowed numbers of copies of a request: docs/design/copies.md has what each costs.
+/// Allowed numbers of copies of a request; docs/design/copies.md has the cost of each.
 const COPIES: RangeInclusive<u64> = 0..=3;
 /// Allowed limits of requests in progress.
 const REQUESTS: RangeInclusive<u64> = 1..=1_000_000;
 
-/// Values of keys that a file leaves out.
+/// Defaults of keys that a file leaves out.
 mod defaults {
     pub const COPIES: u64 = 2;
     pub const DRAIN_MS: u64 = 600_000;
@@ -87,7 +87,7 @@
 }
 
 impl DaemonSettings {
-    /// Checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     pub fn parse(text: &str) -> Result<Self, Vec<OptionError>> {
         let value: Value = serde_json::from_str(text).map_err(|error| {
             let allowed = "well-formed JSON".into();
