--- a/src/native/daemon.rs
+++ b/src/native/daemon.rs
@@ -1,6 +1,5 @@
-//! Assembles one daemon of the native path: registers its services, starts them, and runs them
-//! until it stops (`shutdown`). The gateway's daemon is `gateway::daemon`; `willowarchd` runs
-//! one or the other.
+//! One daemon of the native interface: registers its services, starts them, and runs them until
+//! the daemon stops (`shutdown`). `willowarchd` runs either this daemon or `gateway::daemon`.
 
 mod shutdown;
 
@@ -47,11 +46,12 @@
     metrics::MetricsHandle,
 };
 
-/// Bytes of request records and copies that one daemon keeps. Responses are kept for a minute and a
-/// half at the target load.
+/// Limit of the memory for request records and copies, in bytes. At the target load it holds the
+/// responses of 90 seconds.
 const RECORD_BYTES_LIMIT: usize = 64 * 1024 * 1024;
 /// Name of the peer listener's service.
 const PEER_LISTENER: &str = "peer-listener";
+
 /// Listeners of one daemon.
 struct DaemonListeners {
     clients: TcpListener,
@@ -69,7 +69,7 @@
     limits: ServiceInbox<limit_service::LimitMessage>,
 }
 
-/// Sending ends of what the cluster service publishes.
+/// Senders of the values that the cluster service publishes.
 struct PublishedViews {
     table: watch::Sender<Arc<TableSnapshot>>,
     members: watch::Sender<Rc<MemberList>>,
@@ -90,8 +90,10 @@
         members: watch::Sender::new(Rc::default()),
         own_notice: watch::Sender::new(None),
     };
-    // All names were registered above; finding them cannot fail.
-    let context = Rc::new(assemble(settings, kernel.handle(), &views).expect("registered"));
+    // Cannot fail: all names were registered above.
+    let context = Rc::new(
+        assemble(settings, kernel.handle(), &views).expect("service names were registered"),
+    );
     start(&mut kernel, &context, inboxes, listeners, views);
     let detail = format!("zone {}", context.identity.zone);
     context.note_subject(EventKind::Phase, &context.identity.address, format!("running, {detail}"));
--- a/src/native/daemon/shutdown.rs
+++ b/src/native/daemon/shutdown.rs
@@ -1,8 +1,8 @@
-//! Takes one daemon down without losing what it runs.
+//! Shuts a daemon down without losing the requests in progress.
 //!
-//! Decides when the daemon stops: as soon as nothing is in progress after a drain or a signal,
-//! at the latest after the drain time of its settings; after a reclaim notice of its own VM, a
-//! margin before the VM goes. A notice that comes during a drain shortens it.
+//! After a drain command or SIGTERM the daemon stops as soon as nothing is in progress, at the
+//! latest after the drain time from the settings. After a reclaim notice for its own VM it stops
+//! at the latest a margin before the VM is reclaimed, also if the notice comes during a drain.
 
 use std::{rc::Rc, time::Duration};
 
@@ -25,16 +25,16 @@
 
 /// Name of the service.
 pub const NAME: &str = "leaver";
-/// Time for the announcement of leaving to reach the peers before the daemon ends: three times what
-/// a change takes to reach a large fleet.
+/// Time for the leave announcement to reach the peers before the daemon ends: three times as long
+/// as a change takes to reach a large fleet.
 const LEAVE_SPREAD_TIME: Duration = Duration::from_millis(500);
-/// Part of a notice kept free for handing off: twice the time for the announcement.
+/// Time before the reclaim that is reserved for handing requests off: twice the announcement's
+/// time.
 const HANDOFF_MARGIN: Duration = Duration::from_millis(1_000);
-/// Time between checks whether anything is in progress: short beside the drain time.
+/// Interval of the checks whether anything is in progress: short compared to the drain time.
 const IDLE_CHECK_EVERY: Duration = Duration::from_millis(20);
 
-/// Takes the daemon down: after a drain by operators or a signal, as soon as nothing
-/// is in progress; after a notice, before its VM goes.
+/// Waits for a drain command, SIGTERM or a reclaim notice, then drains and stops the daemon.
 pub async fn run(
     context: Rc<ServeContext>,
     mut own_notice: watch::Receiver<Option<ReclaimNotice>>,
@@ -54,11 +54,11 @@
         address,
         format!("draining, {} active", context.active.get()),
     );
-    // If the cluster service is overloaded, peers notice when their probes fail.
+    // If the cluster service is overloaded, peers only find out when their probes fail.
     let _ = context.cluster.send(ClusterMessage::Event(ClusterEvent::Leave));
     let deadline = tokio::select! {
         () = wait_until_idle(&context, deadline) => deadline,
-        // A notice may come while a planned stop waits for its requests.
+        // A reclaim notice may come while a planned stop waits for requests to end.
         earlier = notice_deadline(&mut own_notice) => {
             let deadline = deadline.min(earlier);
             wait_until_idle(&context, deadline).await;
@@ -78,7 +78,7 @@
             signal.recv().await;
         }
         Err(error) => {
-            spdlog::error!("no signal handler: {}", error, kv: { service = NAME });
+            spdlog::error!("SIGTERM handler not installed: {}", error, kv: { service = NAME });
             std::future::pending().await
         }
     }
@@ -101,11 +101,11 @@
     }
 }
 
-/// Brings the copies of what still runs up to date. Clients whose connections close
-/// then ask any other daemon, which takes over from a copy.
+/// Sends the latest state of running requests to the daemons that keep copies. Clients whose
+/// connections close then reconnect to any other daemon, which takes the request over from a copy.
 async fn hand_off(context: &Rc<ServeContext>, deadline: Instant) {
     let running = context.requests.ask(|reply| RequestMessage::Running { reply }).await;
-    // If the store is overloaded, the copies that partners have must do.
+    // If the store is overloaded, partners only have the copies sent earlier.
     let running = running.unwrap_or_default();
     if running.is_empty() {
         return;
@@ -118,6 +118,7 @@
     let partners = context.partner_targets(own, context.settings.copies);
     let offers = partners.iter().map(|partner| context.pool.append(partner, &running));
     let limit = deadline.saturating_duration_since(Instant::now()).max(LEAVE_SPREAD_TIME);
-    // What a partner does not take in time, it has from the copier up to 100 ms before.
+    // A partner that does not accept this in time still has the copier's last update, which is at
+    // most 100 ms old.
     let _ = timeout(limit, join_all(offers)).await;
 }
--- a/src/native/endpoint/sse.rs
+++ b/src/native/endpoint/sse.rs
@@ -1,10 +1,11 @@
-//! Decodes server-sent events chunk by chunk, as engines of the native interface stream them.
-//! The gateway passes events on whole and only finds their ends (`gateway::request`).
+//! Incremental decoder of server-sent events, for the streams of the native interface's engines.
+//! The gateway forwards events unchanged and only looks for their ends (`gateway::request`).
 
-/// Longest event accepted, in bytes: bounds what a faulty engine can make this process hold.
+/// Longest event accepted, in bytes: bounds the memory that a faulty engine can make this process
+/// use.
 const EVENT_LIMIT: usize = 256 * 1024;
 
-/// The stream is not well-formed.
+/// The stream is malformed.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error, PartialEq, Eq)]
 pub enum EventError {
     /// An event is longer than the limit.
@@ -15,7 +16,7 @@
     NotText,
 }
 
-/// Decoder that keeps what has arrived of the next event.
+/// Decoder that buffers incomplete events.
 #[derive(Debug, Default)]
 pub struct EventDecoder {
     buffer: Vec<u8>,
@@ -23,7 +24,7 @@
 }
 
 impl EventDecoder {
-    /// Reads the next bytes; returns the data of each event completed by them.
+    /// Decodes the next bytes; returns the data of each event that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<String>, EventError> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -51,7 +52,7 @@
             }
             return;
         }
-        // The other fields (event, id, retry, comments) are not used.
+        // The other fields (event, id, retry) and comments are not used.
         if let Some(data) = line.strip_prefix("data:") {
             if !self.data.is_empty() {
                 self.data.push('\n');
