--- a/src/bin/willowctl.rs
+++ b/src/bin/willowctl.rs
@@ -180,8 +180,8 @@
     match command {
         flags::TableCmd::Get(get) => table::show_rows(client, get.name.as_deref(), format),
         flags::TableCmd::Set(set) => table::set_fields(client, &set.name, &set.field, format),
-        flags::TableCmd::Out(out) => table::write_out(client, &out.file, format),
-        flags::TableCmd::Edit(edit) => table::read_in(client, &edit.file, format),
+        flags::TableCmd::Out(out) => table::export_table(client, &out.file, format),
+        flags::TableCmd::Edit(edit) => table::import_table(client, &edit.file, format),
     }
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,8 @@
-//! The operators' tool `willowctl`. Its commands (`commands`) print through `output`; the
-//! other modules do the work: edits of the native interface's table (`table`, `declaration`,
-//! `spreadsheet`), views of daemons (`views`, `gateway`), and calls to both (`calls`).
+//! The operators' tool `willowctl`. The commands (`commands`) print through `output` and use the
+//! other modules: edits of the native interface's table (`table`, `declaration`, `spreadsheet`),
+//! the state of daemons (`views`, `gateway`), and the HTTP calls for both (`calls`).
 //!
-//! The tool runs one command and ends, so its calls block.
+//! The tool runs one command and exits, so its calls block.
 
 pub mod calls;
 pub mod commands;
--- a/src/control/calls.rs
+++ b/src/control/calls.rs
@@ -1,6 +1,6 @@
-//! Blocking calls to the object API and to daemons' operators' ports, over `ureq`: the tool
-//! asks one thing at a time and needs no runtime. The daemons' own client is
-//! `http::client`; errors are the same.
+//! Blocking calls to the object API and to the operators' ports of daemons, over `ureq`: the tool
+//! makes one call at a time and needs no async runtime. The daemons use `http::client`; both
+//! return the same errors.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,7 +13,7 @@
     native::cloud_api::messages::{ObjectEntry, ObjectList, WriteReceipt},
 };
 
-/// Longest wait for a response, in which an operator may watch the tool do nothing.
+/// Longest wait for a response; an operator waits this long without any output.
 const CALL_LIMIT: Duration = Duration::from_secs(5);
 
 /// Client for the tool's calls.
@@ -42,7 +42,7 @@
     let error = |cause| StepError::new(step, peer.to_string(), cause);
     let mut response = result.map_err(|cause| error(to_cause(&cause)))?;
     let status = response.status();
-    // A conditional write lost against another.
+    // Another write changed the version that this write was conditional on.
     if status == StatusCode::PRECONDITION_FAILED {
         return Err(error(FailureCause::Conflict));
     }
@@ -78,7 +78,7 @@
         decode(step, peer, self.agent.get(format!("http://{peer}{path}")).call())
     }
 
-    /// Posts to a daemon's operators' port.
+    /// Sends a `POST` without a body to a daemon's operators' port.
     pub fn post(
         &self,
         step: &'static str,
@@ -88,7 +88,7 @@
         decode(step, peer, self.agent.post(format!("http://{peer}{path}")).send_empty())
     }
 
-    /// Deletes something at a daemon's operators' port.
+    /// Sends a `DELETE` to a daemon's operators' port.
     pub fn delete(
         &self,
         step: &'static str,
@@ -108,8 +108,8 @@
         self.get("list objects", api, &format!("/objects/{kind}"))
     }
 
-    /// Writes (`Some`) or deletes an object that is at `version`; 0 means absent. Fails with
-    /// `FailureCause::Conflict` if it is at another one.
+    /// Writes (`Some`) or deletes (`None`) an object, on condition that its version is `version`; 0
+    /// means that it does not exist. Fails with `FailureCause::Conflict` if the version differs.
     pub fn write(
         &self,
         api: SocketAddr,
--- a/src/control/commands.rs
+++ b/src/control/commands.rs
@@ -1,4 +1,4 @@
-//! The tool's commands, a function each: they read files, make the calls and print.
+//! The tool's commands, one function each: they read files, make the calls and print results.
 
 pub mod daemons;
 pub mod gateway;
--- a/src/control/commands/daemons.rs
+++ b/src/control/commands/daemons.rs
@@ -1,4 +1,4 @@
-//! Commands about daemons of the native interface: status, drain, time line, settings.
+//! Commands for daemons of the native interface: status, drain, timeline, settings.
 
 use std::{net::SocketAddr, path::Path, process::ExitCode};
 
@@ -14,7 +14,7 @@
     native::options::settings::DaemonSettings,
 };
 
-/// Shows the status of each daemon; fails at the first that cannot be asked.
+/// Shows the status of each daemon; fails at the first call that fails.
 pub fn show_status(daemons: &[SocketAddr], format: OutputFormat) -> CommandResult {
     let client = ControlClient::default();
     for daemon in daemons {
@@ -24,7 +24,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Drains each daemon; fails at the first that cannot be asked.
+/// Drains each daemon; fails at the first call that fails.
 pub fn drain(daemons: &[SocketAddr], format: OutputFormat) -> CommandResult {
     let client = ControlClient::default();
     for daemon in daemons {
@@ -34,8 +34,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Shows the events of all daemons about `subject` (all events if it is empty). Daemons that
-/// cannot be asked are named on standard error and change the exit code.
+/// Shows the events of all daemons about `subject` (all events if it is empty). Daemons whose
+/// events cannot be read are reported on standard error and change the exit code.
 pub fn show_timeline(daemons: &[SocketAddr], subject: &str, format: OutputFormat) -> CommandResult {
     let merged = views::read_timeline(&ControlClient::default(), daemons, subject);
     for event in &merged.events {
@@ -44,11 +44,11 @@
     for error in &merged.missing {
         eprintln!("willowctl: {error}");
     }
-    let whole = merged.missing.is_empty();
-    Ok(if whole { ExitCode::SUCCESS } else { ExitCode::from(EXIT_UNAVAILABLE) })
+    let complete = merged.missing.is_empty();
+    Ok(if complete { ExitCode::SUCCESS } else { ExitCode::from(EXIT_UNAVAILABLE) })
 }
 
-/// Checks a daemon's settings file; names every error.
+/// Checks a daemon's settings file and reports all errors.
 pub fn check_settings(path: &Path, format: OutputFormat) -> CommandResult {
     match DaemonSettings::parse(&read_file(path)?) {
         Ok(_) => {
--- a/src/control/commands/gateway.rs
+++ b/src/control/commands/gateway.rs
@@ -15,7 +15,7 @@
     output::{CommandFailure, CommandResult, EXIT_INVALID, OutputFormat},
 };
 
-/// Shows the state of each daemon; fails at the first that cannot be asked.
+/// Shows the state of each daemon; fails at the first call that fails.
 pub fn show_state(daemons: &[SocketAddr], format: OutputFormat) -> CommandResult {
     let client = ControlClient::default();
     for daemon in daemons {
@@ -47,7 +47,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Ends the quarantine of the request `fingerprint` at a daemon, which tells the others.
+/// Ends the quarantine of the request `fingerprint` at a daemon, which informs the other daemons.
 pub fn end_quarantine(
     fingerprint: &str,
     daemon: SocketAddr,
@@ -58,12 +58,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Shows the lines about the request `id` in the log `files`, in order of time.
+/// Shows the lines about the request `id` in the log `files`, ordered by timestamp.
 pub fn show_trace(id: &str, files: &[PathBuf], format: OutputFormat) -> CommandResult {
     let logs: Result<Vec<String>, _> = files.iter().map(|file| read_file(file)).collect();
     let lines = gateway::trace_request(id, &logs?);
     if lines.is_empty() {
-        let message = format!("{id}: in none of these logs");
+        let message = format!("{id}: not found in these logs");
         return Err(CommandFailure::new(EXIT_INVALID, message));
     }
     for line in &lines {
@@ -79,7 +79,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Checks a configuration; what operators hardly mean is an error too.
+/// Checks a configuration; parts that are valid but probably mistakes are errors too.
 pub fn check_configuration(path: &Path, format: OutputFormat) -> CommandResult {
     let problems = gateway::check_configuration(&read_file(path)?)?;
     if !problems.is_empty() {
--- a/src/control/commands/table.rs
+++ b/src/control/commands/table.rs
@@ -1,4 +1,4 @@
-//! Commands about the table: rows, spreadsheet files, declarations.
+//! Commands for the table: rows, spreadsheet files, declarations.
 
 use std::{path::Path, process::ExitCode};
 
@@ -6,13 +6,13 @@
 
 use super::read_file;
 use crate::control::{
-    declaration::{self, ApplyScope, MARK, RowChange},
+    declaration::{self, ApplyScope, DIGEST_FIELD, RowChange},
     output::{CommandFailure, CommandResult, EXIT_DIFFERENT, EXIT_INVALID, OutputFormat},
     spreadsheet,
     table::{EditError, TableClient, plain_row},
 };
 
-/// Shows one row, or all.
+/// Shows one row, or all rows.
 pub fn show_rows(table: &TableClient, name: Option<&str>, format: OutputFormat) -> CommandResult {
     let rows = match name {
         None => table.list()?,
@@ -44,26 +44,28 @@
             let message = format!("{field}: allowed: KEY=VALUE");
             return Err(CommandFailure::new(EXIT_INVALID, message));
         };
-        // What is no JSON is text; the check of the row names it where text is not allowed.
+        // A value that is not JSON is taken as text; the validation of the row reports it where
+        // text is not allowed.
         value[key] = serde_json::from_str(text).unwrap_or_else(|_| json!(text));
     }
-    // A declaration's mark stays as it was, so that `apply` sees this edit.
-    let marks = value.get(MARK).map_or(json!({}), |mark| json!({ MARK: mark }));
-    let version = table.write(&value, entry.version, &marks)?;
+    // Keeps the digest of the last applied declaration, so that `apply` detects this edit.
+    let applied =
+        value.get(DIGEST_FIELD).map_or(json!({}), |digest| json!({ DIGEST_FIELD: digest }));
+    let version = table.write(&value, entry.version, &applied)?;
     format.print(&json!({ "version": version }), &format!("{name} is now version {version}"));
     Ok(ExitCode::SUCCESS)
 }
 
 /// Writes the table to a spreadsheet file.
-pub fn write_out(table: &TableClient, path: &Path, format: OutputFormat) -> CommandResult {
-    let rows = spreadsheet::write_out(table, path)?;
-    format.print(&json!({ "rows": rows }), &format!("{rows} rows written out"));
+pub fn export_table(table: &TableClient, path: &Path, format: OutputFormat) -> CommandResult {
+    let rows = spreadsheet::export_table(table, path)?;
+    format.print(&json!({ "rows": rows }), &format!("{rows} rows exported"));
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads an edited spreadsheet file in.
-pub fn read_in(table: &TableClient, path: &Path, format: OutputFormat) -> CommandResult {
-    let names = spreadsheet::read_in(table, path)?;
+/// Writes the changes of an edited spreadsheet file to the table.
+pub fn import_table(table: &TableClient, path: &Path, format: OutputFormat) -> CommandResult {
+    let names = spreadsheet::import_table(table, path)?;
     let text = format!("{} rows changed: {}", names.len(), names.join(", "));
     format.print(&json!({ "changed": names }), &text);
     Ok(ExitCode::SUCCESS)
--- a/src/control/declaration.rs
+++ b/src/control/declaration.rs
@@ -1,9 +1,9 @@
-//! Declarations: the table as a JSON file under version control, compared with the table and
-//! applied to it.
+//! Declarations: JSON files with the rows that the table should have, for keeping the table under
+//! version control. A declaration is compared with the table and applied to it.
 //!
-//! Each row that is applied carries a mark: the digest of what was applied. A row whose
-//! content no longer matches its mark was changed by somebody else since, and applying
-//! stops there instead of overwriting the change.
+//! Each applied row stores the digest of what was applied. A row whose content no longer matches
+//! its digest was changed by somebody else since, and applying stops there instead of overwriting
+//! the change.
 
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -12,30 +12,30 @@
 use super::table::{EditError, RowConflict, TableClient, plain_row};
 use crate::native::options::rows::{TableRow, parse_table};
 
-/// Field that holds the mark.
-pub const MARK: &str = "applied";
+/// Field of a row with the digest of the applied content.
+pub const DIGEST_FIELD: &str = "applied";
 
 /// What applying a declaration does to one row.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "change")]
 pub enum RowChange {
-    /// It is as declared.
+    /// Nothing: the row is as declared.
     Same {
         /// Row.
         name: String,
     },
-    /// It does not exist yet.
+    /// Creates the row.
     Create {
         /// Row.
         name: String,
         /// Declared.
         to: Value,
     },
-    /// It differs.
+    /// Changes the row, which differs from the declaration.
     Update {
         /// Row.
         name: String,
-        /// As it is.
+        /// Current content.
         from: Value,
         /// Declared.
         to: Value,
@@ -44,7 +44,7 @@
         /// Whether somebody else changed it since it was applied.
         changed_since: bool,
     },
-    /// It is not declared.
+    /// Deletes the row, which is not declared, if `ApplyScope::prune` is set.
     Undeclared {
         /// Row.
         name: String,
@@ -58,7 +58,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Row with all defaults filled in, so that rows compare by meaning.
+/// Row as JSON with all defaults filled in, so that rows that mean the same compare equal.
 fn normal_form(row: &TableRow) -> Value {
     // Cannot fail: a row has only text, numbers and flags.
     serde_json::to_value(row).unwrap_or_default()
@@ -78,13 +78,13 @@
         let change = match found.map(|index| current.swap_remove(index)) {
             None => RowChange::Create { name, to },
             Some(entry) => {
-                // A list holds no deleted rows; one would count as changed since.
+                // Never `None`: a list has no deleted rows.
                 let value = entry.value.unwrap_or_default();
                 let from = plain_row(&value);
                 if from == to {
                     RowChange::Same { name }
                 } else {
-                    let changed_since = value[MARK].as_str() != Some(&digest(&from));
+                    let changed_since = value[DIGEST_FIELD].as_str() != Some(&digest(&from));
                     RowChange::Update { name, from, to, version: entry.version, changed_since }
                 }
             }
@@ -99,7 +99,7 @@
     Ok(changes)
 }
 
-/// How far applying may go.
+/// What applying a declaration may do beyond creating and updating rows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ApplyScope {
     /// Overwrite rows that somebody else changed since.
@@ -119,7 +119,7 @@
         match change {
             RowChange::Same { .. } => {}
             RowChange::Create { to, .. } => {
-                table.write(to, 0, &json!({ MARK: digest(to) }))?;
+                table.write(to, 0, &json!({ DIGEST_FIELD: digest(to) }))?;
                 written += 1;
             }
             RowChange::Update { name, from, to, version, changed_since } => {
@@ -131,7 +131,7 @@
                         version: *version,
                     })));
                 }
-                table.write(to, *version, &json!({ MARK: digest(to) }))?;
+                table.write(to, *version, &json!({ DIGEST_FIELD: digest(to) }))?;
                 written += 1;
             }
             RowChange::Undeclared { name, version } if scope.prune => {
--- a/src/control/gateway.rs
+++ b/src/control/gateway.rs
@@ -1,5 +1,5 @@
-//! Views of gateway daemons and checks of their files: state, traces from logs, settings,
-//! configuration.
+//! State of gateway daemons, traces of requests from their logs, and checks of their settings and
+//! configuration files.
 
 use std::net::SocketAddr;
 
@@ -26,7 +26,7 @@
     client.get("read state", daemon, "/state")
 }
 
-/// Ends the quarantine of a request at a daemon, which tells the others.
+/// Ends the quarantine of a request at a daemon, which informs the other daemons.
 pub fn end_quarantine(
     client: &ControlClient,
     daemon: SocketAddr,
@@ -36,7 +36,7 @@
     client.delete("end quarantine", daemon, &path).map(drop)
 }
 
-/// Lines about the requests that a daemon refuses because they crash endpoints.
+/// Renders the requests that a daemon refuses because they crash endpoints, one a line.
 pub fn render_quarantined(state: &GatewayState) -> String {
     let line = |one: &QuarantinedState| {
         format!(
@@ -51,19 +51,19 @@
     }
 }
 
-/// Lines about the endpoints that a daemon sends fewer requests than others.
+/// Renders the endpoints that a daemon sends fewer requests than others, one a line.
 pub fn render_endpoints(state: &GatewayState) -> String {
     let line = |one: &RestrictedState| {
         format!("{} {} {}: {}", state.name, one.service, one.endpoint, one.reasons.join("; "))
     };
     let lines: Vec<String> = state.endpoints_restricted.iter().map(line).collect();
     match lines.is_empty() {
-        true => format!("{}: all endpoints are sent requests alike", state.name),
+        true => format!("{}: no endpoint is restricted", state.name),
         false => lines.join("\n"),
     }
 }
 
-/// One line about a daemon's state.
+/// Renders a daemon's state on one line.
 pub fn render_state(state: &GatewayState) -> String {
     let age = |age: Option<u64>| age.map_or("never".to_owned(), |age| format!("{age} ms"));
     let ready = if state.ready { "ready" } else { "not ready" };
@@ -98,7 +98,7 @@
     platform::settings::parse(text).map(drop).map_err(|error| FileProblem(error.to_string()))
 }
 
-/// Checks the text of a configuration; returns what operators hardly mean.
+/// Checks the text of a configuration. Returns the parts that are valid but probably mistakes.
 pub fn check_configuration(text: &str) -> Result<Vec<String>, FileProblem> {
     let decoded = platform::configuration::decode(text.as_bytes());
     let configuration = decoded.map_err(|error| FileProblem(error.to_string()))?;
@@ -106,13 +106,13 @@
     Ok(problems.iter().map(ToString::to_string).collect())
 }
 
-/// Lines of logs about one request, in the order of their times.
+/// Returns the log lines about one request, ordered by timestamp.
 pub fn trace_request(id: &str, logs: &[String]) -> Vec<Value> {
     let lines = logs.iter().flat_map(|text| text.lines());
     let mut found: Vec<Value> = lines
         .filter(|line| line.contains(id))
-        // Log collectors may put a host or a time before the object. Lines that are no JSON
-        // are not ours.
+        // Log collectors may put a host name or a time before the JSON object. Lines without JSON
+        // are not from a daemon.
         .filter_map(|line| serde_json::from_str(&line[line.find('{')?..]).ok())
         .filter(|line: &Value| line["kv"]["id"] == id)
         .collect();
@@ -120,7 +120,7 @@
     found
 }
 
-/// One line of a trace, for reading.
+/// Renders one log line of a trace as text.
 pub fn render_line(line: &Value) -> String {
     let fields = line["kv"].as_object().into_iter().flatten();
     let shown: Vec<String> = fields.map(|(key, value)| format!("{key}={value}")).collect();
--- a/src/control/output.rs
+++ b/src/control/output.rs
@@ -1,4 +1,4 @@
-//! How the tool's commands end and what they print.
+//! Output, failures and exit codes of the tool's commands.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 
 /// Exit code of `diff` when there are differences.
 pub const EXIT_DIFFERENT: u8 = 1;
-/// Exit code for an edit that lost against another.
+/// Exit code for an edit that conflicts with somebody else's edit.
 pub const EXIT_CONFLICT: u8 = 3;
 /// Exit code for input that is not allowed.
 pub const EXIT_INVALID: u8 = 64;
@@ -20,14 +20,14 @@
 /// How a command's results are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// One JSON value a line.
+    /// One JSON value per line.
     Json,
 }
 
 impl OutputFormat {
-    /// Prints one result, in the form that was chosen.
+    /// Prints one result in this format.
     pub fn print(self, value: &Value, text: &str) {
         match self {
             Self::Text => println!("{text}"),
@@ -52,12 +52,12 @@
 pub struct CommandFailure {
     /// Exit code.
     pub code: u8,
-    /// What to tell the operator.
+    /// Message for the operator.
     pub message: String,
 }
 
 impl CommandFailure {
-    /// Failure with an exit code.
+    /// Creates a failure.
     pub fn new(code: u8, message: impl ToString) -> Self {
         Self { code, message: message.to_string() }
     }
@@ -86,5 +86,5 @@
     }
 }
 
-/// How a command ended; the exit code is not always 0 on success (`diff`, `timeline`).
+/// Result of a command; the exit code of `Ok` is not always 0 (`diff`, `timeline`).
 pub type CommandResult = Result<ExitCode, CommandFailure>;
--- a/src/control/spreadsheet.rs
+++ b/src/control/spreadsheet.rs
@@ -1,5 +1,5 @@
-//! The table as a spreadsheet file (CSV): written out, edited by an operator, and read in
-//! again row by row, each on condition that it still has the version it was written with.
+//! Export of the table to a spreadsheet file (CSV), and import of the file after an operator edited
+//! it. Each row is written on condition that it still has the version that was exported.
 
 use std::path::Path;
 
@@ -8,13 +8,13 @@
 use super::table::{EditError, RowConflict, TableClient, plain_row};
 use crate::native::{cloud_api::messages::ObjectEntry, options::rows::TableRow};
 
-/// Column that holds the version a row had when it was written out; 0 for new rows.
+/// Column with the version that a row had when it was exported; 0 for new rows.
 const VERSION: &str = "version";
-/// Column for the operator's own remarks; not read in.
+/// Column for the operator's own remarks; ignored by the import.
 const NOTE: &str = "note";
-/// Columns whose cells are text, also where they look like numbers.
+/// Columns whose cells are text even if they look like numbers.
 const TEXT_COLUMNS: [&str; 4] = ["kind", "name", "api_key", "service_type"];
-/// Columns, in the order in which operators want them.
+/// All columns, in the order of the file.
 const COLUMNS: [&str; 17] = [
     VERSION,
     "kind",
@@ -47,13 +47,13 @@
     }
 }
 
-/// Writes the table to a file.
-pub fn write_out(table: &TableClient, path: &Path) -> Result<usize, EditError> {
+/// Writes the table to a file; returns the number of rows.
+pub fn export_table(table: &TableClient, path: &Path) -> Result<usize, EditError> {
     let rows = table.list()?;
     let mut writer = csv::Writer::from_path(path).map_err(|error| file_error(path, error))?;
     writer.write_record(COLUMNS).map_err(|error| file_error(path, error))?;
     for row in &rows {
-        // A list holds no deleted rows; one would be a line of empty cells.
+        // Never `None`: a list has no deleted rows.
         let value = row.value.clone().unwrap_or_default();
         let cells = COLUMNS.map(|column| match column {
             VERSION => row.version.to_string(),
@@ -78,8 +78,8 @@
     if TEXT_COLUMNS.contains(&column) {
         return Some(json!(text));
     }
-    // What is neither a number nor a truth value is kept as text, for the check of the row to
-    // name it.
+    // A cell that is neither a number nor a boolean is kept as text; the validation of the row then
+    // reports it.
     let lower = text.to_ascii_lowercase();
     Some(serde_json::from_str(&lower).unwrap_or_else(|_| json!(text)))
 }
@@ -108,10 +108,10 @@
     Ok(rows)
 }
 
-/// Reads an edited file in: writes each row that differs from the table, on condition
-/// that it still has the version it was written out with. All rows are checked before
-/// the first is written; returns the names of those written.
-pub fn read_in(table: &TableClient, path: &Path) -> Result<Vec<String>, EditError> {
+/// Writes each row of an edited file that differs from the table, on condition that the row still
+/// has the version that was exported. All rows are validated before the first is written. Returns
+/// the names of the rows written.
+pub fn import_table(table: &TableClient, path: &Path) -> Result<Vec<String>, EditError> {
     let sheet = read_sheet(path)?;
     let mut errors = Vec::new();
     let mut checked = Vec::new();
--- a/src/control/table.rs
+++ b/src/control/table.rs
@@ -1,6 +1,6 @@
-//! Edits of the rows of the native interface's table. Each edit is conditional on the version
-//! that it was made from, and carries a random `edit_id`: when the response to a write is
-//! lost, reading the row back tells whether the write took effect.
+//! Edits of rows of the native interface's table. Each edit is conditional on the version that it
+//! is based on, and stores a random `edit_id` in the row: if the response to a write is lost,
+//! reading the row back shows whether the write took effect.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,18 +20,19 @@
     },
 };
 
-/// Tries to read back a write whose response was lost: about three seconds together.
+/// Attempts to read a row back after the response to a write was lost: about three seconds in
+/// total.
 const READ_BACK_TRIES: u32 = 10;
-/// Pause between these tries.
+/// Pause between these attempts.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(300);
-/// Bits of an edit id: JSON numbers travel through other programs as doubles, which are exact to 53
+/// Bits of an edit id: other programs may handle JSON numbers as doubles, which are exact up to 53
 /// bits.
 const EXACT_BITS: u32 = 53;
 
 /// An edit that was not made.
 #[derive(Debug, Display, Error, From)]
 pub enum EditError {
-    /// The row is not allowed.
+    /// The row is not valid.
     #[display("{}", _0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     #[from]
     Invalid(#[error(not(source))] Vec<OptionError>),
@@ -42,10 +43,10 @@
     #[display("{_0}")]
     #[from]
     Call(StepError),
-    /// The write's response was lost and it could not be read back.
+    /// The response to the write was lost, and the row could not be read back.
     #[display("{_0}; the row may have been written, run the command again to see")]
     Unsettled(StepError),
-    /// There is no such row.
+    /// The row does not exist.
     #[display("there is no row {_0}")]
     Missing(#[error(not(source))] String),
     /// A file could not be read or written.
@@ -53,30 +54,30 @@
     File(#[error(not(source))] String),
 }
 
-/// Two versions of a row that clash.
+/// An edit that conflicts with the current row.
 #[derive(Debug, Display, Error)]
 #[display(
     "row {name} was changed by somebody else\n  yours:  {yours}\n  theirs: {theirs} (version {version})"
 )]
 pub struct RowConflict {
-    /// Row.
+    /// Name of the row.
     pub name: String,
-    /// What was to be written.
+    /// Content that should have been written.
     pub yours: Value,
-    /// What is there.
+    /// Current content.
     pub theirs: Value,
-    /// Version of what is there.
+    /// Current version.
     pub version: u64,
 }
 
-/// The table behind an object API.
+/// Client of the table that an object API stores.
 #[derive(Clone, Debug)]
 pub struct TableClient {
     client: ControlClient,
     api: SocketAddr,
 }
 
-/// A row's value without the fields that mark edits.
+/// Returns a row's value without the fields in [`EDIT_FIELDS`].
 pub fn plain_row(value: &Value) -> Value {
     let mut plain = value.clone();
     if let Some(object) = plain.as_object_mut() {
@@ -88,7 +89,7 @@
 }
 
 impl TableClient {
-    /// Table at `api`.
+    /// Creates a client of the table at `api`.
     pub fn new(api: SocketAddr) -> Self {
         Self { client: ControlClient::default(), api }
     }
@@ -98,30 +99,30 @@
         Ok(self.client.list(self.api, ROW_KIND)?.entries)
     }
 
-    /// One row; a missing one has no value.
+    /// One row; the value is `None` if the row does not exist.
     pub fn read(&self, name: &str) -> Result<ObjectEntry, StepError> {
         self.client.read(self.api, ROW_KIND, name)
     }
 
-    /// Writes a checked row over `version` (0: it must not exist). `marks` are added
-    /// beside the row's own fields.
-    pub fn write(&self, row: &Value, version: u64, marks: &Value) -> Result<u64, EditError> {
+    /// Validates and writes a row, on condition that its version is `version` (0: it does not
+    /// exist). `extra_fields` are stored beside the row's own fields.
+    pub fn write(&self, row: &Value, version: u64, extra_fields: &Value) -> Result<u64, EditError> {
         let name = TableRow::parse(&plain_row(row), "row")?.object_name();
         let edit_id = rand::random::<u64>() >> (u64::BITS - EXACT_BITS);
         let mut value = plain_row(row);
         value["edit_id"] = json!(edit_id);
-        for (key, mark) in marks.as_object().into_iter().flatten() {
-            value[key] = mark.clone();
+        for (key, extra) in extra_fields.as_object().into_iter().flatten() {
+            value[key] = extra.clone();
         }
         let written = self.client.write(self.api, ROW_KIND, &name, Some(&value), version);
         match written {
             Ok(receipt) => Ok(receipt.version),
             Err(error) if is_settled(&error) => Err(error.into()),
-            Err(error) => self.settle(&name, row, edit_id, error),
+            Err(error) => self.read_back(&name, row, edit_id, error),
         }
     }
 
-    /// Deletes a row that is at `version`.
+    /// Deletes a row, on condition that its version is `version`.
     pub fn delete(&self, name: &str, version: u64) -> Result<(), EditError> {
         let written = self.client.write(self.api, ROW_KIND, name, None, version);
         match written {
@@ -133,9 +134,10 @@
         }
     }
 
-    /// Finds out by reading the row back whether a write took effect: it did if its edit id is
-    /// there. Another one may also mean that a later edit replaced it; that is a conflict too.
-    fn settle(
+    /// Reads the row back to find out whether a write took effect: it did if the row has its edit
+    /// id. With another edit id, the write may have failed or a later edit may have replaced it;
+    /// both are reported as a conflict.
+    fn read_back(
         &self,
         name: &str,
         row: &Value,
@@ -156,18 +158,18 @@
     }
 }
 
-/// Whether the failure itself means that nothing was written.
+/// Whether this failure guarantees that nothing was written.
 fn is_settled(error: &StepError) -> bool {
     match error.cause {
         FailureCause::Unreachable(_) => true,
-        // The object API responds with these before it writes.
+        // The object API returns these statuses before it writes.
         FailureCause::Status(status) => [400, 429].contains(&status),
         _ => false,
     }
 }
 
 fn conflict(name: &str, yours: &Value, current: ObjectEntry) -> EditError {
-    // A row that was deleted meanwhile is shown as null.
+    // A row that was deleted in the meantime is shown as null.
     EditError::Conflict(Box::new(RowConflict {
         name: name.into(),
         yours: plain_row(yours),
--- a/src/control/views.rs
+++ b/src/control/views.rs
@@ -1,4 +1,4 @@
-//! Views of daemons of the native interface: status, and one time line over all of them.
+//! Status of daemons of the native interface, and a merged timeline of their events.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use super::calls::ControlClient;
 use crate::{errors::StepError, native::serve::timeline::TimelineEvent};
 
-/// Events of all daemons in one order, with the daemons that could not be asked.
+/// Events of several daemons in one sequence, and the failures to read them.
 #[derive(Debug, Default)]
 pub struct MergedTimeline {
     /// Events, oldest first.
     pub events: Vec<TimelineEvent>,
-    /// Failures to read a daemon's events.
+    /// One error for each daemon whose events could not be read.
     pub missing: Vec<StepError>,
 }
 
-/// Merges the events of `daemons` about `subject`; all events if it is empty.
+/// Reads and merges the events of `daemons` about `subject`, or all events if it is empty.
 pub fn read_timeline(
     client: &ControlClient,
     daemons: &[SocketAddr],
@@ -29,7 +29,7 @@
         format!("/timeline?subject={subject}")
     };
     for daemon in daemons {
-        match client.get::<Vec<TimelineEvent>>("read time line", *daemon, &path) {
+        match client.get::<Vec<TimelineEvent>>("read timeline", *daemon, &path) {
             Ok(events) => merged.events.extend(events),
             Err(error) => merged.missing.push(error),
         }
@@ -41,16 +41,16 @@
     merged
 }
 
-/// One event on one line.
+/// Renders one event as a line of text.
 pub fn render_event(event: &TimelineEvent) -> String {
     let subject = event.subject.as_deref().unwrap_or("-");
-    // Cannot fail: a kind is one of a closed set of names.
+    // Cannot fail: the kind is an enum without fields.
     let kind = serde_json::to_value(event.kind).unwrap_or_default();
     let kind = kind.as_str().unwrap_or("?");
     format!("{} {} {kind:<15} {subject}  {}", event.at_ms, event.daemon, event.detail)
 }
 
-/// Status of one daemon, as text.
+/// Renders the status of one daemon as text.
 pub fn render_status(status: &Value) -> String {
     let members = status["members"].as_array().map_or(0, Vec::len);
     let mut lines = vec![format!(
