--- a/src/http.rs
+++ b/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 over `hyper`: server loop, client, and the client of JSON APIs; shared by the
-//! gateway, the native interface and the stand-ins.
+//! HTTP/1.1 over `hyper`: server loop, client, and a client of JSON APIs; used by the gateway, the
+//! native interface and the stand-ins.
 //!
-//! `hyper` is used in place of the house style's `tiny_http` and `ureq` because responses
-//! stream: docs/design/http.md has the measurement.
+//! `hyper` is used instead of the blocking `tiny_http` and `ureq` because responses are streamed:
+//! docs/design/http.md has the measurement.
 
 pub mod api_client;
 pub mod client;
@@ -14,22 +14,22 @@
 use hyper::body::Frame;
 use tokio::sync::mpsc;
 
-/// Why a body ended before its end; its connection is closed.
+/// Error that ends a body early; its connection is then closed.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Body of every response that a server here sends.
+/// Body of the responses that [`server`] sends.
 pub type ResponseBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Body of a response that stays on the thread of its daemon.
+/// Response body that is not `Send`: it stays on the thread of its daemon.
 pub type LocalBody = std::pin::Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = BodyError>>>;
 
-/// Body that holds `bytes` whole.
+/// Creates a body with all of `bytes`.
 pub fn whole_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(BodyError::from).boxed_unsync()
 }
 
-/// Body that is sent chunk by chunk as they come from the returned sender, of which
-/// `capacity` may wait. Sending fails once the other side has closed the connection.
+/// Creates a body that streams the chunks sent through the returned sender, which buffers up to
+/// `capacity` of them. Sending fails once the other side has closed the connection.
 pub fn stream_body(capacity: usize) -> (mpsc::Sender<Result<Bytes, BodyError>>, ResponseBody) {
     let (sender, mut receiver) = mpsc::channel(capacity);
     let stream = futures::stream::poll_fn(move |task| receiver.poll_recv(task));
--- a/src/http/api_client.rs
+++ b/src/http/api_client.rs
@@ -1,12 +1,12 @@
-//! Client of one JSON API: counts its calls, bounds each, and turns what went wrong into a
-//! [`StepError`] in one place.
+//! Client of a JSON API: counts calls, limits the time of each, and converts failures into
+//! [`StepError`].
 //!
-//! After a call that was not answered in time, further calls go over new connections: the others
-//! that are open may have gone silent with the one that it used.
+//! After a call that timed out, further calls use new connections, because the other open
+//! connections may have stopped responding too.
 //!
-//! Both paths use it for the platform: the gateway through `platform::{store, cloud}`, the
-//! native interface through `native::cloud_api`. Their wires differ, so paths, bodies and
-//! the meaning of a status stay with them.
+//! The gateway (`platform::{store, cloud}`) and the native interface (`native::cloud_api`) both use
+//! it for their platforms. The protocols differ, so paths, bodies and the meaning of a status are
+//! defined there.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,27 +29,27 @@
 }
 
 impl ApiClient {
-    /// Client of the API at `address`.
+    /// Creates a client of the API at `address`.
     pub fn new(address: impl ToString) -> Self {
         Self { http: Rc::default(), address: address.to_string().into(), calls: Rc::default() }
     }
 
-    /// Client of a further address that shares connections and the count of calls.
+    /// Creates a client of another address that shares connections and the count of calls.
     pub fn sibling(&self, address: impl ToString) -> Self {
         Self { address: address.to_string().into(), ..self.clone() }
     }
 
-    /// Calls made since the start; a waiting watch counts once.
+    /// Calls made since the start; a watch counts once, however long it waits.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
 
-    /// `GET` of `path`; `step` names the call in errors.
+    /// Creates a `GET` of `path`; `step` names the call in errors.
     pub fn get(&self, step: &'static str, path: impl Into<String>) -> OutgoingCall {
         OutgoingCall::get(step, &self.address, path)
     }
 
-    /// Call with a JSON body. Fails only for a value that has no JSON form.
+    /// Creates a call with a JSON body. Fails only if `body` cannot be encoded as JSON.
     pub fn send(
         &self,
         step: &'static str,
@@ -71,7 +71,7 @@
         limit: Duration,
     ) -> Result<ApiResponse, StepError> {
         self.calls.set(self.calls.get() + 1);
-        // Calls in progress keep their connections, whatever becomes of the others.
+        // The clone lets calls in progress keep their connections after `discard_connections`.
         let http = self.http.borrow().clone();
         let fetched = http.fetch(&call, limit).await;
         if fetched.as_ref().is_err_and(StepError::is_time_out) {
@@ -80,13 +80,13 @@
         Ok(ApiResponse { call, response: fetched? })
     }
 
-    /// Opens new connections for further calls: those that are open may carry nothing any more.
+    /// Makes further calls use new connections; those that are open may no longer respond.
     pub fn discard_connections(&self) {
         *self.http.borrow_mut() = HttpClient::new();
     }
 }
 
-/// Response of an API, with the call that it belongs to.
+/// Response of an API, with its call.
 #[derive(Clone, Debug)]
 pub struct ApiResponse {
     call: OutgoingCall,
@@ -99,22 +99,22 @@
         self.response.status
     }
 
-    /// Text of a header; none if it is missing or no text.
+    /// Value of a header; `None` if it is missing or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.response.headers.get(name)?.to_str().ok()
     }
 
-    /// Error of this call.
+    /// Creates an error of this call.
     pub fn error(&self, cause: FailureCause) -> StepError {
         self.call.error(cause)
     }
 
-    /// Fails for a status that means failure.
+    /// Fails if the status is not a success.
     pub fn check_status(&self) -> Result<(), StepError> {
         self.response.check_status(self.call.step, &self.call.peer)
     }
 
-    /// Body as read by `decoder`; a status that means failure is an error.
+    /// Decodes the body with `decoder`; fails if the status is not a success.
     pub fn decode<T>(
         &self,
         decoder: impl FnOnce(&[u8]) -> Result<T, serde_json::Error>,
@@ -122,7 +122,7 @@
         self.response.decode(self.call.step, &self.call.peer, decoder)
     }
 
-    /// Body decoded from JSON; a status that means failure is an error.
+    /// Decodes the body from JSON; fails if the status is not a success.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, StepError> {
         self.response.json(self.call.step, &self.call.peer)
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,9 +1,8 @@
-//! HTTP client of every process here: pooled connections, every wait bounded, no retries.
+//! HTTP client with pooled connections, a time limit on every wait, and no retries.
 //!
-//! Both paths use it: the native interface for its endpoints and the platform, the gateway
-//! for the platform only (its endpoints need control over single connections, see
-//! `gateway::request`). A call that fails says how: see [`FailureCause`] for what each cause
-//! tells about whether the other side may have acted.
+//! The native interface uses it for its endpoints and the platform, the gateway for the platform
+//! only (its calls to endpoints need control over single connections, see `gateway::request`). The
+//! [`FailureCause`] of a failed call shows whether the other side may have acted on it.
 
 use std::time::Duration;
 
@@ -21,16 +20,16 @@
     errors::{FailureCause, StepError},
 };
 
-/// Longest wait for a TCP connection: as long as the shortest limit of a whole call.
+/// Longest wait for a TCP connection: the same as the shortest limit of a whole call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time an unused connection stays open: longer than any watch, so that one connection
-/// carries watch after watch.
+/// Longest time an unused connection stays open: longer than any watch, so that successive watches
+/// use the same connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest response read whole, in bytes; longer ones fail as broken. Bounds what a faulty peer can
-/// make this process hold.
+/// Largest response that `fetch` reads, in bytes; longer ones fail as broken. Bounds the memory
+/// that a faulty peer can make this process use.
 const RESPONSE_LIMIT: usize = 8 * 1024 * 1024;
 
-/// A response read to its end.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct WholeResponse {
     /// HTTP status.
@@ -42,7 +41,7 @@
 }
 
 impl WholeResponse {
-    /// Fails for a status that means failure; `step` and `peer` are for the error.
+    /// Fails if the status is not a success; `step` and `peer` are for the error.
     pub fn check_status(&self, step: &'static str, peer: &str) -> Result<(), StepError> {
         if self.status.is_success() {
             return Ok(());
@@ -50,7 +49,7 @@
         Err(StepError::new(step, peer, FailureCause::Status(self.status.as_u16())))
     }
 
-    /// Body as read by `decoder`; a status that means failure is an error.
+    /// Decodes the body with `decoder`; fails if the status is not a success.
     pub fn decode<T>(
         &self,
         step: &'static str,
@@ -62,7 +61,7 @@
             .map_err(|error| StepError::new(step, peer, FailureCause::Malformed(error.to_string())))
     }
 
-    /// Body decoded from JSON; a status that means failure is an error.
+    /// Decodes the body from JSON; fails if the status is not a success.
     pub fn json<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -75,7 +74,7 @@
 /// One request to send.
 #[derive(Clone, Debug)]
 pub struct OutgoingCall {
-    /// What is being done, for errors.
+    /// Name of the call, for errors.
     pub step: &'static str,
     /// HTTP method.
     pub method: Method,
@@ -83,14 +82,14 @@
     pub peer: String,
     /// Path with query.
     pub path: String,
-    /// Headers beside the usual ones.
+    /// Headers in addition to those that `hyper` sets.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
 }
 
 impl OutgoingCall {
-    /// `GET` of `path` at `peer`.
+    /// Creates a `GET` of `path` at `peer`.
     pub fn get(step: &'static str, peer: impl ToString, path: impl Into<String>) -> Self {
         Self {
             step,
@@ -102,7 +101,7 @@
         }
     }
 
-    /// The same call with another method and a JSON body.
+    /// Sets the method and a JSON body.
     pub fn with_json(mut self, method: Method, body: impl Into<Bytes>) -> Self {
         self.method = method;
         self.body = body.into();
@@ -110,13 +109,13 @@
         self
     }
 
-    /// The same call with one more header.
+    /// Adds a header.
     pub fn with_header(mut self, name: &'static str, value: impl ToString) -> Self {
         self.headers.push((name, value.to_string()));
         self
     }
 
-    /// Error of this call.
+    /// Creates an error of this call.
     pub fn error(&self, cause: FailureCause) -> StepError {
         StepError::new(self.step, self.peer.as_str(), cause)
     }
@@ -147,7 +146,7 @@
 }
 
 impl HttpClient {
-    /// Client with the bounds above; it never retries a request by itself.
+    /// Creates a client with the limits above that never retries a request.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -178,7 +177,7 @@
         }
     }
 
-    /// Sends `call` and reads the response whole, all within `limit`.
+    /// Sends `call` and reads the whole response, all within `limit`.
     pub async fn fetch(
         &self,
         call: &OutgoingCall,
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,9 +1,8 @@
-//! Server loop: accepts connections and responds to each request with a handler.
+//! HTTP server: accepts connections and calls a handler for each request.
 //!
-//! The native interface, the operators' and metrics ports of both paths and the stand-ins use
-//! it; the gateway's own client port needs control over single connections and has its own
-//! loop (`gateway::request::client_listener`). Everything runs on the thread of the
-//! `LocalSet`.
+//! The native interface, the stand-ins and the operators' and metrics ports of both kinds of daemon
+//! use it. The gateway's client port needs control over single connections and has its own loop
+//! (`gateway::request::client_listener`). Everything runs on the thread of the `LocalSet`.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -23,25 +22,25 @@
     logs::LineBudget,
 };
 
-/// Longest time a client may take to send a request head: slow networks pass, a client that sends
-/// nothing does not hold its connection for long.
+/// Longest time a client may take to send a request head: enough for slow networks, while a client
+/// that sends nothing does not keep its connection for long.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 /// Largest request head, in bytes.
 const HEAD_LIMIT: usize = 32 * 1024;
 /// Most connections open at once; further ones are closed as soon as they are accepted. Bounds the
-/// memory and the descriptors that clients can take.
+/// memory and file descriptors that clients can use.
 const CONNECTION_LIMIT: usize = 8_192;
-/// Pause after a failed accept. The usual cause is a lack of descriptors, which lasts: without a
-/// pause the loop would take the whole core.
+/// Pause after a failed accept. The usual cause is a lack of file descriptors, which lasts: without
+/// a pause the loop would use a whole core.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Log lines a second about failed accepts: one tells an operator all there is to know.
+/// Log lines a second about failed accepts; further lines would tell an operator nothing new.
 const ACCEPT_LINES: u32 = 1;
 
-/// Marker on a response: close the connection instead of sending it.
+/// Extension of a response: the connection is closed instead of sending the response.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseConnection;
 
-/// Binds `address`.
+/// Binds a listener to `address`.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, StepError> {
     TcpListener::bind(address).await.map_err(|error| {
         let cause = FailureCause::Unreachable(error.to_string());
@@ -49,7 +48,7 @@
     })
 }
 
-/// Accepts connections and hands each to `start`, until the phase is `Stopping`.
+/// Accepts connections and calls `start` with each, until the phase is `Stopping`.
 pub async fn accept_each(
     listener: TcpListener,
     mut phase: watch::Receiver<LifePhase>,
@@ -73,8 +72,8 @@
     }
 }
 
-/// Serves `listener` until the phase is `Stopping`; while draining, connections close
-/// after the response in progress.
+/// Serves HTTP on `listener` until the phase is `Stopping`. While draining, connections close after
+/// the response in progress.
 pub async fn serve<H, F>(listener: TcpListener, phase: watch::Receiver<LifePhase>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -86,7 +85,7 @@
         if open.get() >= CONNECTION_LIMIT {
             return;
         }
-        // Fails only on a socket that is already broken, which the connection then sees.
+        // Fails only if the socket is already broken; serving the connection then fails too.
         let _ = stream.set_nodelay(true);
         let guard = open.enter();
         let connection = serve_connection(stream, connections.clone(), handler.clone());
@@ -120,7 +119,7 @@
     builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(HEAD_LIMIT);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // A connection that breaks concerns its client only, who sees it too.
+    // The result is not needed: a broken connection affects only its client, which notices it.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = phase.wait_for(|phase| *phase >= LifePhase::Draining) => {}
