--- a/src/bin/willow_standin.rs
+++ b/src/bin/willow_standin.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what lies outside willowarch, for examples, tests and benchmarks.
+//! Stand-ins for the systems around willowarch (engines, platform, clients), for examples, tests
+//! and benchmarks.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -15,9 +16,9 @@
     },
 };
 
-/// Length of a run that names none.
+/// Default length of a run, in seconds.
 const DEFAULT_SECONDS: u64 = 10;
-/// Seed of a run that names none.
+/// Default seed of a run.
 const DEFAULT_SEED: u64 = 1;
 
 mod flags {
@@ -40,7 +41,7 @@
                 repeated address: SocketAddr
                 /// Time of one decoding step, in milliseconds.
                 optional --step-ms millis: f64
-                /// Streams computed at once.
+                /// Streams that an engine computes at once.
                 optional --slots count: usize
             }
             /// Plain services, one at each address.
@@ -48,19 +49,19 @@
                 /// Addresses to listen at.
                 repeated address: SocketAddr
             }
-            /// Clients that play a request mix and report.
+            /// Clients that send a request mix and print a report.
             cmd callers {
                 /// Daemons to call.
                 repeated daemon: SocketAddr
                 /// Request mix: a JSON file.
                 required --mix path: PathBuf
-                /// Cloud API, for cost and engines' counts.
+                /// Address of the cloud API, from which the report takes costs and engine counts.
                 required --cloud address: SocketAddr
                 /// How long to send requests, in seconds.
                 optional --seconds seconds: u64
                 /// Seed of the requests.
                 optional --seed seed: u64
-                /// Requests a second, instead of the mix's own pace.
+                /// Requests a second, instead of the rate in the mix.
                 optional --pace pace: f64
             }
         }
--- a/src/bin/willowarchd.rs
+++ b/src/bin/willowarchd.rs
@@ -1,5 +1,5 @@
-//! Entry daemon: reads its settings and runs one of the two paths, the gateway on the users'
-//! platform (`--gateway`) or the native interface, on one thread until it stops.
+//! Entry daemon: reads its settings and runs either the gateway on the users' platform
+//! (`--gateway`) or the native interface, on one thread.
 
 use std::{
     path::{Path, PathBuf},
@@ -29,7 +29,7 @@
         cmd willowarchd {
             /// Settings file, in JSON (docs/native/settings.md).
             optional --settings path: PathBuf
-            /// Serve on the users' platform, with its settings file.
+            /// Run the gateway on the users' platform; --settings is then the gateway's file.
             optional --gateway
         }
     }
@@ -62,8 +62,9 @@
 }
 
 fn start_gateway(settings: Option<PathBuf>) -> Option<RunResult> {
-    let named = std::env::var_os(platform::settings::SETTINGS_VARIABLE).map(PathBuf::from);
-    let Some(path) = settings.or(named) else {
+    let from_environment =
+        std::env::var_os(platform::settings::SETTINGS_VARIABLE).map(PathBuf::from);
+    let Some(path) = settings.or(from_environment) else {
         eprintln!(
             "willowarchd: --settings or {} must name the settings file",
             platform::settings::SETTINGS_VARIABLE
--- a/src/bin/willowctl.rs
+++ b/src/bin/willowctl.rs
@@ -1,4 +1,4 @@
-//! Operators' tool: its flags, and which command they select (`willowarch::control`).
+//! Operators' tool: defines its flags and runs the selected command (`willowarch::control`).
 
 use std::process::ExitCode;
 
@@ -15,7 +15,7 @@
     xflags::xflags! {
         /// Operators' tool of willowarch.
         ///
-        /// Exit codes: 0 done, 1 differences (diff), 3 conflict, 64 not allowed,
+        /// Exit codes: 0 success, 1 differences (diff), 3 conflict, 64 invalid input,
         /// 69 a call failed.
         ///
         /// Examples:
@@ -52,7 +52,7 @@
                     /// File.
                     required file: PathBuf
                 }
-                /// Read an edited spreadsheet file in.
+                /// Write the changes of an edited spreadsheet file to the table.
                 cmd edit {
                     /// File.
                     required file: PathBuf
@@ -77,21 +77,21 @@
                 /// Operators' addresses of daemons.
                 repeated daemon: SocketAddr
             }
-            /// Have daemons finish what they have and stop.
+            /// Make daemons finish the requests in progress and stop.
             cmd drain {
                 /// Operators' addresses of daemons.
                 repeated daemon: SocketAddr
             }
-            /// Show one time line of events over all daemons.
+            /// Show the events of all daemons in one timeline.
             cmd timeline {
                 /// Operators' addresses of daemons.
                 repeated daemon: SocketAddr
                 /// Only events of this request, VM or row.
                 optional --subject subject: String
             }
-            /// Look at gateway daemons and check their files.
+            /// Show the state of gateway daemons and check their files.
             cmd gateway {
-                /// Show what daemons believe, with versions and ages.
+                /// Show the state of daemons, with the versions and ages of their data.
                 cmd state {
                     /// Metrics addresses of daemons.
                     repeated daemon: SocketAddr
@@ -106,14 +106,14 @@
                     /// Metrics addresses of daemons.
                     repeated daemon: SocketAddr
                 }
-                /// Let a request run again at all daemons.
+                /// End the quarantine of a request at all daemons.
                 cmd end-quarantine {
                     /// Fingerprint of the request.
                     required fingerprint: String
-                    /// Metrics address of a daemon; it tells the others.
+                    /// Metrics address of a daemon, which informs the others.
                     required daemon: SocketAddr
                 }
-                /// Show the lines of logs about one request, in order.
+                /// Show the log lines about one request, ordered by time.
                 cmd trace {
                     /// Id of the request.
                     required id: String
