--- a/src/native/peer/client.rs
+++ b/src/native/peer/client.rs
@@ -24,14 +24,14 @@
 /// longer counts as failed.
 pub(super) const CALL_LIMIT: Duration = Duration::from_millis(500);
 
-struct OpenPeer {
+struct PeerConnection {
     incarnation: IncarnationId,
     client: peer::Client,
     task: tokio::task::AbortHandle,
-    used: std::cell::Cell<tokio::time::Instant>,
+    last_used: std::cell::Cell<tokio::time::Instant>,
 }
 
-impl Drop for OpenPeer {
+impl Drop for PeerConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -41,7 +41,7 @@
 #[derive(Clone)]
 pub struct PeerPool {
     identity: Rc<LocalIdentity>,
-    open: Rc<RefCell<HashMap<SharedName, Rc<OpenPeer>>>>,
+    open: Rc<RefCell<HashMap<SharedName, Rc<PeerConnection>>>>,
     traffic: TrafficCounter,
 }
 
@@ -66,7 +66,7 @@
 
     /// Closes connections that have not been used for `idle`.
     pub fn close_idle(&self, idle: Duration) {
-        self.open.borrow_mut().retain(|_, open| open.used.get().elapsed() < idle);
+        self.open.borrow_mut().retain(|_, open| open.last_used.get().elapsed() < idle);
     }
 
     /// Bytes sent and received over all connections to peers, including those that peers opened.
@@ -86,7 +86,10 @@
         Ok(greeted)
     }
 
-    async fn connect(&self, address: &SharedName) -> Result<(GreetedPeer, OpenPeer), StepError> {
+    async fn connect(
+        &self,
+        address: &SharedName,
+    ) -> Result<(GreetedPeer, PeerConnection), StepError> {
         let error = |cause| StepError::new("greet peer", address.clone(), cause);
         let connecting = timeout(CONNECT_LIMIT, TcpStream::connect(&**address)).await;
         let stream = match connecting {
@@ -107,9 +110,9 @@
             Err(_elapsed) => Err(error(FailureCause::timed_out(CONNECT_LIMIT))),
             Ok(Err(cause)) => Err(error(to_cause(&cause))),
             Ok(Ok((greeted, client))) => {
-                let used = std::cell::Cell::new(tokio::time::Instant::now());
+                let last_used = std::cell::Cell::new(tokio::time::Instant::now());
                 let incarnation = greeted.incarnation;
-                let open = OpenPeer { incarnation, client, task: task.clone(), used };
+                let open = PeerConnection { incarnation, client, task: task.clone(), last_used };
                 Ok((greeted, open))
             }
         };
@@ -145,7 +148,7 @@
         &self,
         step: &'static str,
         target: &PeerTarget,
-    ) -> Result<Rc<OpenPeer>, StepError> {
+    ) -> Result<Rc<PeerConnection>, StepError> {
         let known = self.open.borrow().get(&target.address).cloned();
         let found = match known.filter(|open| open.incarnation == target.incarnation) {
             Some(open) => open,
@@ -160,7 +163,7 @@
             let cause = FailureCause::Refused("another incarnation".into());
             return Err(StepError::new(step, target.address.clone(), cause));
         }
-        found.used.set(tokio::time::Instant::now());
+        found.last_used.set(tokio::time::Instant::now());
         Ok(found)
     }
 
