--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,24 +1,24 @@
-//! Waits that a pause of this process (a frozen VM, a starved core) does not end too early.
-//! Used for every call whose late response is still worth having.
+//! Timeouts that do not expire early when this process was paused (a frozen VM, a busy core). Used
+//! for calls whose response is still useful when it is late.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// A wait that ends this much too late was overtaken by a pause of the process.
+/// If a timeout fires this much too late, the process was paused.
 const PAUSE_SIGN: Duration = Duration::from_millis(200);
-/// What arrived during a pause gets this time to be read after it.
+/// Extension of a wait after a pause, to read what arrived during the pause.
 const AFTER_PAUSE: Duration = Duration::from_millis(500);
 
-/// The wait is over.
+/// The time limit passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitOver;
 
 /// Waits at most `limit` for `future`.
 ///
-/// If the process was paused, the limit has passed when it goes on, but the response may have
-/// arrived meanwhile and only wait to be read. The wait is then extended by `AFTER_PAUSE`;
-/// without that, work that was done would be reported as unknown.
+/// If the process was paused, the limit may have passed when it continues, although the response
+/// arrived in the meantime and only has to be read. The wait is then extended by `AFTER_PAUSE`;
+/// otherwise work that was done would be reported as unknown.
 pub async fn wait_at_most<F: Future>(limit: Duration, future: F) -> Result<F::Output, WaitOver> {
     let deadline = Instant::now() + limit;
     tokio::pin!(future);
--- a/src/counting.rs
+++ b/src/counting.rs
@@ -1,25 +1,25 @@
-//! Counts of what is open or in progress on one thread: connections, requests.
+//! Counters of connections or requests that are currently open, for one thread.
 
 use std::{cell::Cell, rc::Rc};
 
-/// Number of guards alive; shared by the tasks of one thread.
+/// Number of live guards; clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct OpenCount(Rc<Cell<usize>>);
 
 impl OpenCount {
-    /// Guards alive now.
+    /// Current number of live guards.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more, for as long as the guard lives.
+    /// Increments the count until the guard is dropped.
     pub fn enter(&self) -> CountGuard {
         self.0.set(self.0.get() + 1);
         CountGuard(self.clone())
     }
 }
 
-/// Counts one for as long as it lives.
+/// Decrements the count when dropped.
 #[derive(Debug)]
 pub struct CountGuard(OpenCount);
 
--- a/src/errors.rs
+++ b/src/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of calls to other processes: the step, the peer and the cause. The cause tells
-//! whether the other side may have acted, which decides whether a call may be retried.
+//! Errors of calls to other processes: the step, the peer and the cause. The cause shows whether
+//! the other side may have acted, which decides whether the call may be retried.
 
 use std::time::Duration;
 
@@ -7,31 +7,33 @@
 
 use crate::ids::SharedName;
 
-/// What went wrong, apart from where.
+/// Cause of a failed call.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum FailureCause {
     /// No connection could be made: nothing was sent.
     #[display("connection refused: {_0}")]
     Unreachable(#[error(not(source))] String),
-    /// No response in time, in milliseconds; the peer may have acted.
+    /// No response within this many milliseconds; the peer may have acted.
     #[display("no answer within {_0} ms")]
     TimedOut(#[error(not(source))] u64),
-    /// The connection broke after the request was begun; the peer may have acted.
+    /// The connection broke after sending had begun; the peer may have acted.
     #[display("connection broke: {_0}")]
     Broken(#[error(not(source))] String),
-    /// The peer responded with a status that means failure.
+    /// The peer responded with an error status.
     #[display("answered status {_0}")]
     Status(#[error(not(source))] u16),
-    /// The peer's response could not be decoded, or the request not be encoded.
+    /// The peer's response could not be decoded, or the request could not be encoded.
     #[display("malformed answer: {_0}")]
     Malformed(#[error(not(source))] String),
-    /// The peer responded before it was restored from a copy: what it said no longer holds.
+    /// The response is from before the peer's data was restored from a backup, so it is no longer
+    /// valid.
     #[display("answer of a former era")]
     FormerEra,
-    /// A conditional write lost against another.
+    /// The condition of a write did not hold: another write came first.
     #[display("version conflict")]
     Conflict,
-    /// The peer is of another deployment or an unknown protocol version.
+    /// The peer refused the call, or it is of another deployment, incarnation or unknown protocol
+    /// version.
     #[display("peer refused: {_0}")]
     Refused(#[error(not(source))] String),
 }
@@ -43,11 +45,11 @@
     }
 }
 
-/// A failed step: what was being done, with whom, and why it failed.
+/// A failed call to another process.
 #[derive(Clone, Debug, Display, Error)]
 #[display("{step} at {peer}: {cause}")]
 pub struct StepError {
-    /// What was being done, as a short verb phrase.
+    /// What was being done, such as "read object".
     pub step: &'static str,
     /// Address or name of the other side.
     #[error(not(source))]
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -1,10 +1,9 @@
-//! Starts the services of a daemon, lets them find each other by name, drains and stops them.
-//! Both paths run on it.
+//! Starts the services of a daemon, lets them find each other by name, and drains and stops them.
+//! The gateway and the native interface both use it.
 //!
-//! A service is a task on the process's one runtime thread that owns its state and
-//! reads typed messages from its inbox. A service that ends before the kernel has
-//! told it to stop, by return or by panic, ends the whole daemon: it is never left
-//! half alive.
+//! A service is a task on the single runtime thread of the process. It owns its state and reads
+//! typed messages from its inbox. If a service returns or panics before the daemon stops, the whole
+//! daemon ends, so that it never runs with some of its services missing.
 
 use std::{any::Any, cell::RefCell, collections::HashMap, future::Future, rc::Rc};
 
@@ -14,11 +13,11 @@
     task::{JoinError, JoinSet},
 };
 
-/// Messages that may wait in one inbox before senders are told it is full: bounds the memory of a
-/// service that falls behind.
+/// Capacity of an inbox in messages; sending to a full one fails. Bounds the memory of a service
+/// that falls behind.
 const INBOX_CAPACITY: usize = 16_384;
 
-/// Name under which a service is found.
+/// Name of a service.
 pub type ServiceName = &'static str;
 
 /// Receiving end of a service's mailbox.
@@ -27,15 +26,15 @@
 /// Phase of the daemon's life; it only moves forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LifePhase {
-    /// Serves.
+    /// Normal operation.
     Running,
-    /// Accepts nothing new, finishes what is in progress.
+    /// Accepts no new requests and finishes those in progress.
     Draining,
-    /// Everything ends now.
+    /// All services are stopped.
     Stopping,
 }
 
-/// A message could not be delivered.
+/// A message or its reply could not be delivered.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum SendError {
     /// The inbox is full: the service is overloaded.
@@ -44,7 +43,7 @@
     /// The service has ended.
     #[display("service {_0} has ended")]
     Ended(#[error(not(source))] ServiceName),
-    /// No service of that name takes messages of this type.
+    /// No service with this name accepts messages of this type.
     #[display("no service {_0} for this message type")]
     Missing(#[error(not(source))] ServiceName),
 }
@@ -63,7 +62,7 @@
 }
 
 impl<M> ServiceAddress<M> {
-    /// Delivers `message` without waiting.
+    /// Sends `message` without waiting; fails if the inbox is full.
     pub fn send(&self, message: M) -> Result<(), SendError> {
         self.sender.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => SendError::Full(self.name),
@@ -71,12 +70,12 @@
         })
     }
 
-    /// Delivers `message`, waiting for room if the inbox is full.
+    /// Sends `message`, waiting for space if the inbox is full.
     pub async fn deliver(&self, message: M) -> Result<(), SendError> {
         self.sender.send(message).await.map_err(|_| SendError::Ended(self.name))
     }
 
-    /// Delivers the message made from a reply channel and waits for the reply.
+    /// Sends the message that `make` builds around a reply channel, and waits for the reply.
     pub async fn ask<R>(
         &self,
         make: impl FnOnce(tokio::sync::oneshot::Sender<R>) -> M,
@@ -90,13 +89,13 @@
 /// Why the kernel ended.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum KernelExit {
-    /// The daemon was told to stop and did.
+    /// The daemon stopped as requested.
     #[display("stopped")]
     Stopped,
     /// A service panicked.
     #[display("service {_0} panicked")]
     Panicked(String),
-    /// A service returned while the daemon was running.
+    /// A service returned while the daemon was in phase `Running`.
     #[display("service {_0} ended early")]
     EndedEarly(ServiceName),
 }
@@ -112,7 +111,7 @@
 }
 
 impl KernelHandle {
-    /// Address of the service `name`, which must take messages of type `M`.
+    /// Returns the address of the service `name`, which must accept messages of type `M`.
     pub fn find<M: 'static>(&self, name: ServiceName) -> Result<ServiceAddress<M>, SendError> {
         let directory = self.directory.borrow();
         let entry = directory.get(name).ok_or(SendError::Missing(name))?;
@@ -120,12 +119,12 @@
         address.cloned().ok_or(SendError::Missing(name))
     }
 
-    /// Watches the life phase.
+    /// Returns a receiver for the life phase.
     pub fn phase(&self) -> watch::Receiver<LifePhase> {
         self.phase.subscribe()
     }
 
-    /// Moves the daemon to `phase`; phases only go forward.
+    /// Moves the daemon to `phase`; does nothing if it is already in that phase or a later one.
     pub fn enter(&self, phase: LifePhase) {
         self.phase.send_if_modified(|current| {
             let forward = phase > *current;
@@ -136,13 +135,13 @@
         });
     }
 
-    /// Runs a child task of a service; its panic ends the daemon.
+    /// Spawns a child task of the service `name`; a panic in it ends the daemon.
     pub fn spawn(&self, name: ServiceName, task: impl Future<Output = ()> + 'static) {
         let failures = self.failures.clone();
         let handle = tokio::task::spawn_local(task);
         tokio::task::spawn_local(async move {
             if handle.await.is_err_and(|error| error.is_panic()) {
-                // Fails only when the kernel has already ended, and the daemon with it.
+                // Fails only if the kernel, and so the daemon, has already ended.
                 let _ = failures.send(format!("{name} (child task)"));
             }
         });
@@ -164,7 +163,7 @@
 }
 
 impl ServiceKernel {
-    /// Kernel without services. Must be driven inside a `tokio::task::LocalSet`.
+    /// Creates a kernel without services. Must be used inside a `tokio::task::LocalSet`.
     pub fn new() -> Self {
         let (failure_sender, failures) = mpsc::unbounded_channel();
         let handle = KernelHandle {
@@ -175,7 +174,7 @@
         Self { handle, tasks: JoinSet::new(), names: HashMap::new(), failures }
     }
 
-    /// Handle to pass to services.
+    /// Returns a handle for services.
     pub fn handle(&self) -> KernelHandle {
         self.handle.clone()
     }
@@ -216,7 +215,7 @@
         }
     }
 
-    /// Whether the end of a service ends the daemon, and how.
+    /// How the daemon ends after a service ended; `None` if it continues.
     fn exit_after(
         &self,
         result: Result<(tokio::task::Id, ServiceName), JoinError>,
@@ -230,7 +229,7 @@
                 let name = self.names.get(&error.id()).copied().unwrap_or("unnamed");
                 Some(KernelExit::Panicked(name.to_owned()))
             }
-            // Aborted, which only the kernel itself does while it stops.
+            // Aborted; only the kernel aborts services, while it stops.
             Err(_) => None,
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,14 @@
 //! Willowarch: a serving system on reclaimable VMs.
 //!
-//! Entry daemons (`willowarchd`) accept clients' requests, choose endpoints, and hold and
-//! release VMs. They run on one of two paths, which share the modules beside them:
+//! Entry daemons (`willowarchd`) accept clients' requests, choose endpoints, and start and release
+//! VMs. A daemon runs one of two implementations, which share the other modules here:
 //!
-//! - [`gateway`], started with `--gateway`, on the users' platform, which [`platform`] adapts;
-//! - [`native`], the product's own interface, steered by one table that operators edit.
+//! - [`gateway`], started with `--gateway`, on the users' platform, through the adapter
+//!   [`platform`];
+//! - [`native`], with protocols of its own, configured by a table that operators edit.
 //!
-//! [`control`] is the operators' tool, [`standin`] what stands in for the outside of the
-//! native interface in tests and examples. docs/architecture.md has the picture.
+//! [`control`] is the operators' tool; [`standin`] simulates the platform, endpoints and clients of
+//! the native interface for tests and examples. See docs/architecture.md for an overview.
 
 pub mod clock;
 pub mod control;
@@ -39,8 +40,8 @@
 #[path = "peer/exchange_capnp.rs"]
 pub mod exchange_capnp;
 
-/// Wall-clock time in milliseconds since 1970; for what people read and for what the
-/// platform dates, never for ordering.
+/// Wall-clock time in milliseconds since 1970. For times shown to people and for comparison with
+/// times from the platform; never for ordering events.
 pub fn wall_clock_ms() -> u64 {
     let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     // A clock before 1970 counts as 1970.
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,5 +1,5 @@
-//! Structured logs, one JSON object a line: the gateway's to standard output, the native
-//! interface's to standard error. `LineBudget` bounds lines whose number clients decide.
+//! Structured logs, one JSON object per line: the gateway logs to standard output, the native
+//! interface to standard error. `LineBudget` limits log lines whose number depends on clients.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,13 +12,13 @@
 
 use crate::native::options::settings::LogLevel;
 
-/// Lines that wait to be written; more are dropped. Ten seconds of request lines at their own
-/// bound.
+/// Lines that may wait to be written; more are dropped. Enough for the request lines of ten seconds
+/// at their rate limit.
 const WAITING_LINES: usize = 4_096;
 
-/// Sends the process's logs to standard output as JSON lines. A thread of its own writes
-/// them, so that a reader that stops reading does not block the daemon; lines beyond
-/// `WAITING_LINES` are dropped.
+/// Sends the process's logs to standard output as JSON lines. A separate thread writes them, so
+/// that the daemon is not blocked if nothing reads its output; lines beyond `WAITING_LINES` are
+/// then dropped.
 pub fn set_up_stdout() -> Result<(), spdlog::Error> {
     let stream = StdStreamSink::builder()
         .std_stream(StdStream::Stdout)
@@ -37,33 +37,33 @@
     Ok(())
 }
 
-/// Writes out what still waits, before the process ends.
+/// Writes the waiting lines; call before the process ends.
 pub fn flush() {
     spdlog::default_logger().flush();
 }
 
-/// How long a budget lasts before it is full again.
+/// Interval after which a budget is reset.
 const BUDGET_PERIOD: Duration = Duration::from_secs(1);
 
-/// Number of lines of a kind that may be written in a second; the rest is counted.
+/// Limits the log lines of one kind that are written per second, and counts those dropped.
 #[derive(Debug)]
 pub struct LineBudget {
     lines_per_s: u32,
-    second_began: Instant,
+    period_start: Instant,
     written: u32,
     dropped: u64,
 }
 
 impl LineBudget {
-    /// Budget of `lines_per_s`.
+    /// Creates a budget of `lines_per_s`.
     pub fn new(lines_per_s: u32, now: Instant) -> Self {
-        Self { lines_per_s, second_began: now, written: 0, dropped: 0 }
+        Self { lines_per_s, period_start: now, written: 0, dropped: 0 }
     }
 
-    /// Whether a line may be written now.
+    /// Whether a line may be written now; counts it as written or dropped.
     pub fn allows(&mut self, now: Instant) -> bool {
-        if now.saturating_duration_since(self.second_began) >= BUDGET_PERIOD {
-            self.second_began = now;
+        if now.saturating_duration_since(self.period_start) >= BUDGET_PERIOD {
+            self.period_start = now;
             self.written = 0;
         }
         let allowed = self.written < self.lines_per_s;
@@ -74,7 +74,7 @@
         allowed
     }
 
-    /// Lines dropped since this was last asked.
+    /// Number of lines dropped since the last call.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -11,12 +11,12 @@
 
 use hdrhistogram::Histogram;
 
-/// Quantiles shown of each histogram.
+/// Quantiles rendered for each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
-/// Significant digits kept in histograms: quantiles within 1%.
+/// Significant digits of histograms: quantiles are exact to 1%.
 const PRECISION: u8 = 2;
-/// Longest duration told apart in histograms, in microseconds: an hour. Longer than any request;
-/// longer durations count as this.
+/// Largest duration in histograms, in microseconds: an hour, longer than any request. Longer
+/// durations are recorded as this.
 const HIGHEST_US: u64 = 3_600_000_000;
 
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     histograms: BTreeMap<&'static str, Histogram<u64>>,
 }
 
-/// Handle to the daemon's metrics.
+/// Handle to the daemon's metrics; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct MetricsHandle {
     state: Rc<RefCell<MetricsState>>,
@@ -61,7 +61,7 @@
         histogram.saturating_record(value.as_micros() as u64);
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     pub fn render(&self) -> String {
         let state = self.state.borrow();
         let mut text = String::new();
