--- a/src/control/commands/table.rs
+++ b/src/control/commands/table.rs
@@ -9,7 +9,7 @@
     declaration::{self, ApplyScope, DIGEST_FIELD, RowChange},
     output::{CommandFailure, CommandResult, EXIT_DIFFERENT, EXIT_INVALID, OutputFormat},
     spreadsheet,
-    table::{EditError, TableClient, plain_row},
+    table::{EditError, TableClient, without_edit_fields},
 };
 
 /// Shows one row, or all rows.
@@ -22,7 +22,7 @@
         let Some(value) = &row.value else {
             return Err(EditError::Missing(row.name.to_string()).into());
         };
-        let text = format!("{} (version {}) {}", row.name, row.version, plain_row(value));
+        let text = format!("{} (version {}) {}", row.name, row.version, without_edit_fields(value));
         format.print(&json!({ "name": row.name, "version": row.version, "row": value }), &text);
     }
     Ok(ExitCode::SUCCESS)
--- a/src/control/declaration.rs
+++ b/src/control/declaration.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-use super::table::{EditError, RowConflict, TableClient, plain_row};
+use super::table::{EditError, RowConflict, TableClient, without_edit_fields};
 use crate::native::options::rows::{TableRow, parse_table};
 
 /// Field of a row with the digest of the applied content.
@@ -54,7 +54,7 @@
 }
 
 fn digest(row: &Value) -> String {
-    let bytes = Sha256::digest(plain_row(row).to_string().as_bytes());
+    let bytes = Sha256::digest(without_edit_fields(row).to_string().as_bytes());
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -80,7 +80,7 @@
             Some(entry) => {
                 // Never `None`: a list has no deleted rows.
                 let value = entry.value.unwrap_or_default();
-                let from = plain_row(&value);
+                let from = without_edit_fields(&value);
                 if from == to {
                     RowChange::Same { name }
                 } else {
--- a/src/control/output.rs
+++ b/src/control/output.rs
@@ -68,7 +68,7 @@
         let code = match error {
             EditError::Conflict(_) => EXIT_CONFLICT,
             EditError::Invalid(_) | EditError::Missing(_) | EditError::File(_) => EXIT_INVALID,
-            EditError::Call(_) | EditError::Unsettled(_) => EXIT_UNAVAILABLE,
+            EditError::Call(_) | EditError::OutcomeUnknown(_) => EXIT_UNAVAILABLE,
         };
         Self::new(code, error)
     }
--- a/src/control/spreadsheet.rs
+++ b/src/control/spreadsheet.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value, json};
 
-use super::table::{EditError, RowConflict, TableClient, plain_row};
+use super::table::{EditError, RowConflict, TableClient, without_edit_fields};
 use crate::native::{cloud_api::messages::ObjectEntry, options::rows::TableRow};
 
 /// Column with the version that a row had when it was exported; 0 for new rows.
@@ -131,7 +131,9 @@
         // Cannot fail: a row has only text, numbers and flags.
         let value = serde_json::to_value(&row).unwrap_or_default();
         let entry = current.iter().find(|entry| *entry.name == *name);
-        if entry.is_some_and(|entry| entry.value.as_ref().map(plain_row) == Some(value.clone())) {
+        if entry.is_some_and(|entry| {
+            entry.value.as_ref().map(without_edit_fields) == Some(value.clone())
+        }) {
             continue;
         }
         check_version(&name, &value, version, entry)?;
@@ -151,7 +153,8 @@
     if known == version {
         return Ok(());
     }
-    let theirs = entry.and_then(|entry| entry.value.as_ref()).map_or(Value::Null, plain_row);
+    let theirs =
+        entry.and_then(|entry| entry.value.as_ref()).map_or(Value::Null, without_edit_fields);
     Err(EditError::Conflict(Box::new(RowConflict {
         name: name.into(),
         yours: yours.clone(),
--- a/src/control/table.rs
+++ b/src/control/table.rs
@@ -45,7 +45,7 @@
     Call(StepError),
     /// The response to the write was lost, and the row could not be read back.
     #[display("{_0}; the row may have been written, run the command again to see")]
-    Unsettled(StepError),
+    OutcomeUnknown(StepError),
     /// The row does not exist.
     #[display("there is no row {_0}")]
     Missing(#[error(not(source))] String),
@@ -78,7 +78,7 @@
 }
 
 /// Returns a row's value without the fields in [`EDIT_FIELDS`].
-pub fn plain_row(value: &Value) -> Value {
+pub fn without_edit_fields(value: &Value) -> Value {
     let mut plain = value.clone();
     if let Some(object) = plain.as_object_mut() {
         for field in EDIT_FIELDS {
@@ -107,9 +107,9 @@
     /// Validates and writes a row, on condition that its version is `version` (0: it does not
     /// exist). `extra_fields` are stored beside the row's own fields.
     pub fn write(&self, row: &Value, version: u64, extra_fields: &Value) -> Result<u64, EditError> {
-        let name = TableRow::parse(&plain_row(row), "row")?.object_name();
+        let name = TableRow::parse(&without_edit_fields(row), "row")?.object_name();
         let edit_id = rand::random::<u64>() >> (u64::BITS - EXACT_BITS);
-        let mut value = plain_row(row);
+        let mut value = without_edit_fields(row);
         value["edit_id"] = json!(edit_id);
         for (key, extra) in extra_fields.as_object().into_iter().flatten() {
             value[key] = extra.clone();
@@ -117,7 +117,7 @@
         let written = self.client.write(self.api, ROW_KIND, &name, Some(&value), version);
         match written {
             Ok(receipt) => Ok(receipt.version),
-            Err(error) if is_settled(&error) => Err(error.into()),
+            Err(error) if is_certainly_unwritten(&error) => Err(error.into()),
             Err(error) => self.read_back(&name, row, edit_id, error),
         }
     }
@@ -154,12 +154,12 @@
             }
             std::thread::sleep(READ_BACK_PAUSE);
         }
-        Err(EditError::Unsettled(error))
+        Err(EditError::OutcomeUnknown(error))
     }
 }
 
 /// Whether this failure guarantees that nothing was written.
-fn is_settled(error: &StepError) -> bool {
+fn is_certainly_unwritten(error: &StepError) -> bool {
     match error.cause {
         FailureCause::Unreachable(_) => true,
         // The object API returns these statuses before it writes.
@@ -172,8 +172,8 @@
     // A row that was deleted in the meantime is shown as null.
     EditError::Conflict(Box::new(RowConflict {
         name: name.into(),
-        yours: plain_row(yours),
-        theirs: current.value.as_ref().map_or(Value::Null, plain_row),
+        yours: without_edit_fields(yours),
+        theirs: current.value.as_ref().map_or(Value::Null, without_edit_fields),
         version: current.version,
     }))
 }
