--- a/src/clock.rs
+++ b/src/clock.rs
@@ -12,21 +12,21 @@
 
 /// The time limit passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitOver;
+pub struct Elapsed;
 
 /// Waits at most `limit` for `future`.
 ///
 /// If the process was paused, the limit may have passed when it continues, although the response
 /// arrived in the meantime and only has to be read. The wait is then extended by `AFTER_PAUSE`;
 /// otherwise work that was done would be reported as unknown.
-pub async fn wait_at_most<F: Future>(limit: Duration, future: F) -> Result<F::Output, WaitOver> {
+pub async fn wait_at_most<F: Future>(limit: Duration, future: F) -> Result<F::Output, Elapsed> {
     let deadline = Instant::now() + limit;
     tokio::pin!(future);
     if let Ok(output) = timeout_at(deadline, future.as_mut()).await {
         return Ok(output);
     }
     if deadline.elapsed() < PAUSE_SIGN {
-        return Err(WaitOver);
+        return Err(Elapsed);
     }
-    timeout(AFTER_PAUSE, future).await.map_err(|_| WaitOver)
+    timeout(AFTER_PAUSE, future).await.map_err(|_| Elapsed)
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -16,7 +16,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    clock::{WaitOver, wait_at_most},
+    clock::{Elapsed, wait_at_most},
     errors::{FailureCause, StepError},
 };
 
@@ -168,7 +168,7 @@
         let request = call.build()?;
         let result = wait_at_most(limit, self.client.request(request)).await;
         match result {
-            Err(WaitOver) => Err(call.error(FailureCause::timed_out(limit))),
+            Err(Elapsed) => Err(call.error(FailureCause::timed_out(limit))),
             Ok(Err(error)) if error.is_connect() => {
                 Err(call.error(FailureCause::Unreachable(error.to_string())))
             }
@@ -193,6 +193,6 @@
             Ok(WholeResponse { status: head.status, headers: head.headers, body })
         };
         let result = wait_at_most(limit, whole).await;
-        result.unwrap_or_else(|WaitOver| Err(call.error(FailureCause::timed_out(limit))))
+        result.unwrap_or_else(|Elapsed| Err(call.error(FailureCause::timed_out(limit))))
     }
 }
--- a/src/native/peer/client.rs
+++ b/src/native/peer/client.rs
@@ -10,7 +10,7 @@
 
 use super::{LocalIdentity, codec, is_compatible};
 use crate::{
-    clock::{WaitOver, wait_at_most},
+    clock::{Elapsed, wait_at_most},
     errors::{FailureCause, StepError},
     ids::{IncarnationId, SharedName},
     native::cluster::{events::PeerTarget, members::MemberRecord},
@@ -183,7 +183,7 @@
         let cause = match answered {
             Ok(Ok(value)) => return Ok(value),
             Ok(Err(error)) => to_cause(&error),
-            Err(WaitOver) => FailureCause::timed_out(limit),
+            Err(Elapsed) => FailureCause::timed_out(limit),
         };
         if matches!(cause, FailureCause::Broken(_) | FailureCause::TimedOut(_)) {
             let mut pool = self.open.borrow_mut();
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -12,7 +12,7 @@
 use tokio::time::Duration;
 
 use crate::{
-    clock::{WaitOver, wait_at_most},
+    clock::{Elapsed, wait_at_most},
     endpoint_health::AttemptResult,
     errors::{FailureCause, StepError},
     http::client::OutgoingCall,
@@ -223,7 +223,7 @@
 
     fn frame_bytes(
         &self,
-        frame: Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, WaitOver>,
+        frame: Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, Elapsed>,
         limit: Duration,
     ) -> Result<Bytes, StepError> {
         let step = "read stream";
