--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -16,8 +16,8 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    clock::{Elapsed, wait_at_most},
     errors::{FailureCause, StepError},
+    timeouts::{Elapsed, wait_at_most},
 };
 
 /// Longest wait for a TCP connection: the same as the shortest limit of a whole call.
--- a/src/native/peer/client.rs
+++ b/src/native/peer/client.rs
@@ -10,12 +10,12 @@
 
 use super::{LocalIdentity, codec, is_compatible};
 use crate::{
-    clock::{Elapsed, wait_at_most},
     errors::{FailureCause, StepError},
     ids::{IncarnationId, SharedName},
     native::cluster::{events::PeerTarget, members::MemberRecord},
     peer_capnp::{gate, peer},
     rpc_transport::{TrafficCounter, rpc_system},
+    timeouts::{Elapsed, wait_at_most},
 };
 
 /// Longest wait for a connection, and for the hello over it: the same as `CALL_LIMIT`.
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -12,7 +12,6 @@
 use tokio::time::Duration;
 
 use crate::{
-    clock::{Elapsed, wait_at_most},
     endpoint_health::AttemptResult,
     errors::{FailureCause, StepError},
     http::client::OutgoingCall,
@@ -31,6 +30,7 @@
             services::{router::messages::EndpointSlot, store_service::RequestMessage},
         },
     },
+    timeouts::{Elapsed, wait_at_most},
 };
 
 /// How an attempt ended.
--- a/tests/native/kernel_lifecycle.rs
+++ b/tests/native/kernel_lifecycle.rs
@@ -5,8 +5,8 @@
 use googletest::prelude::*;
 use tokio::task::LocalSet;
 use willowarch::{
-    clock::wait_at_most,
     kernel::{KernelExit, LifePhase, SendError, ServiceKernel},
+    timeouts::wait_at_most,
 };
 
 /// Runs a task on the paused clock.
