--- a/src/true_time.rs
+++ b/src/boot_clock.rs
@@ -26,13 +26,13 @@
 
 /// Current time, including suspended time.
 pub fn now() -> Instant {
-    Instant::now() + missed()
+    Instant::now() + suspended_time()
 }
 
 /// Converts a time of this clock to the runtime's time, for timers.
 pub fn timer_at(at: Instant) -> Instant {
     // Times before the start of the runtime's clock have passed.
-    at.checked_sub(missed()).unwrap_or_else(Instant::now)
+    at.checked_sub(suspended_time()).unwrap_or_else(Instant::now)
 }
 
 /// Time since `at`, a time of this clock.
@@ -41,12 +41,12 @@
 }
 
 /// Advances this thread's clock as a suspension would; for tests.
-pub fn pretend_suspension(duration: Duration) {
+pub fn simulate_suspension(duration: Duration) {
     SIMULATED.set(SIMULATED.get() + duration);
 }
 
 /// Total suspended time since the process started.
-pub fn missed() -> Duration {
+pub fn suspended_time() -> Duration {
     // If a clock cannot be read, suspensions are not detected.
     let measured = measured_difference().unwrap_or_default();
     // Never decreases, so that `now` never goes back.
--- a/src/gateway/context/store_contents.rs
+++ b/src/gateway/context/store_contents.rs
@@ -10,6 +10,7 @@
 
 use super::GatewayContext;
 use crate::{
+    boot_clock,
     gateway::{
         configuration_state::{ApplyOutcome, ConfigurationSource},
         endpoint::EndpointList,
@@ -24,7 +25,6 @@
     },
     platform,
     store_position::{StoreEra, StorePosition},
-    true_time,
 };
 
 impl GatewayContext {
@@ -35,7 +35,7 @@
         position: StorePosition,
         text: Bytes,
     ) {
-        let now = true_time::now();
+        let now = boot_clock::now();
         let mut state = self.configuration.borrow_mut();
         let is_shown = source == ConfigurationSource::Store;
         if is_shown && state.is_shown(position) {
@@ -71,7 +71,7 @@
     }
 
     fn end_configuration_lag(&self) -> ConfigurationLag {
-        let lag = self.catch_up.borrow_mut().take_configuration_lag(true_time::now());
+        let lag = self.catch_up.borrow_mut().take_configuration_lag(boot_clock::now());
         self.metrics.duration("configuration_lag_us", Duration::from_millis(lag.duration_ms));
         lag
     }
@@ -84,7 +84,7 @@
         let list = keep_latest_starts(list, &self.endpoint_list.borrow());
         let text = endpoint_list::write_text(&list);
         self.endpoint_texts.borrow_mut().push(text);
-        let now = true_time::now();
+        let now = boot_clock::now();
         self.expect_peers_at_start(self.endpoint_list.borrow().position.is_none(), now);
         self.note_endpoint_era(list.position.era(), now);
         self.entry_history.borrow_mut().apply(list, now);
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -40,6 +40,7 @@
     store_watch::{configuration_watch, endpoint_watch},
 };
 use crate::{
+    boot_clock,
     counting::OpenCount,
     errors::StepError,
     http::server,
@@ -48,7 +49,7 @@
     logs::{self, LineBudget},
     metrics::MetricsHandle,
     platform::store::StoreClient,
-    true_time, wall_clock_ms,
+    wall_clock_ms,
 };
 
 /// Name of the service that stops the daemon.
@@ -103,7 +104,7 @@
 
 fn assemble(settings: GatewaySettings, kernel: KernelHandle) -> GatewayContext {
     let metrics = MetricsHandle::default();
-    let now = true_time::now();
+    let now = boot_clock::now();
     GatewayContext {
         incarnation: IncarnationId::generate(),
         store: StoreClient::new(settings.store_address),
@@ -160,7 +161,7 @@
 /// Stops the daemon after SIGTERM, in the order that the module's head gives.
 async fn stop_on_signal(context: Rc<GatewayContext>) {
     terminated().await;
-    let begun = true_time::now();
+    let begun = boot_clock::now();
     context.kernel.enter(LifePhase::Draining);
     spdlog::info!("stopping", kv: { active: = context.active.get() });
     let latest = begun + context.settings.bounds.stop_grace.saturating_sub(GRACE_MARGIN);
@@ -169,7 +170,7 @@
     sleep(ACCEPT_FOR - REFUSE_AFTER).await;
     context.intake.set(Intake::Closed);
     let busy = || context.active.get() + context.client_connections.get() > 0;
-    while busy() && true_time::now() < latest {
+    while busy() && boot_clock::now() < latest {
         sleep(BUSY_CHECK_INTERVAL).await;
     }
     spdlog::info!("stopping", kv: { cut_off: = context.active.get() });
--- a/src/gateway/gossip/caller.rs
+++ b/src/gateway/gossip/caller.rs
@@ -27,6 +27,7 @@
     outgoing::{held_versions, own_message},
 };
 use crate::{
+    boot_clock,
     exchange_capnp::exchange,
     gateway::{
         context::GatewayContext,
@@ -39,7 +40,7 @@
         },
     },
     rpc_transport::{TrafficCounter, rpc_system},
-    true_time, wall_clock_ms,
+    wall_clock_ms,
 };
 
 /// Name of the service.
@@ -98,13 +99,13 @@
 /// Calls other daemons until the daemon stops.
 pub async fn run(context: Rc<GatewayContext>) {
     let connections = Rc::new(PeerConnections::default());
-    let mut missed = true_time::missed();
+    let mut missed = boot_clock::suspended_time();
     let mut ticks = interval(GOSSIP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         missed = log_suspension(&context, missed);
-        let now = true_time::now();
+        let now = boot_clock::now();
         context.wall_clock.borrow_mut().compare(wall_clock_ms(), now);
         context.peer_contact.borrow_mut().begin_interval(now);
         context.crashes.borrow_mut().forget_old(now);
@@ -128,7 +129,7 @@
 
 /// Logs a suspension of the VM since the last interval. Returns the total suspended time so far.
 fn log_suspension(context: &GatewayContext, missed_before: Duration) -> Duration {
-    let missed = true_time::missed();
+    let missed = boot_clock::suspended_time();
     if missed > missed_before {
         let gap_ms = (missed - missed_before).as_millis();
         spdlog::warn!("suspended", kv: { gap_ms = gap_ms as u64 });
@@ -166,7 +167,7 @@
     address: SocketAddr,
     fetches: TextFetches,
 ) {
-    let called_at = true_time::now();
+    let called_at = boot_clock::now();
     let parts = parts_to_request(context, address, fetches);
     let fetches_configuration = parts.configuration.is_some();
     let fetches_text = fetches_configuration || parts.endpoints.is_some();
@@ -195,7 +196,7 @@
         context.metrics.count_labelled("configuration_fetches", "outcome", name);
     }
     let mut catch_up = context.catch_up.borrow_mut();
-    catch_up.end_fetches(address, fetches, outcomes, true_time::now());
+    catch_up.end_fetches(address, fetches, outcomes, boot_clock::now());
 }
 
 /// Versions of the texts in a response.
@@ -235,6 +236,6 @@
         configuration: fetches_configuration
             .then(|| context.configuration_texts.borrow().request()),
         endpoints: fetches_endpoints.then(|| context.endpoint_texts.borrow().request()),
-        usage: requests_former_usage(context.age(true_time::now())),
+        usage: requests_former_usage(context.age(boot_clock::now())),
     }
 }
--- a/src/gateway/gossip/endpoint_signals/limits.rs
+++ b/src/gateway/gossip/endpoint_signals/limits.rs
@@ -12,6 +12,7 @@
     report_source::ReportSource,
 };
 use crate::{
+    boot_clock,
     gateway::{
         context::GatewayContext,
         policy::endpoint::{
@@ -24,7 +25,6 @@
         },
     },
     ids::hash_parts,
-    true_time,
 };
 
 /// How often the limits are divided.
@@ -128,7 +128,7 @@
     limit: Option<f64>,
     sent: Instant,
 ) {
-    let now = true_time::now();
+    let now = boot_clock::now();
     let at = if limit.is_some() { now } else { sent };
     let observation = LimitObservation { limit, at };
     let change = context.endpoints.borrow_mut().record_limit(endpoint, observation, now);
--- a/src/gateway/gossip/incoming.rs
+++ b/src/gateway/gossip/incoming.rs
@@ -33,7 +33,7 @@
         leader::leader_lease::LeaseRenewal,
     },
 };
-use crate::{store_position::StorePosition, true_time};
+use crate::{boot_clock, store_position::StorePosition};
 
 /// A daemon whose state has a lower sequence number than this has just started, so that all of its
 /// quota units were spent recently. With 20 outgoing and as many incoming calls per second, it
@@ -46,7 +46,7 @@
     if message.state.incarnation == context.incarnation {
         return;
     }
-    let now = true_time::now();
+    let now = boot_clock::now();
     apply_relayed_usage(context, &message);
     apply_reports(context, &message.crashes, now);
     apply_warnings(context, &message.warnings, now);
--- a/src/gateway/gossip/outgoing.rs
+++ b/src/gateway/gossip/outgoing.rs
@@ -13,6 +13,7 @@
         RelayedUsage, RequestedParts, SentEndpoints, SentText, TextRequest,
     },
 };
+use crate::boot_clock;
 use crate::gateway::{
     context::GatewayContext,
     policy::{
@@ -20,7 +21,6 @@
         leader::usage_counts::WindowCounts,
     },
 };
-use crate::true_time;
 
 /// Maximum number of summaries of other daemons in one message.
 pub const PEER_SUMMARIES: usize = 8;
@@ -38,7 +38,7 @@
 
 /// Builds this daemon's message, with the parts that the other side has requested.
 pub fn own_message(context: &GatewayContext, wants: RequestedParts) -> GossipMessage {
-    let now = true_time::now();
+    let now = boot_clock::now();
     let is_starting = !context.knows_what_peers_know(now);
     let configuration = context.configuration.borrow();
     let list = context.endpoint_list.borrow();
@@ -130,7 +130,7 @@
         accounts: context.quotas.borrow().group_counters().collect(),
         windows: newest_windows(context.usage.borrow().group_totals()),
         services: endpoints.group_services(),
-        loads: endpoints.group_loads(true_time::now()),
+        loads: endpoints.group_loads(boot_clock::now()),
     }
 }
 
--- a/src/gateway/leader/leader_tasks.rs
+++ b/src/gateway/leader/leader_tasks.rs
@@ -20,6 +20,7 @@
     lease_record::{LeaseRecord, UsageReport},
 };
 use crate::{
+    boot_clock,
     errors::StepError,
     gateway::{
         context::GatewayContext,
@@ -34,7 +35,6 @@
     },
     platform::cloud::{CloudClient, CloudOutcome, EndpointOrder},
     store_position::StorePosition,
-    true_time,
 };
 
 /// Name of the service.
@@ -72,8 +72,8 @@
         cloud: CloudClient::new(address),
         lease: LeaseKeeper::new(context.clone()),
         sent_window: None,
-        report_told_at: true_time::now(),
-        next_try: true_time::now(),
+        report_told_at: boot_clock::now(),
+        next_try: boot_clock::now(),
         orders: EndpointOrders::default(),
         waves: ReclaimWaves::default(),
         watched_position: StorePosition::NONE,
@@ -92,7 +92,7 @@
 
 impl LeaderTasks {
     async fn tick(&mut self) {
-        let now = true_time::now();
+        let now = boot_clock::now();
         self.watch_reclaims(now);
         if now < self.next_try {
             return;
@@ -104,7 +104,7 @@
         if let Err(error) = result {
             spdlog::warn!("leader task", kv: { outcome = "failed", error: = error });
             let spread = rand::rng().random_range(RETRY_SPREAD);
-            self.next_try = true_time::now() + RETRY_PAUSE.mul_f64(spread);
+            self.next_try = boot_clock::now() + RETRY_PAUSE.mul_f64(spread);
         }
     }
 
@@ -151,7 +151,7 @@
                 return Ok(());
             }
             if is_new {
-                let now = true_time::now();
+                let now = boot_clock::now();
                 self.report_told_at = now + self.context.sharing(now).report_age;
             }
         }
@@ -168,7 +168,7 @@
         if record.report.as_ref().is_some_and(|report| !self.is_reported(report.window)) {
             return None;
         }
-        let now = true_time::now();
+        let now = boot_clock::now();
         let report_age = self.context.sharing(now).report_age;
         if !has_received_counts(self.context.age(now), report_age) {
             return None;
@@ -190,7 +190,7 @@
     async fn send_report(&mut self) -> Result<(), StepError> {
         let report = self.lease.record().and_then(|record| record.report.clone());
         let Some(report) = report else { return Ok(()) };
-        let is_told = true_time::now() >= self.report_told_at;
+        let is_told = boot_clock::now() >= self.report_told_at;
         if self.is_reported(report.window) || !is_told || !self.lease.may_act() {
             return Ok(());
         }
@@ -213,7 +213,7 @@
         if !self.context.settings.leader_tasks.contains(&LeaderTask::EndpointOrders) {
             return Ok(());
         }
-        let due = self.due_orders(true_time::now());
+        let due = self.due_orders(boot_clock::now());
         if due.is_empty() || !self.lease.may_act() {
             return Ok(());
         }
@@ -265,6 +265,6 @@
             Ok(CloudOutcome::Done | CloudOutcome::Fenced) => OrderResult::Accepted,
             Err(_) => OrderResult::Unknown, // Logged above.
         };
-        self.orders.finish(order, result, true_time::now());
+        self.orders.finish(order, result, boot_clock::now());
     }
 }
--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -9,6 +9,7 @@
     lease_keeper::LeaseKeeper, lease_record::LeaseRecord, lease_sight::LeaseSight, quarantine,
 };
 use crate::{
+    boot_clock,
     errors::StepError,
     gateway::policy::leader::leader_lease::{
         AcquireDecision, LeaseOwner, ObservedLease, decide_acquire, first_fence,
@@ -17,7 +18,6 @@
     ids::SharedName,
     platform::store::WriteCondition,
     store_position::StoreEra,
-    true_time,
 };
 
 /// Longest random time added to a wait for the lease, in milliseconds, so that daemons do not all
@@ -46,7 +46,7 @@
     ///
     /// The store failed or did not respond in time.
     pub async fn try_acquire(&mut self) -> Result<AcquireResult, StepError> {
-        let now = true_time::now();
+        let now = boot_clock::now();
         // Peers know of holders that a store restored from a copy no longer shows.
         let has_peer_contact = self.context.knows_what_peers_know(now);
         let is_able = has_peer_contact && self.context.configuration().is_some();
--- a/src/gateway/leader/lease_keeper.rs
+++ b/src/gateway/leader/lease_keeper.rs
@@ -16,6 +16,7 @@
     quarantine,
 };
 use crate::{
+    boot_clock,
     errors::StepError,
     gateway::{
         context::GatewayContext,
@@ -27,7 +28,6 @@
         store::{StoredObject, WriteCondition, WriteResult},
     },
     store_position::StorePosition,
-    true_time,
 };
 
 /// The lease as one daemon keeps it.
@@ -66,7 +66,7 @@
     ///
     /// The store failed or did not respond within the time limit.
     pub async fn read_at_start(&mut self) -> Result<(), StepError> {
-        let asked_at = true_time::now();
+        let asked_at = boot_clock::now();
         let object = self.store.read_within_limit().await?;
         self.observe(object, asked_at);
         Ok(())
@@ -79,7 +79,7 @@
 
     /// Whether this daemon may act as the leader now.
     pub fn may_act(&self) -> bool {
-        self.context.lease.borrow().may_act(self.lease(), true_time::now())
+        self.context.lease.borrow().may_act(self.lease(), boot_clock::now())
     }
 
     /// The record that the lease holds, if this daemon has read or written it.
@@ -176,7 +176,7 @@
         if self.is_write_unconfirmed {
             self.reconcile().await?;
         }
-        let now = true_time::now();
+        let now = boot_clock::now();
         let Some(seen) = self.seen.clone() else {
             self.lose(LossReason::UnknownRecord);
             return Ok(HoldDecision::Lose(LossReason::UnknownRecord));
@@ -222,7 +222,7 @@
         condition: WriteCondition,
         record: LeaseRecord,
     ) -> Result<bool, StepError> {
-        let started_at = true_time::now();
+        let started_at = boot_clock::now();
         let record = LeaseRecord { era: condition.era(), ..record };
         self.is_write_unconfirmed = true;
         let position = match self.store.write("write lease", condition, &record).await? {
@@ -272,10 +272,10 @@
     }
 
     pub(super) fn throttled_accounts(&self) -> Vec<SharedName> {
-        self.context.quotas.borrow().throttled(true_time::now())
+        self.context.quotas.borrow().throttled(boot_clock::now())
     }
 
     pub(super) fn known_daemons(&self) -> usize {
-        self.context.peers.borrow().sharing(true_time::now()).known
+        self.context.peers.borrow().sharing(boot_clock::now()).known
     }
 }
--- a/src/gateway/leader/lease_reconcile.rs
+++ b/src/gateway/leader/lease_reconcile.rs
@@ -10,15 +10,15 @@
     lease_store::STORE_LIMIT,
 };
 use crate::{
-    errors::StepError, gateway::policy::leader::leader_lease::LossReason,
-    platform::store::WriteCondition, true_time,
+    boot_clock, errors::StepError, gateway::policy::leader::leader_lease::LossReason,
+    platform::store::WriteCondition,
 };
 
 impl LeaseKeeper {
     /// After a write whose outcome is not known: reads what the lease is now. If the write was
     /// done, this daemon goes on from it; it acts again only after a write that is confirmed.
     pub(super) async fn reconcile(&mut self) -> Result<(), StepError> {
-        let asked_at = true_time::now();
+        let asked_at = boot_clock::now();
         let Ok(object) = timeout(STORE_LIMIT, self.store.read()).await else {
             return Err(self.store.timed_out("read lease"));
         };
--- a/src/gateway/leader/quarantine.rs
+++ b/src/gateway/leader/quarantine.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use super::lease_record::QuarantinedRequest;
+use crate::boot_clock;
 use crate::gateway::{context::GatewayContext, policy::request::crash_ledger::MAX_REPORTED};
-use crate::true_time;
 
 /// The requests that this daemon knows to be quarantined, as many as fit into a report, the
 /// newest ones.
 pub fn stored_requests(context: &GatewayContext) -> Vec<QuarantinedRequest> {
-    let now = true_time::now();
+    let now = boot_clock::now();
     let ledger = context.crashes.borrow();
     let known = ledger.quarantined().filter_map(|(request, record)| {
         let age = now.saturating_duration_since(record.last_crash()?);
@@ -29,7 +29,7 @@
 /// Quarantines the requests of a record that this daemon knows nothing of. The record may have
 /// been written some time ago: they then look younger, and their trials come later.
 pub fn restore_requests(context: &GatewayContext, stored: &[QuarantinedRequest]) {
-    let now = true_time::now();
+    let now = boot_clock::now();
     for QuarantinedRequest { fingerprint, trials, crash_age_ms } in stored {
         let Ok(request) = fingerprint.parse() else {
             spdlog::warn!("stored fingerprint not read", kv: { fingerprint: });
--- a/src/gateway/policy/leader/wall_clock.rs
+++ b/src/gateway/policy/leader/wall_clock.rs
@@ -6,7 +6,7 @@
 //! lasted for `JUMP_ACCEPTED_AFTER`, so that a clock that is wrong for a few seconds does not move
 //! requests into windows that were already reported.
 
-use crate::true_time;
+use crate::boot_clock;
 use std::time::Duration;
 
 use tokio::time::Instant;
@@ -68,7 +68,7 @@
 
     /// Number of the current window of this length.
     pub fn window(&self, length: Duration) -> u64 {
-        self.now_ms(true_time::now()) / (length.as_millis() as u64).max(1)
+        self.now_ms(boot_clock::now()) / (length.as_millis() as u64).max(1)
     }
 
     fn elapsed_ms(&self, now: Instant) -> i64 {
--- a/src/gateway/request/admission.rs
+++ b/src/gateway/request/admission.rs
@@ -13,6 +13,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::request_log::RequestTrace;
+use crate::boot_clock;
 use crate::gateway::{
     call::{Call, CallHead},
     configuration::{Account, Configuration, Route, Service},
@@ -25,7 +26,6 @@
         retry_after, time_limits,
     },
 };
-use crate::true_time;
 
 /// A request that has been checked and admitted.
 pub struct Admitted {
@@ -91,7 +91,7 @@
     let body = read_body(body, configuration.limits.body_bytes, deadline).await?;
     let service = draw_service(&configuration, &route)
         .ok_or(Refusal::NoEndpoint(retry_after::NO_ENDPOINT))?;
-    let now = true_time::now();
+    let now = boot_clock::now();
     if let Some(account) = &account {
         charge_quota(context, account, &head, now)?;
     }
@@ -112,7 +112,8 @@
     if body.size_hint().lower() > limit as u64 {
         return Err(Refusal::BodyTooLong);
     }
-    let collecting = timeout_at(true_time::timer_at(deadline), Limited::new(body, limit).collect());
+    let collecting =
+        timeout_at(boot_clock::timer_at(deadline), Limited::new(body, limit).collect());
     match collecting.await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLong),
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -27,6 +27,7 @@
     run_guard::RunGuard,
 };
 use crate::{
+    boot_clock,
     endpoint_health::AttemptResult,
     gateway::{
         call::AttemptHead,
@@ -45,7 +46,6 @@
     },
     ids::SharedName,
     platform::ingress,
-    true_time,
 };
 
 /// State of the attempts at one request.
@@ -64,7 +64,7 @@
 /// Whether the request may be retried: attempts and time are left, and the service's retry budget
 /// allows it. Withdraws the retry from the budget if so.
 pub fn may_try_again(context: &GatewayContext, admitted: &Admitted, attempts: &Attempts) -> bool {
-    let now = true_time::now();
+    let now = boot_clock::now();
     attempts.sent < admitted.route.attempts
         && now < admitted.deadline
         && context.try_withdraw_retry(&admitted.service.name, now)
@@ -103,7 +103,7 @@
     if !guard.try_mark_sent() {
         return Ok(return_unsent(context, connection, trace));
     }
-    let now = true_time::now();
+    let now = boot_clock::now();
     let request = endpoint_request(admitted, &endpoint.id, resume_after, now);
     let until = response_deadline(admitted, attempts, &choice, now);
     match connection.send(request, until).await {
@@ -205,7 +205,7 @@
 ) {
     let request = admitted.fingerprint();
     trace.run_broke(request);
-    let run = BrokenRun { request, begun, broken: true_time::now() };
+    let run = BrokenRun { request, begun, broken: boot_clock::now() };
     crash_watch::run_broke(context, endpoint, run);
 }
 
--- a/src/gateway/request/attempt/choice.rs
+++ b/src/gateway/request/attempt/choice.rs
@@ -7,6 +7,7 @@
 
 use super::Attempts;
 use crate::{
+    boot_clock,
     gateway::{
         call::CallHead,
         context::GatewayContext,
@@ -24,7 +25,6 @@
         request::{admission::Admitted, crash_watch, request_log::RequestTrace},
     },
     ids::SharedName,
-    true_time,
 };
 
 /// Refuses a request that crashes endpoints, at its first attempt and at each retry. Otherwise a
@@ -38,7 +38,7 @@
         return Ok(());
     }
     let refusal = |reason: NoAttempt| reason.refusal(attempts.may_have_run, admitted.route.target);
-    if !context.knows_what_peers_know(true_time::now()) {
+    if !context.knows_what_peers_know(boot_clock::now()) {
         return Err(refusal(NoAttempt::NoPeerContact));
     }
     match crash_watch::decide_run(context, admitted) {
@@ -59,7 +59,7 @@
     trace: &mut RequestTrace,
 ) -> Result<EndpointChoice, Refusal> {
     let refusal = |reason: NoAttempt| reason.refusal(attempts.may_have_run, admitted.route.target);
-    let now = true_time::now();
+    let now = boot_clock::now();
     if now >= admitted.deadline {
         return Err(refusal(NoAttempt::DeadlineOver));
     }
@@ -81,7 +81,7 @@
 /// otherwise the client would get an error of this daemon instead of it.
 pub fn has_another(context: &GatewayContext, admitted: &Admitted, attempts: &Attempts) -> bool {
     let query = choice_query(context, admitted, attempts);
-    let choice = context.endpoints.borrow().choose(&query, true_time::now(), &mut rand::rng());
+    let choice = context.endpoints.borrow().choose(&query, boot_clock::now(), &mut rand::rng());
     matches!(choice, ChoiceResult::Endpoint(_))
 }
 
@@ -111,7 +111,7 @@
 /// a failure that was to be expected of the endpoint would reach the client. The budget is not
 /// checked while all endpoints are healthy.
 fn may_afford_retry(context: &GatewayContext, service: &SharedName) -> bool {
-    let now = true_time::now();
+    let now = boot_clock::now();
     !context.endpoints.borrow().any_risky(service, now) || context.has_retry(service, now)
 }
 
@@ -129,7 +129,7 @@
 
 /// Retry-after of a request that no endpoint accepted.
 pub fn wait_for_room(context: &GatewayContext, admitted: &Admitted) -> Duration {
-    let now = true_time::now();
+    let now = boot_clock::now();
     let forecast = context.endpoints.borrow().forecast(&admitted.service.name, now);
     retry_after::by_forecast(forecast, admitted.route.target, now, &mut rand::rng())
 }
--- a/src/gateway/request/attempt/endpoint_response.rs
+++ b/src/gateway/request/attempt/endpoint_response.rs
@@ -8,11 +8,11 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
+    boot_clock,
     gateway::request::{
         connection_pool::EndpointConnection, response_meaning::ResponseMetadata,
         run_guard::RunGuard,
     },
-    true_time,
 };
 
 /// An endpoint's response, with everything that is needed to relay it.
@@ -51,7 +51,7 @@
         if self.response_deadline >= deadline || body.is_end_stream() {
             return false;
         }
-        match timeout_at(true_time::timer_at(self.response_deadline), body.frame()).await {
+        match timeout_at(boot_clock::timer_at(self.response_deadline), body.frame()).await {
             // Out of time.
             Err(_) => true,
             Ok(Some(Ok(frame))) => {
--- a/src/gateway/request/client_listener.rs
+++ b/src/gateway/request/client_listener.rs
@@ -29,6 +29,7 @@
 
 use super::{client_stream::ClientStream, dispatch};
 use crate::{
+    boot_clock,
     gateway::{
         configuration::ClientLimits,
         context::{GatewayContext, Intake},
@@ -36,7 +37,6 @@
     },
     http::{BodyError, LocalBody},
     kernel::LifePhase,
-    true_time,
 };
 
 /// Name of the service.
@@ -64,7 +64,7 @@
 
 impl ConnectionUse {
     fn new() -> Self {
-        Self { is_busy: Cell::new(false), idle_since: Cell::new(true_time::now()) }
+        Self { is_busy: Cell::new(false), idle_since: Cell::new(boot_clock::now()) }
     }
 
     fn begin_request(&self) {
@@ -73,7 +73,7 @@
 
     fn end_request(&self) {
         self.is_busy.set(false);
-        self.idle_since.set(true_time::now());
+        self.idle_since.set(boot_clock::now());
     }
 }
 
@@ -224,11 +224,11 @@
             continue;
         }
         let close_at = usage.idle_since.get() + idle_timeout + IDLE_MARGIN;
-        sleep_until(true_time::timer_at(close_at)).await;
+        sleep_until(boot_clock::timer_at(close_at)).await;
         // A request may have begun in the meantime. If the connection were closed after its
         // response, the client's next request would be lost: each time in the test whose first
         // request comes after 100 ms.
-        let has_passed = usage.idle_since.get() + idle_timeout + IDLE_MARGIN <= true_time::now();
+        let has_passed = usage.idle_since.get() + idle_timeout + IDLE_MARGIN <= boot_clock::now();
         if has_passed && !usage.is_busy.get() {
             return;
         }
--- a/src/gateway/request/connection_pool.rs
+++ b/src/gateway/request/connection_pool.rs
@@ -26,10 +26,10 @@
 };
 
 use crate::{
+    boot_clock,
     gateway::{endpoint::EndpointRecord, policy::request::retries::ConnectionReuse},
     ids::SharedName,
     metrics::MetricsHandle,
-    true_time,
 };
 
 /// Longest wait for a new connection: several round trips. After it another endpoint is tried.
@@ -132,7 +132,7 @@
         deadline: Instant,
     ) -> Result<Response<Incoming>, SendFailure> {
         let sending = self.sender.try_send_request(request);
-        match timeout_at(true_time::timer_at(deadline), sending).await {
+        match timeout_at(boot_clock::timer_at(deadline), sending).await {
             // Timed out.
             Err(_) => Err(SendFailure::NoResponse),
             Ok(Ok(response)) => Ok(response),
@@ -155,7 +155,7 @@
 impl ConnectionPool {
     /// Empty pool.
     pub fn new(metrics: MetricsHandle) -> Self {
-        let pruned_at = Rc::new(Cell::new(true_time::now()));
+        let pruned_at = Rc::new(Cell::new(boot_clock::now()));
         Self { idle: Rc::default(), pruned_at, metrics }
     }
 
@@ -182,20 +182,18 @@
         endpoint: &EndpointRecord,
         deadline: Instant,
     ) -> Result<RequestSender, SendFailure> {
-        let until = deadline.min(true_time::now() + CONNECT_LIMIT);
-        let stream = match timeout_at(
-            true_time::timer_at(until),
-            TcpStream::connect(endpoint.address),
-        )
-        .await
-        {
-            Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                return Err(SendFailure::Refused);
-            }
-            // Unreachable or not connected in time: this makes no difference to the request.
-            Ok(Err(_)) | Err(_) => return Err(SendFailure::NoConnection),
-        };
+        let until = deadline.min(boot_clock::now() + CONNECT_LIMIT);
+        let stream =
+            match timeout_at(boot_clock::timer_at(until), TcpStream::connect(endpoint.address))
+                .await
+            {
+                Ok(Ok(stream)) => stream,
+                Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
+                    return Err(SendFailure::Refused);
+                }
+                // Unreachable or not connected in time: this makes no difference to the request.
+                Ok(Err(_)) | Err(_) => return Err(SendFailure::NoConnection),
+            };
         // Fails only on a socket that is already broken, which sending will report.
         let _ = stream.set_nodelay(true);
         self.metrics.count("replica_connections", 1);
@@ -210,7 +208,7 @@
 
     /// Takes the most recently used idle connection, if `reuse` allows it.
     fn take_idle(&self, endpoint: &EndpointStart, reuse: ConnectionReuse) -> Option<RequestSender> {
-        let now = true_time::now();
+        let now = boot_clock::now();
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(endpoint)?;
         list.retain(|connection| connection.is_open(now));
@@ -225,7 +223,7 @@
         if usable_for.is_zero() {
             return;
         }
-        let now = true_time::now();
+        let now = boot_clock::now();
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(connection.endpoint).or_default();
         if list.len() < MAX_IDLE_PER_ENDPOINT {
--- a/src/gateway/request/crash_watch.rs
+++ b/src/gateway/request/crash_watch.rs
@@ -16,6 +16,7 @@
 
 use super::admission::Admitted;
 use crate::{
+    boot_clock,
     gateway::{
         context::GatewayContext,
         endpoint::EndpointRecord,
@@ -29,7 +30,6 @@
             },
         },
     },
-    true_time,
 };
 
 /// Delay between a broken run and the check of its endpoint. A process that ends closes its
@@ -64,7 +64,7 @@
     let makes_trial = |number: u32| {
         context.peers.borrow().is_first_for(request.head.wrapping_add(u64::from(number)))
     };
-    let verdict = ledger.decide_run(request, makes_trial, true_time::now());
+    let verdict = ledger.decide_run(request, makes_trial, boot_clock::now());
     match verdict {
         RunVerdict::Allowed => {}
         RunVerdict::Trial => {
@@ -83,7 +83,7 @@
         return;
     }
     let request = admitted.fingerprint();
-    if ledger.clear(request, true_time::now()) {
+    if ledger.clear(request, boot_clock::now()) {
         spdlog::info!("quarantine ended", kv: { fingerprint: = request, reason = "served" });
     }
 }
@@ -127,7 +127,7 @@
 }
 
 fn record_crash(context: &GatewayContext, endpoint: &str, runs: &[BrokenRun]) {
-    let now = true_time::now();
+    let now = boot_clock::now();
     let endpoint = endpoint_number(endpoint);
     let mut ledger = context.crashes.borrow_mut();
     for BrokenRun { request, begun, broken } in runs.iter().copied() {
--- a/src/gateway/request/dispatch.rs
+++ b/src/gateway/request/dispatch.rs
@@ -18,6 +18,7 @@
     request_log::RequestTrace,
 };
 use crate::{
+    boot_clock,
     endpoint_health::AttemptResult,
     gateway::{
         context::GatewayContext,
@@ -28,7 +29,6 @@
     },
     http::LocalBody,
     platform::ingress,
-    true_time,
 };
 
 /// Error that closes the connection of a client whose request did not arrive completely.
@@ -54,7 +54,7 @@
     context: &Rc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, std::io::Error> {
-    let received = true_time::now();
+    let received = boot_clock::now();
     let _active = context.active.enter();
     let (parts, body) = request.into_parts();
     let head = match ingress::read_head(parts) {
@@ -176,6 +176,6 @@
         FailureStep::RetryOr(reason) | FailureStep::GiveUp(reason) => Some(reason),
     };
     attempts.may_have_run |= failure == AttemptFailure::MayHaveRun;
-    let is_deadline_over = true_time::now() >= admitted.deadline;
+    let is_deadline_over = boot_clock::now() >= admitted.deadline;
     Some(reason?.refusal(is_deadline_over, wait_for_room(context, admitted)))
 }
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -28,6 +28,7 @@
     sized_body::SizedBody,
 };
 use crate::{
+    boot_clock,
     counting::CountGuard,
     endpoint_health::AttemptResult,
     gateway::{
@@ -35,7 +36,6 @@
         policy::request::{retries, time_limits},
     },
     http::{BodyError, LocalBody},
-    true_time,
 };
 
 /// Why a response is broken off.
@@ -197,7 +197,7 @@
                 self.attempts.sent,
                 self.events,
                 deadline,
-                true_time::now(),
+                boot_clock::now(),
             ),
         }
     }
--- a/src/gateway/request/relay/upstream.rs
+++ b/src/gateway/request/relay/upstream.rs
@@ -11,6 +11,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
+    boot_clock,
     gateway::request::{
         attempt::endpoint_response::{BodyStart, EndpointResponse},
         connection_pool::EndpointConnection,
@@ -18,7 +19,6 @@
         run_guard::RunGuard,
     },
     platform::ingress,
-    true_time,
 };
 
 /// Body of a response with its connection and its run.
@@ -54,7 +54,7 @@
     pub fn of(response: EndpointResponse) -> (Response<()>, Self) {
         let EndpointResponse { response, body_start, metadata, connection, guard, .. } = response;
         let (head, body) = ingress::client_response(response);
-        let head_received = true_time::now();
+        let head_received = boot_clock::now();
         (
             head,
             Self { body_start, body, metadata, connection, guard, head_received, has_body: false },
@@ -89,7 +89,7 @@
     }
 
     async fn read_piece(&mut self, until: Instant) -> BodyPiece {
-        match timeout_at(true_time::timer_at(until), self.body.frame()).await {
+        match timeout_at(boot_clock::timer_at(until), self.body.frame()).await {
             Err(_) => BodyPiece::Silent, // Out of time.
             Ok(None) => BodyPiece::End,
             // The error's details don't matter: this endpoint is given up in any case.
--- a/src/gateway/request/request_log.rs
+++ b/src/gateway/request/request_log.rs
@@ -10,6 +10,7 @@
 
 use super::{connection_pool::SendFailure, response_meaning::ResponseMetadata};
 use crate::{
+    boot_clock,
     gateway::{
         context::GatewayContext,
         policy::{
@@ -18,7 +19,6 @@
         },
     },
     ids::SharedName,
-    true_time,
 };
 
 /// Trace of one request. Writes the log line when the request ends, or when the trace is dropped.
@@ -45,7 +45,7 @@
             route: None,
             account: None,
             steps: String::new(),
-            begun: true_time::now(),
+            begun: boot_clock::now(),
             first_after: None,
             fingerprint: None,
             ended: false,
@@ -76,7 +76,7 @@
 
     /// Records that an attempt failed.
     pub fn failed(&mut self, failure: &SendFailure) {
-        let after = true_time::since(self.begun).as_millis();
+        let after = boot_clock::since(self.begun).as_millis();
         // Writing to a string cannot fail.
         let _ = write!(self.steps, " {failure} after {after};");
         self.context.metrics.count("attempts_failed", 1);
@@ -91,7 +91,7 @@
 
     /// Records that no body followed a response's head, and that another attempt follows.
     pub fn missing_body(&mut self) {
-        let after = true_time::since(self.begun).as_millis();
+        let after = boot_clock::since(self.begun).as_millis();
         // Writing to a string cannot fail.
         let _ = write!(self.steps, " no body after {after};");
         self.context.metrics.count("attempts_failed", 1);
@@ -104,7 +104,7 @@
 
     /// Records the head of an endpoint's response.
     pub fn responded(&mut self, status: StatusCode, metadata: &ResponseMetadata) {
-        let after = true_time::since(self.begun).as_millis();
+        let after = boot_clock::since(self.begun).as_millis();
         let (status, meaning) = (status.as_u16(), metadata.meaning);
         // Writing to a string cannot fail.
         let _ = write!(self.steps, " {status} {meaning:?}{} after {after};", metadata.signals);
@@ -112,7 +112,7 @@
 
     /// Records that the first event of a stream was passed on.
     pub fn first_event(&mut self) {
-        let after = true_time::since(self.begun);
+        let after = boot_clock::since(self.begun);
         self.first_after = Some(after);
         self.context.metrics.duration("first_event", after);
     }
@@ -132,7 +132,7 @@
     /// Ends the trace of a request whose response was passed on completely.
     pub fn finished(&mut self, events: u64) {
         self.context.metrics.count("answered", 1);
-        self.context.metrics.duration("answer", true_time::since(self.begun));
+        self.context.metrics.duration("answer", boot_clock::since(self.begun));
         self.end("answered", events);
     }
 
@@ -145,7 +145,7 @@
     fn end(&mut self, outcome: &str, events: u64) {
         self.ended = true;
         let mut lines = self.context.request_lines.borrow_mut();
-        if !lines.allows(true_time::now()) {
+        if !lines.allows(boot_clock::now()) {
             self.context.metrics.count("request_lines_dropped", 1);
             return;
         }
@@ -154,7 +154,7 @@
             spdlog::warn!("request lines dropped", kv: { dropped });
         }
         drop(lines);
-        let now = true_time::now();
+        let now = boot_clock::now();
         let configuration = self.context.configuration();
         let version = configuration.map_or(0, |current| current.version);
         let proof_age_ms = self.context.configuration.borrow().proof_age_ms(now);
@@ -162,7 +162,7 @@
         let id = self.id.as_deref().unwrap_or("-");
         let route = self.route.as_deref().unwrap_or("-");
         let account = self.account.as_deref().unwrap_or("-");
-        let total_ms = true_time::since(self.begun).as_millis() as u64;
+        let total_ms = boot_clock::since(self.begun).as_millis() as u64;
         let fingerprint = self.fingerprint.map_or("-".to_owned(), |one| one.to_string());
         let first_ms = self.first_after.map_or(-1, |after| after.as_millis() as i64);
         spdlog::info!("request", kv: {
--- a/src/gateway/request/run_guard.rs
+++ b/src/gateway/request/run_guard.rs
@@ -5,6 +5,7 @@
 use tokio::time::Instant;
 
 use crate::{
+    boot_clock,
     endpoint_health::AttemptResult,
     gateway::{
         call::PromptPart,
@@ -16,7 +17,6 @@
             endpoint_table::attempt_results::{FoundFailing, RequestIntake, RunPermits},
         },
     },
-    true_time,
 };
 
 /// Counts a run at its endpoint. Dropping the guard ends the run without affecting the endpoint's
@@ -47,7 +47,7 @@
         parts: &[PromptPart],
         load: RunLoad,
     ) -> Self {
-        let begun = true_time::now();
+        let begun = boot_clock::now();
         let mut endpoints = context.endpoints.borrow_mut();
         let was_idle = endpoints.is_idle(&endpoint.id, begun);
         let permits = endpoints.begin(&endpoint.id, parts, load, begun);
@@ -69,7 +69,7 @@
     /// endpoint was chosen, it may have announced a drain, a back-off or a lower limit, or a list
     /// may have marked it as leaving.
     pub fn try_mark_sent(&mut self) -> bool {
-        let now = true_time::now();
+        let now = boot_clock::now();
         let mut endpoints = self.context.endpoints.borrow_mut();
         if !endpoints.may_be_sent(&self.endpoint, now) {
             return false;
@@ -97,7 +97,7 @@
         self.permits.probe = None;
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
-            endpoints.record_refusal(&self.endpoint.id, backoff, true_time::now());
+            endpoints.record_refusal(&self.endpoint.id, backoff, boot_clock::now());
         }
     }
 
@@ -110,7 +110,7 @@
         let permit = self.permits.probe.take();
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
-            let now = true_time::now();
+            let now = boot_clock::now();
             endpoints.record_intake(&self.endpoint.id, permit, RequestIntake::Ran, now);
         }
     }
@@ -121,7 +121,7 @@
         self.permits.probe = None;
         let mut endpoints = self.context.endpoints.borrow_mut();
         if endpoints.knows_start(&self.endpoint) {
-            let found = endpoints.record_failure(&self.endpoint.id, self.begun, true_time::now());
+            let found = endpoints.record_failure(&self.endpoint.id, self.begun, boot_clock::now());
             report_failing(&self.context, &self.endpoint, found);
         }
     }
@@ -132,7 +132,7 @@
         if !endpoints.knows_start(&self.endpoint) {
             return;
         }
-        if endpoints.record_draining(&self.endpoint.id, true_time::now()) {
+        if endpoints.record_draining(&self.endpoint.id, boot_clock::now()) {
             self.context.metrics.count("endpoints_draining", 1);
             spdlog::info!("endpoint drains", kv: {
                 endpoint: = self.endpoint.id, source = "response"
@@ -177,7 +177,7 @@
             endpoints.prefill_done(
                 &self.endpoint.id,
                 uncached,
-                true_time::since(self.begun),
+                boot_clock::since(self.begun),
                 self.was_idle,
             );
         }
@@ -208,7 +208,7 @@
         if !endpoints.knows_start(&self.endpoint) {
             return;
         }
-        let now = true_time::now();
+        let now = boot_clock::now();
         if self.permits.has_token && !self.is_sent {
             endpoints.give_back_token(&self.endpoint.id);
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -17,9 +17,9 @@
         },
     },
 };
+use crate::boot_clock;
 use crate::ids::SharedName;
 use crate::store_position::StoreEra;
-use crate::true_time;
 
 /// State of one daemon. Ages are in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
@@ -108,7 +108,7 @@
 impl GatewayState {
     /// State of the daemon now.
     pub fn of(context: &GatewayContext) -> Self {
-        let now = true_time::now();
+        let now = boot_clock::now();
         let age_ms = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         let configuration = context.configuration.borrow();
         let lease = context.lease.borrow();
--- a/src/gateway/status_listeners.rs
+++ b/src/gateway/status_listeners.rs
@@ -14,9 +14,9 @@
     state::GatewayState,
 };
 use crate::{
+    boot_clock,
     http::{ResponseBody, server, whole_body},
     platform::ingress,
-    true_time,
 };
 
 /// Name of the readiness service.
@@ -39,7 +39,7 @@
 pub async fn serve_readiness(listener: TcpListener, context: Rc<GatewayContext>) {
     let phase = context.kernel.phase();
     let handler = move |request: Request<Incoming>| {
-        let ready = context.readiness(true_time::now()) == Readiness::Ready;
+        let ready = context.readiness(boot_clock::now()) == Readiness::Ready;
         let status = match (ingress::is_readiness(request.uri().path()), ready) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
@@ -74,7 +74,7 @@
         Ok(request) => request,
         Err(BadFingerprint) => return (StatusCode::BAD_REQUEST, BadFingerprint.to_string()),
     };
-    let was_quarantined = context.crashes.borrow_mut().clear(request, true_time::now());
+    let was_quarantined = context.crashes.borrow_mut().clear(request, boot_clock::now());
     if !was_quarantined {
         return (StatusCode::NOT_FOUND, "not quarantined".to_owned());
     }
--- a/src/gateway/store_watch.rs
+++ b/src/gateway/store_watch.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, sleep};
 
 use super::context::GatewayContext;
+use crate::boot_clock;
 use crate::errors::StepError;
-use crate::true_time;
 
 pub mod configuration_watch;
 pub mod endpoint_watch;
@@ -43,7 +43,8 @@
 impl RetryPauses {
     fn succeeded(&mut self, context: &GatewayContext) {
         if let Some(lost_at) = self.lost_at.take() {
-            let (failures, lost_ms) = (self.failures, true_time::since(lost_at).as_millis() as u64);
+            let (failures, lost_ms) =
+                (self.failures, boot_clock::since(lost_at).as_millis() as u64);
             spdlog::info!("store", kv: { outcome = "regained", failures, lost_ms });
         }
         self.failures = 0;
@@ -54,9 +55,9 @@
     async fn failed(&mut self, context: &GatewayContext, error: &StepError) {
         if self.failures == 0 {
             spdlog::warn!("store", kv: { outcome = "lost", error: = error });
-            self.lost_at = Some(true_time::now());
+            self.lost_at = Some(boot_clock::now());
         }
-        context.store_failed.set(Some(true_time::now()));
+        context.store_failed.set(Some(boot_clock::now()));
         context.metrics.count("store_failures", 1);
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
@@ -70,7 +71,7 @@
 /// over new connections.
 async fn wait_until_watcher(context: &GatewayContext) -> bool {
     let mut has_waited = false;
-    while !context.watches_store(true_time::now()) {
+    while !context.watches_store(boot_clock::now()) {
         has_waited = true;
         sleep(WATCHER_CHECK_INTERVAL).await;
     }
--- a/src/gateway/store_watch/configuration_watch.rs
+++ b/src/gateway/store_watch/configuration_watch.rs
@@ -9,6 +9,7 @@
 
 use super::{RetryPauses, wait_until_watcher};
 use crate::{
+    boot_clock,
     errors::StepError,
     gateway::{
         configuration_state::ConfigurationSource, context::GatewayContext,
@@ -19,7 +20,6 @@
         store::{ObjectChange, StoredObject, WatchResult},
     },
     store_position::StorePosition,
-    true_time,
 };
 
 /// Name of the service.
@@ -73,7 +73,7 @@
 
 /// Lists the configuration; returns the store's position.
 async fn list_configuration(context: &GatewayContext) -> Result<StorePosition, StepError> {
-    let asked_at = true_time::now();
+    let asked_at = boot_clock::now();
     let listing = context.store.list(CONFIGURATION_KIND).await?;
     let object = listing.objects.iter().find(|object| &*object.name == CONFIGURATION_NAME);
     if let Some(object) = object {
@@ -87,7 +87,7 @@
     context: &GatewayContext,
     position: StorePosition,
 ) -> Result<NextCall, StepError> {
-    let asked_at = true_time::now();
+    let asked_at = boot_clock::now();
     let is_single_group = context.peers.borrow().is_single_group();
     let wait = watch_wait(context.settings.bounds.apply_limit, is_single_group);
     let doubt_left = context.configuration.borrow().doubt_left(asked_at);
--- a/src/gateway/store_watch/endpoint_watch.rs
+++ b/src/gateway/store_watch/endpoint_watch.rs
@@ -9,6 +9,7 @@
 
 use super::{RetryPauses, foreign_entries::ForeignEntries, wait_until_watcher};
 use crate::{
+    boot_clock,
     errors::StepError,
     gateway::{
         context::GatewayContext,
@@ -21,7 +22,6 @@
         store::{ObjectChange, ObjectListing, StoredObject, WatchResult},
     },
     store_position::StorePosition,
-    true_time,
 };
 
 /// Name of the service.
@@ -65,7 +65,7 @@
 
 impl EndpointWatch {
     fn new(context: Rc<GatewayContext>) -> Self {
-        Self { context, known: None, foreign: ForeignEntries::new(true_time::now()) }
+        Self { context, known: None, foreign: ForeignEntries::new(boot_clock::now()) }
     }
 
     /// One call about endpoints.
--- a/src/gateway/store_watch/foreign_entries.rs
+++ b/src/gateway/store_watch/foreign_entries.rs
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 
 use crate::{
-    gateway::context::GatewayContext, ids::SharedName, logs::LineBudget,
-    platform::store::StoredObject, store_position::StorePosition, true_time,
+    boot_clock, gateway::context::GatewayContext, ids::SharedName, logs::LineBudget,
+    platform::store::StoredObject, store_position::StorePosition,
 };
 
 /// Log lines a second about such entries: another writer may spoil all entries at once, again and
@@ -30,7 +30,7 @@
     /// Notes that an entry names no endpoint.
     pub fn found(&mut self, context: &GatewayContext, object: &StoredObject, reason: &str) {
         let known = self.positions.insert(object.name.clone(), object.position);
-        if known == Some(object.position) || !self.lines.allows(true_time::now()) {
+        if known == Some(object.position) || !self.lines.allows(boot_clock::now()) {
             return;
         }
         context.metrics.count("foreign_entries_seen", 1);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,7 @@
 //! [`control`] is the operators' tool; [`standin`] simulates the platform, endpoints and clients of
 //! the native interface for tests and examples. See docs/architecture.md for an overview.
 
+pub mod boot_clock;
 pub mod control;
 pub mod counting;
 pub mod endpoint_health;
@@ -26,7 +27,6 @@
 pub mod standin;
 pub mod store_position;
 pub mod timeouts;
-pub mod true_time;
 
 /// Code generated from schema/peer.capnp by schema/generate.sh.
 #[rustfmt::skip]
--- a/tests/gateway/suspension.rs
+++ b/tests/gateway/suspension.rs
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use serde_json::json;
 use tokio::{sync::oneshot, task::LocalSet, time::Instant};
-use willowarch::{gateway::daemon, platform::settings, true_time};
+use willowarch::{boot_clock, gateway::daemon, platform::settings};
 
 use crate::{
     endpoint_standin::{EndpointManner, EndpointStandin},
@@ -47,7 +47,7 @@
                 let parsed = settings::parse(&text).expect("settings");
                 tokio::task::spawn_local(async move {
                     loop {
-                        pretended.try_iter().for_each(true_time::pretend_suspension);
+                        pretended.try_iter().for_each(boot_clock::simulate_suspension);
                         tokio::time::sleep(LOOK_EVERY).await;
                     }
                 });
@@ -95,11 +95,11 @@
 
 #[googletest::test]
 fn time_goes_on_and_timers_stay_with_the_runtime() {
-    let before = true_time::now();
-    true_time::pretend_suspension(LONG);
-    expect_that!(true_time::since(before), ge(LONG));
+    let before = boot_clock::now();
+    boot_clock::simulate_suspension(LONG);
+    expect_that!(boot_clock::since(before), ge(LONG));
     let runtime = Instant::now();
-    let timer = true_time::timer_at(true_time::now() + Duration::from_secs(1));
+    let timer = boot_clock::timer_at(boot_clock::now() + Duration::from_secs(1));
     let wait = timer.saturating_duration_since(runtime);
     expect_that!(wait, all!(ge(Duration::from_millis(990)), le(Duration::from_millis(1_010))));
 }
