--- a/src/native/cloud_api/client.rs
+++ b/src/native/cloud_api/client.rs
@@ -13,7 +13,8 @@
 use super::{
     ERA_HEADER,
     messages::{
-        NoticeList, ObjectEntry, ObjectList, PriceEntry, StartOrder, VmEntry, VmList, WriteReceipt,
+        NoticeList, ObjectEntry, ObjectList, PriceEntry, VmEntry, VmList, VmStartRequest,
+        WriteReceipt,
     },
 };
 use crate::{
@@ -113,7 +114,7 @@
     }
 
     /// Starts a VM; a second call with the same name starts no second VM.
-    pub async fn start_vm(&self, order: &StartOrder) -> Result<VmEntry, StepError> {
+    pub async fn start_vm(&self, order: &VmStartRequest) -> Result<VmEntry, StepError> {
         let call = self.cloud_api.send("start VM", Method::POST, "/vms", order)?;
         fetch(&self.cloud_api, call, CALL_LIMIT).await
     }
--- a/src/native/cloud_api/messages.rs
+++ b/src/native/cloud_api/messages.rs
@@ -112,7 +112,7 @@
 
 /// Request to start a VM; a second start with the same name starts no second VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StartOrder {
+pub struct VmStartRequest {
     /// Name of the VM.
     pub name: SharedName,
     /// Availability zone.
--- a/src/native/endpoint.rs
+++ b/src/native/endpoint.rs
@@ -10,7 +10,7 @@
 
 /// Request for a completion, as the daemon sends it to an engine.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct EngineOrder {
+pub struct EngineRequest {
     /// Prompt.
     pub prompt: String,
     /// Length limit of the whole response, in tokens.
@@ -40,7 +40,7 @@
 
 /// Request to copy the KV cache of a text from another engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ImportOrder {
+pub struct CacheImportRequest {
     /// Engine to copy the cache from.
     pub from: String,
     /// Text whose cache to copy: the prompt and the tokens so far.
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -24,7 +24,7 @@
     native::{
         cloud_api::{
             client::WriteCondition,
-            messages::{PriceEntry, ReclaimNotice, StartOrder, VmEntry, VmState},
+            messages::{PriceEntry, ReclaimNotice, VmEntry, VmStartRequest, VmState},
         },
         cluster::{
             events::ClusterEvent,
@@ -213,7 +213,7 @@
             return;
         }
         let place = vm.place();
-        let order = StartOrder {
+        let order = VmStartRequest {
             name: vm.name.clone(),
             zone: vm.zone,
             class: vm.class,
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -18,7 +18,7 @@
     ids::{AttemptId, RequestName},
     native::{
         decide::{limits::RequestPriority, reclaim::ReclaimWay},
-        endpoint::{EngineOrder, EngineToken, STREAM_END, sse::EventDecoder},
+        endpoint::{EngineRequest, EngineToken, STREAM_END, sse::EventDecoder},
         headers,
         request::{
             call::{ClientCall, CompletionCall, PlainCall},
@@ -73,7 +73,7 @@
         completion: &CompletionCall,
         tokens: &mut Vec<ResponseToken>,
     ) -> AttemptEnd {
-        let order = EngineOrder {
+        let order = EngineRequest {
             prompt: completion.prompt.to_string(),
             max_tokens: completion.max_tokens as usize,
             seed: completion.seed,
--- a/src/native/serve/run/driver/leaving.rs
+++ b/src/native/serve/run/driver/leaving.rs
@@ -9,7 +9,7 @@
     http::client::OutgoingCall,
     native::{
         decide::reclaim::ReclaimWay,
-        endpoint::ImportOrder,
+        endpoint::CacheImportRequest,
         serve::services::router::messages::{EndpointSlot, PickReply},
     },
 };
@@ -32,7 +32,7 @@
         let PickReply::Slot(next) = self.pick().await else { return };
         let Some(completion) = self.call.completion() else { return };
         let text = format!("{} {}", completion.prompt, self.tokens.concat());
-        let order = ImportOrder { from: from.to_string(), text };
+        let order = CacheImportRequest { from: from.to_string(), text };
         // This type always serializes.
         let body = serde_json::to_vec(&order).unwrap_or_default();
         let call = OutgoingCall::get("move KV cache", &next.pick.address, "/kv/import")
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -17,7 +17,7 @@
     },
     native::{
         decide::prefix::count_tokens,
-        endpoint::{EngineOrder, EngineToken, ImportOrder, STREAM_END},
+        endpoint::{CacheImportRequest, EngineRequest, EngineToken, STREAM_END},
         headers,
     },
 };
@@ -71,7 +71,7 @@
 ) -> Response<ResponseBody> {
     let id = reply::header(&request, headers::REQUEST_ID).unwrap_or("none").to_owned();
     let attempt = reply::header(&request, headers::ATTEMPT_ID).unwrap_or("none").to_owned();
-    let Some(order) = reply::read_json::<EngineOrder>(request).await else {
+    let Some(order) = reply::read_json::<EngineRequest>(request).await else {
         return reply::empty(StatusCode::BAD_REQUEST);
     };
     {
@@ -114,7 +114,7 @@
     }
 }
 
-fn start(endpoint: &EndpointStandin, order: &EngineOrder) -> (StreamSlot, Duration) {
+fn start(endpoint: &EndpointStandin, order: &EngineRequest) -> (StreamSlot, Duration) {
     let text = format!("{} {}", order.prompt, order.resume_tokens.concat());
     let mut state = endpoint.state.borrow_mut();
     let (cost, stored, forgotten) = state.model.start(&text);
@@ -131,7 +131,7 @@
 
 async fn stream(
     endpoint: EndpointStandin,
-    order: EngineOrder,
+    order: EngineRequest,
     mut sender: Sender<Bytes, CutError>,
 ) {
     wait_for_slot(&endpoint, order.priority).await;
@@ -170,7 +170,7 @@
     endpoint: &EndpointStandin,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let Some(order) = reply::read_json::<ImportOrder>(request).await else {
+    let Some(order) = reply::read_json::<CacheImportRequest>(request).await else {
         return reply::empty(StatusCode::BAD_REQUEST);
     };
     let tokens = count_tokens(&order.text);
--- a/src/standin/platform/vms.rs
+++ b/src/standin/platform/vms.rs
@@ -10,7 +10,7 @@
 use crate::{
     http::ResponseBody,
     ids::SharedName,
-    native::cloud_api::messages::{NoticeList, ReclaimNotice, StartOrder, VmEntry, VmState},
+    native::cloud_api::messages::{NoticeList, ReclaimNotice, VmEntry, VmStartRequest, VmState},
     standin::reply,
     store_position::StoreEra,
 };
@@ -34,7 +34,7 @@
     }
 
     pub(super) async fn start_vm(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let Some(order) = reply::read_json::<StartOrder>(request).await else {
+        let Some(order) = reply::read_json::<VmStartRequest>(request).await else {
             return reply::empty(StatusCode::BAD_REQUEST);
         };
         let mut state = self.state.borrow_mut();
