--- a/src/bin/willow_standin.rs
+++ b/src/bin/willow_standin.rs
@@ -25,8 +25,8 @@
     use std::{net::SocketAddr, path::PathBuf};
 
     xflags::xflags! {
-        /// Stand-ins for engines, plain services, the platform and clients. Faults are
-        /// switched with `POST /faults` at a stand-in's own address.
+        /// Stand-ins for engines, plain services, the platform and clients. `POST /faults` at
+        /// a stand-in's own address switches faults on and off.
         cmd willow-standin {
             /// Object API, cloud API, VM list and weight store.
             cmd platform {
--- a/src/control/table.rs
+++ b/src/control/table.rs
@@ -29,7 +29,7 @@
 /// bits.
 const EXACT_BITS: u32 = 53;
 
-/// An edit that was not made.
+/// Why an edit failed.
 #[derive(Debug, Display, Error, From)]
 pub enum EditError {
     /// The row is not valid.
@@ -105,7 +105,7 @@
     }
 
     /// Validates and writes a row, on condition that its version is `version` (0: it does not
-    /// exist). `extra_fields` are stored beside the row's own fields.
+    /// exist). `extra_fields` are stored in addition to the row's.
     pub fn write(&self, row: &Value, version: u64, extra_fields: &Value) -> Result<u64, EditError> {
         let name = TableRow::parse(&without_edit_fields(row), "row")?.object_name();
         let edit_id = rand::random::<u64>() >> (u64::BITS - EXACT_BITS);
--- a/src/http/api_client.rs
+++ b/src/http/api_client.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sends `call` and reads the response whole, all within `limit`.
+    /// Sends `call` and reads the whole response, all within `limit`.
     pub async fn fetch(
         &self,
         call: OutgoingCall,
--- a/src/native/options/check.rs
+++ b/src/native/options/check.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whole number within `range`, or `default` when absent.
+    /// Integer within `range`, or `default` when absent.
     pub fn count(&mut self, key: &'static str, range: RangeInclusive<u64>, default: u64) -> u64 {
         match self.get(key) {
             None => default,
--- a/src/native/options/rows.rs
+++ b/src/native/options/rows.rs
@@ -72,9 +72,9 @@
     pub repeatable: bool,
     /// Most requests in progress at one endpoint.
     pub concurrency: u32,
-    /// Fewest VMs to hold.
+    /// Smallest number of VMs to keep.
     pub min_vms: u32,
-    /// Most VMs to hold.
+    /// Largest number of VMs to keep.
     pub max_vms: u32,
     /// Latency target for the first token or the response, in milliseconds.
     pub target_ms: f64,
