--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -9,6 +9,7 @@
     lease_keeper::LeaseKeeper, lease_object::LeaseObject, lease_record::LeaseRecord, quarantine,
 };
 use crate::{
+    boot_clock,
     errors::StepError,
     gateway::policy::leader::leader_lease::{
         AcquireDecision, LeaseOwner, ObservedLease, decide_acquire, first_fence,
@@ -17,7 +18,6 @@
     ids::SharedName,
     platform::store::WriteCondition,
     store_position::StoreEra,
-    true_time,
 };
 
 /// Longest random delay added to a wait for the lease, in milliseconds, so that daemons do not all
@@ -46,7 +46,7 @@
     ///
     /// The store failed or did not respond in time.
     pub async fn try_acquire(&mut self) -> Result<AcquireResult, StepError> {
-        let now = true_time::now();
+        let now = boot_clock::now();
         // Peers know about holders that are missing from a store restored from a copy.
         let has_peer_contact = self.context.is_up_to_date_with_peers(now);
         let can_lead = has_peer_contact && self.context.configuration().is_some();
--- a/src/gateway/leader/lease_reconcile.rs
+++ b/src/gateway/leader/lease_reconcile.rs
@@ -10,15 +10,15 @@
     lease_store::STORE_TIMEOUT,
 };
 use crate::{
-    errors::StepError, gateway::policy::leader::leader_lease::LossReason,
-    platform::store::WriteCondition, true_time,
+    boot_clock, errors::StepError, gateway::policy::leader::leader_lease::LossReason,
+    platform::store::WriteCondition,
 };
 
 impl LeaseKeeper {
     /// Reads the lease after a write whose outcome is not known. If the write was done, this daemon
     /// continues from it, but acts as the leader only after a confirmed write.
     pub(super) async fn reconcile(&mut self) -> Result<(), StepError> {
-        let asked_at = true_time::now();
+        let asked_at = boot_clock::now();
         let Ok(object) = timeout(STORE_TIMEOUT, self.store.read()).await else {
             return Err(self.store.timeout_error("read lease"));
         };
--- a/src/gateway/leader/quarantine.rs
+++ b/src/gateway/leader/quarantine.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use super::lease_record::QuarantinedRequest;
+use crate::boot_clock;
 use crate::gateway::{context::GatewayContext, policy::request::crash_ledger::MAX_REPORTED};
-use crate::true_time;
 
 /// The quarantined requests that this daemon knows of: the [`MAX_REPORTED`] that crashed last, as many as
 /// fit into a report.
 pub fn stored_requests(context: &GatewayContext) -> Vec<QuarantinedRequest> {
-    let now = true_time::now();
+    let now = boot_clock::now();
     let ledger = context.crashes.borrow();
     let known = ledger.quarantined().filter_map(|(request, record)| {
         let age = now.saturating_duration_since(record.last_crash()?);
@@ -29,7 +29,7 @@
 /// Quarantines the requests of a lease record that this daemon does not know yet. If the record is
 /// old, their crashes look more recent than they are, and their trials come later.
 pub fn restore_requests(context: &GatewayContext, stored: &[QuarantinedRequest]) {
-    let now = true_time::now();
+    let now = boot_clock::now();
     for QuarantinedRequest { fingerprint, trials, crash_age_ms } in stored {
         let Ok(request) = fingerprint.parse() else {
             spdlog::warn!("fingerprint in the lease record not parsed", kv: { fingerprint: });
--- a/src/native/peer/client.rs
+++ b/src/native/peer/client.rs
@@ -1,8 +1,7 @@
-//! Connections to other daemons, one for each, and what a call over them needs: exactly the
-//! incarnation that is meant, a time limit, and an error that tells how it failed.
+//! Pool of connections to other daemons, one per daemon. Each call goes to one specific
+//! incarnation, has a time limit, and fails with an error that names the cause.
 //!
-//! A connection that breaks or times out is dropped from the pool and made anew by the next
-//! call.
+//! A connection that breaks or times out is removed from the pool; the next call opens a new one.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -11,28 +10,28 @@
 
 use super::{LocalIdentity, codec, is_compatible};
 use crate::{
-    clock::{WaitOver, wait_at_most},
     errors::{FailureCause, StepError},
     ids::{IncarnationId, SharedName},
     native::cluster::{events::PeerTarget, members::MemberRecord},
     peer_capnp::{gate, peer},
     rpc_transport::{TrafficCounter, rpc_system},
+    timeouts::{Elapsed, wait_at_most},
 };
 
-/// Longest wait for a connection, and for the hello over it: as `CALL_LIMIT`.
+/// Longest wait for a connection, and for the hello over it: the same as `CALL_LIMIT`.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Longest wait for a response that a peer gives at once: the longest that a probe may take before
-/// a peer counts as not reached.
+/// Longest wait for a call that the peer answers without waiting for anything: a probe that takes
+/// longer counts as failed.
 pub(super) const CALL_LIMIT: Duration = Duration::from_millis(500);
 
-struct OpenPeer {
+struct PeerConnection {
     incarnation: IncarnationId,
     client: peer::Client,
     task: tokio::task::AbortHandle,
-    used: std::cell::Cell<tokio::time::Instant>,
+    last_used: std::cell::Cell<tokio::time::Instant>,
 }
 
-impl Drop for OpenPeer {
+impl Drop for PeerConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -42,7 +41,7 @@
 #[derive(Clone)]
 pub struct PeerPool {
     identity: Rc<LocalIdentity>,
-    open: Rc<RefCell<HashMap<SharedName, Rc<OpenPeer>>>>,
+    open: Rc<RefCell<HashMap<SharedName, Rc<PeerConnection>>>>,
     traffic: TrafficCounter,
 }
 
@@ -51,12 +50,12 @@
 pub struct GreetedPeer {
     /// Its incarnation.
     pub incarnation: IncarnationId,
-    /// What it says of itself.
+    /// Its address and zone, from its hello.
     pub record: MemberRecord,
 }
 
 impl PeerPool {
-    /// Pool of the daemon `identity`.
+    /// Creates an empty pool for the daemon `identity`.
     pub fn new(identity: LocalIdentity) -> Self {
         Self {
             identity: Rc::new(identity),
@@ -67,10 +66,10 @@
 
     /// Closes connections that have not been used for `idle`.
     pub fn close_idle(&self, idle: Duration) {
-        self.open.borrow_mut().retain(|_, open| open.used.get().elapsed() < idle);
+        self.open.borrow_mut().retain(|_, open| open.last_used.get().elapsed() < idle);
     }
 
-    /// Bytes over all connections to peers, also those that they opened.
+    /// Bytes sent and received over all connections to peers, including those that peers opened.
     pub fn traffic(&self) -> &TrafficCounter {
         &self.traffic
     }
@@ -87,7 +86,10 @@
         Ok(greeted)
     }
 
-    async fn connect(&self, address: &SharedName) -> Result<(GreetedPeer, OpenPeer), StepError> {
+    async fn connect(
+        &self,
+        address: &SharedName,
+    ) -> Result<(GreetedPeer, PeerConnection), StepError> {
         let error = |cause| StepError::new("greet peer", address.clone(), cause);
         let connecting = timeout(CONNECT_LIMIT, TcpStream::connect(&**address)).await;
         let stream = match connecting {
@@ -98,7 +100,7 @@
         let mut rpc = rpc_system(stream, Side::Client, None, &self.traffic);
         let gate: gate::Client = rpc.bootstrap(Side::Server);
         let task = tokio::task::spawn_local(async move {
-            // Calls over a connection that has ended fail by themselves.
+            // The error is not needed: calls over a connection that has ended fail with their own.
             let _ = rpc.await;
         })
         .abort_handle();
@@ -108,9 +110,9 @@
             Err(_elapsed) => Err(error(FailureCause::timed_out(CONNECT_LIMIT))),
             Ok(Err(cause)) => Err(error(to_cause(&cause))),
             Ok(Ok((greeted, client))) => {
-                let used = std::cell::Cell::new(tokio::time::Instant::now());
+                let last_used = std::cell::Cell::new(tokio::time::Instant::now());
                 let incarnation = greeted.incarnation;
-                let open = OpenPeer { incarnation, client, task: task.clone(), used };
+                let open = PeerConnection { incarnation, client, task: task.clone(), last_used };
                 Ok((greeted, open))
             }
         };
@@ -141,12 +143,12 @@
         Ok((GreetedPeer { incarnation, record }, results.get_peer()?))
     }
 
-    /// Connection to exactly the incarnation of `target`.
+    /// Returns a connection to the incarnation of `target`; fails if another one has its address.
     async fn peer(
         &self,
         step: &'static str,
         target: &PeerTarget,
-    ) -> Result<Rc<OpenPeer>, StepError> {
+    ) -> Result<Rc<PeerConnection>, StepError> {
         let known = self.open.borrow().get(&target.address).cloned();
         let found = match known.filter(|open| open.incarnation == target.incarnation) {
             Some(open) => open,
@@ -161,11 +163,11 @@
             let cause = FailureCause::Refused("another incarnation".into());
             return Err(StepError::new(step, target.address.clone(), cause));
         }
-        found.used.set(tokio::time::Instant::now());
+        found.last_used.set(tokio::time::Instant::now());
         Ok(found)
     }
 
-    /// Runs one call within `limit`; a broken connection is dropped from the pool.
+    /// Runs one call within `limit`; removes the connection from the pool if it broke or timed out.
     pub(super) async fn call<T, F>(
         &self,
         step: &'static str,
@@ -181,7 +183,7 @@
         let cause = match answered {
             Ok(Ok(value)) => return Ok(value),
             Ok(Err(error)) => to_cause(&error),
-            Err(WaitOver) => FailureCause::timed_out(limit),
+            Err(Elapsed) => FailureCause::timed_out(limit),
         };
         if matches!(cause, FailureCause::Broken(_) | FailureCause::TimedOut(_)) {
             let mut pool = self.open.borrow_mut();
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -12,14 +12,13 @@
 use tokio::time::Duration;
 
 use crate::{
-    clock::{WaitOver, wait_at_most},
     endpoint_health::AttemptResult,
     errors::{FailureCause, StepError},
     http::client::OutgoingCall,
     ids::{AttemptId, RequestName},
     native::{
         decide::{limits::RequestPriority, reclaim::ReclaimWay},
-        endpoint::{EngineOrder, EngineToken, STREAM_END, sse::EventDecoder},
+        endpoint::{EngineRequest, EngineToken, STREAM_END, sse::EventDecoder},
         headers,
         request::{
             call::{ClientCall, CompletionCall, PlainCall},
@@ -31,6 +30,7 @@
             services::{router::messages::EndpointSlot, store_service::RequestMessage},
         },
     },
+    timeouts::{Elapsed, wait_at_most},
 };
 
 /// How an attempt ended.
@@ -73,7 +73,7 @@
         completion: &CompletionCall,
         tokens: &mut Vec<ResponseToken>,
     ) -> AttemptEnd {
-        let order = EngineOrder {
+        let order = EngineRequest {
             prompt: completion.prompt.to_string(),
             max_tokens: completion.max_tokens as usize,
             seed: completion.seed,
@@ -224,7 +224,7 @@
 
     fn frame_bytes(
         &self,
-        frame: Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, WaitOver>,
+        frame: Result<Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>, Elapsed>,
         limit: Duration,
     ) -> Result<Bytes, StepError> {
         let step = "read stream";
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -17,7 +17,7 @@
     },
     native::{
         decide::prefix::count_tokens,
-        endpoint::{EngineOrder, EngineToken, ImportOrder, STREAM_END},
+        endpoint::{CacheImportRequest, EngineRequest, EngineToken, STREAM_END},
         headers,
     },
 };
@@ -72,7 +72,7 @@
 ) -> Response<ResponseBody> {
     let id = reply::header(&request, headers::REQUEST_ID).unwrap_or("none").to_owned();
     let attempt = reply::header(&request, headers::ATTEMPT_ID).unwrap_or("none").to_owned();
-    let Some(order) = reply::read_json::<EngineOrder>(request).await else {
+    let Some(order) = reply::read_json::<EngineRequest>(request).await else {
         return reply::empty(StatusCode::BAD_REQUEST);
     };
     {
@@ -115,7 +115,7 @@
     }
 }
 
-fn start_stream(endpoint: &EndpointStandin, order: &EngineOrder) -> (StreamSlot, Duration) {
+fn start_stream(endpoint: &EndpointStandin, order: &EngineRequest) -> (StreamSlot, Duration) {
     let text = format!("{} {}", order.prompt, order.resume_tokens.concat());
     let mut state = endpoint.state.borrow_mut();
     let (cost, stored, forgotten) = state.model.start(&text);
@@ -132,7 +132,7 @@
 
 async fn run_stream(
     endpoint: EndpointStandin,
-    order: EngineOrder,
+    order: EngineRequest,
     mut sender: Sender<Bytes, CutError>,
 ) {
     wait_for_slot(&endpoint, order.priority).await;
@@ -171,7 +171,7 @@
     endpoint: &EndpointStandin,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let Some(order) = reply::read_json::<ImportOrder>(request).await else {
+    let Some(order) = reply::read_json::<CacheImportRequest>(request).await else {
         return reply::empty(StatusCode::BAD_REQUEST);
     };
     let tokens = count_tokens(&order.text);
