--- a/tests/gateway/backoff_endpoints.rs
+++ b/tests/gateway/backoff_endpoints.rs
@@ -17,7 +17,7 @@
 use googletest::prelude::*;
 
 use crate::{
-    fleet_places::take_place,
+    fleet_places::acquire_fleet_slot,
     signal_fleet::{
         LOAD_TIME, SAID_FROM, SAID_UNTIL, SignalFleet, SignalOutcome, TELLING, say_for_a_while,
         sleep_until,
@@ -42,7 +42,7 @@
 const AT_ONCE: Duration = Duration::from_millis(500);
 
 fn play(telling: usize, tell: impl FnOnce(&[SignallingEndpoint], Instant)) -> SignalOutcome {
-    let _place = take_place();
+    let _place = acquire_fleet_slot();
     SignalFleet::start().play(telling, tell)
 }
 
--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     crash_fleet::{CrashFleet, CrashLoad, CrashOutcome},
-    fleet_places::take_place,
+    fleet_places::acquire_fleet_slot,
 };
 
 /// Daemons and endpoints where the environment names no number.
@@ -40,7 +40,7 @@
 
 fn play(path: &'static str, requests: usize) -> CrashOutcome {
     let _one = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
-    let _place = take_place();
+    let _place = acquire_fleet_slot();
     let daemons = number_from("CRASH_DAEMONS", USUAL_DAEMONS);
     let endpoints = number_from("CRASH_ENDPOINTS", USUAL_ENDPOINTS);
     let fleet = CrashFleet::start(daemons, endpoints);
--- a/tests/gateway/draining_endpoints.rs
+++ b/tests/gateway/draining_endpoints.rs
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 
 use crate::{
-    fleet_places::take_place,
+    fleet_places::acquire_fleet_slot,
     signal_fleet::{LOAD_TIME, SAID_FROM, SignalFleet, SignalOutcome, TELLING, sleep_until},
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
@@ -30,7 +30,7 @@
 const WRITE_PAUSE: Duration = Duration::from_millis(500);
 
 fn play(tell: impl FnOnce(&[SignallingEndpoint], Instant)) -> SignalOutcome {
-    let _place = take_place();
+    let _place = acquire_fleet_slot();
     SignalFleet::start().play(TELLING, tell)
 }
 
--- a/tests/gateway/failing_endpoints.rs
+++ b/tests/gateway/failing_endpoints.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 use crate::{
-    fleet_places::take_place,
+    fleet_places::acquire_fleet_slot,
     signal_fleet::{
         LOAD_TIME, SAID_FROM, SAID_UNTIL, SignalFleet, SignalOutcome, TELLING, say_for_a_while,
     },
@@ -51,7 +51,7 @@
     ($($name:ident: $signal:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            let _place = take_place();
+            let _place = acquire_fleet_slot();
             check(&SignalFleet::start().play(TELLING, say_for_a_while($signal)));
         }
     )*};
@@ -73,7 +73,7 @@
 /// endpoints that were known to fail, for another endpoint to serve them, and no retry was left.
 #[googletest::test]
 fn failures_at_once_where_few_retries_are_left() {
-    let _place = take_place();
+    let _place = acquire_fleet_slot();
     let fleet = SignalFleet::start_with(json!({"retry-ratio": 0.04, "retry-slack": 0}));
     check(&fleet.play(TELLING, say_for_a_while(EndpointSignal::Fails)));
 }
--- a/tests/gateway/fleet_places.rs
+++ b/tests/gateway/fleet_places.rs
@@ -15,7 +15,7 @@
 static FLEETS: [Mutex<()>; PLACES] = [const { Mutex::new(()) }; PLACES];
 
 /// Waits for a place. One is free again also after a test that failed in it.
-pub fn take_place() -> MutexGuard<'static, ()> {
+pub fn acquire_fleet_slot() -> MutexGuard<'static, ()> {
     loop {
         for place in &FLEETS {
             match place.try_lock() {
--- a/tests/gateway/limited_endpoints.rs
+++ b/tests/gateway/limited_endpoints.rs
@@ -26,7 +26,7 @@
 use googletest::prelude::*;
 
 use crate::{
-    fleet_places::take_place,
+    fleet_places::acquire_fleet_slot,
     signal_checks::check_told_differently,
     signal_fleet::{ClientLoad, SignalFleet, SignalOutcome, TELLING, sleep_until},
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
@@ -62,7 +62,7 @@
     telling: usize,
     tell: impl FnOnce(&SignalFleet, &[SignallingEndpoint], Instant),
 ) -> SignalOutcome {
-    let _place = take_place();
+    let _place = acquire_fleet_slot();
     let fleet = SignalFleet::start();
     fleet.play_load(load, telling, |endpoints, began| tell(&fleet, endpoints, began))
 }
--- a/tests/gateway/route_changes.rs
+++ b/tests/gateway/route_changes.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng, seq::IteratorRandom};
 
 use crate::{
-    fleet_places::take_place,
+    fleet_places::acquire_fleet_slot,
     loopback_proxy::{LinkState, LoopbackProxy},
     route_fleet::{RouteChanges, RouteFleet},
     route_requests::RouteOutcome,
@@ -137,7 +137,7 @@
 ) -> RouteOutcome {
     // A test that failed leaves nothing behind that would disturb the next.
     let _one = ONE_FLEET.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-    let _place = take_place();
+    let _place = acquire_fleet_slot();
     let fleet = RouteFleet::start(daemons);
     let outcome = RouteOutcome::of(&fleet.play(changes, faults));
     println!("{what}: {outcome:?}");
--- a/tests/gateway/store_loss.rs
+++ b/tests/gateway/store_loss.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 
 use crate::{
-    fleet_places::take_place,
+    fleet_places::acquire_fleet_slot,
     leader_tasks::{check_reports, reports},
     store_loss_fleet::{
         AnsweredRequest, AskedThing, FIRST_CHANGES_AT, LAST_CHANGES_AT, LossFleet, StoreLoss,
@@ -98,7 +98,7 @@
 }
 
 fn play(loss: StoreLoss) -> LossOutcome {
-    let _place = take_place();
+    let _place = acquire_fleet_slot();
     let fleet = LossFleet::start(daemon_count());
     let requests = fleet.play(loss);
     let sent = reports(&fleet.platform);
