--- a/tests/gateway/crash_model.rs
+++ b/tests/gateway/crash_model.rs
@@ -1,8 +1,9 @@
-//! How fast a fleet of any size knows of a request that crashes endpoints: the daemons' tables of
-//! peers and ledgers, which exchange as the real ones do, on a clock of the test's own.
+//! Simulates how fast all daemons of a fleet learn of a request that crashes endpoints. The peer
+//! tables and crash ledgers are the real ones and exchange reports as the daemons do; time is
+//! simulated.
 //!
-//! `CRASH_MODEL=1000 cargo test --release --test gateway crash_model -- --nocapture` plays one
-//! more size.
+//! `CRASH_MODEL=1000 cargo test --release --test gateway crash_model -- --nocapture` also runs it
+//! with that number of daemons.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -25,12 +26,12 @@
     ids::IncarnationId,
 };
 
-/// Time in which all daemons have to know of the third crash.
-const CONTACT_TIME: Duration = Duration::from_secs(3);
-/// Requests that ran beside the one to blame at each crash.
+/// Time within which all daemons have to know of the third crash.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Requests that were running beside the crashing one at each crash.
 const BYSTANDERS: u64 = 32;
-/// The request to blame.
-const BLAMED: RequestFingerprint = RequestFingerprint { head: u64::MAX, content: 0 };
+/// The request that crashes endpoints.
+const CRASHING: RequestFingerprint = RequestFingerprint { head: u64::MAX, content: 0 };
 
 struct ModelDaemon {
     address: SocketAddr,
@@ -43,23 +44,23 @@
 
 struct CrashModel {
     daemons: Vec<ModelDaemon>,
-    places: HashMap<SocketAddr, usize>,
+    index_by_address: HashMap<SocketAddr, usize>,
     now: Instant,
     rng: SmallRng,
 }
 
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8 + 1], 8229))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8 + 1], 8229))
 }
 
 impl CrashModel {
-    /// Daemons that know each other.
+    /// Creates daemons that all know each other.
     fn new(count: usize, seed: u64) -> Self {
         let now = Instant::now();
-        let daemon = |place| {
-            let own = address(place);
+        let daemon = |index| {
+            let own = address(index);
             let mut peers = PeerTable::new(own, &[], GOSSIP_INTERVAL, CALLS_PER_INTERVAL);
-            for other in (0..count).filter(|other| *other != place) {
+            for other in (0..count).filter(|other| *other != index) {
                 let incarnation = IncarnationId(other as u64 + 1);
                 let report = PeerReport { incarnation, sequence: 1, leaving: false };
                 peers.receive_report(address(other), report, now);
@@ -68,45 +69,46 @@
         };
         Self {
             daemons: (0..count).map(daemon).collect(),
-            places: (0..count).map(|place| (address(place), place)).collect(),
+            index_by_address: (0..count).map(|index| (address(index), index)).collect(),
             now,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// An endpoint ends under the request to blame and others, all at one daemon.
+    /// An endpoint ends while it runs the crashing request and others, all sent by one daemon.
     fn crash(&mut self, endpoint: u64) {
-        let place = self.rng.random_range(0..self.daemons.len());
+        let index = self.rng.random_range(0..self.daemons.len());
         let (crashed, begun) = (self.now, self.now - Duration::from_millis(40));
         let run = CrashedRun { endpoint, begun, crashed };
-        let ledger = &mut self.daemons[place].ledger;
-        ledger.record_crash(BLAMED, run, self.now);
+        let ledger = &mut self.daemons[index].ledger;
+        ledger.record_crash(CRASHING, run, self.now);
         for number in 0..BYSTANDERS {
-            let beside = RequestFingerprint { head: endpoint, content: u128::from(number) };
-            ledger.record_crash(beside, run, self.now);
+            let bystander = RequestFingerprint { head: endpoint, content: u128::from(number) };
+            ledger.record_crash(bystander, run, self.now);
         }
     }
 
-    /// One gossip interval of every daemon. What is received in it is passed on in the next one.
-    fn interval(&mut self) {
+    /// Runs one gossip interval of every daemon. Records received in it are passed on in the next
+    /// one.
+    fn run_interval(&mut self) {
         self.now += GOSSIP_INTERVAL;
         let reports: Vec<Report> = (0..self.daemons.len()).map(|one| self.report(one)).collect();
-        for place in 0..self.daemons.len() {
-            for peer in self.calls_of(place) {
-                let other = self.places[&peer];
-                self.receive(other, place, &reports[place]);
-                self.receive(place, other, &reports[other]);
+        for index in 0..self.daemons.len() {
+            for peer in self.calls_by(index) {
+                let other = self.index_by_address[&peer];
+                self.receive(other, index, &reports[index]);
+                self.receive(index, other, &reports[other]);
             }
         }
     }
 
-    fn report(&mut self, place: usize) -> Report {
-        self.daemons[place].ledger.report(self.now, &mut self.rng)
+    fn report(&mut self, index: usize) -> Report {
+        self.daemons[index].ledger.report(self.now, &mut self.rng)
     }
 
-    fn calls_of(&mut self, place: usize) -> Vec<SocketAddr> {
+    fn calls_by(&mut self, index: usize) -> Vec<SocketAddr> {
         let (now, rng) = (self.now, &mut self.rng);
-        let ModelDaemon { peers, ledger, .. } = &mut self.daemons[place];
+        let ModelDaemon { peers, ledger, .. } = &mut self.daemons[index];
         let mut calls = peers.next_calls(now, rng);
         if ledger.is_urgent(now) {
             calls.extend(peers.urgent_calls(rng));
@@ -118,48 +120,48 @@
         for (request, record) in report {
             self.daemons[to].ledger.receive(*request, record, self.now);
         }
-        // Daemons that are heard stay known.
+        // A daemon that sends reports stays known as running.
         let incarnation = IncarnationId(from as u64 + 1);
         let report = PeerReport { incarnation, sequence: 2, leaving: false };
         let address = self.daemons[from].address;
         self.daemons[to].peers.receive_report(address, report, self.now);
     }
 
-    /// Daemons that would still run the request to blame.
+    /// Number of daemons that would still run the crashing request.
     fn unaware(&mut self) -> usize {
         let now = self.now;
         let mut daemons = self.daemons.iter_mut();
         let runs = |daemon: &mut ModelDaemon| {
-            daemon.ledger.decide_run(BLAMED, |_| false, now) == RunVerdict::Allowed
+            daemon.ledger.decide_run(CRASHING, |_| false, now) == RunVerdict::Allowed
         };
         daemons.by_ref().map(runs).filter(|runs| *runs).count()
     }
 
     /// Time from the third of three crashes, 100 ms apart at random daemons, until all daemons
     /// refuse the request.
-    fn time_to_stop(&mut self) -> Duration {
+    fn time_to_quarantine(&mut self) -> Duration {
         self.crash(1);
-        self.interval();
+        self.run_interval();
         self.crash(2);
-        self.interval();
+        self.run_interval();
         self.crash(3);
-        let third = self.now;
-        while self.unaware() > 0 && self.now < third + CONTACT_TIME * 2 {
-            self.interval();
+        let third_crash_at = self.now;
+        while self.unaware() > 0 && self.now < third_crash_at + MAX_PROPAGATION_TIME * 2 {
+            self.run_interval();
         }
-        self.now - third
+        self.now - third_crash_at
     }
 }
 
 #[googletest::test]
-fn all_daemons_stop_a_request_in_time_whatever_their_number() {
-    let asked = std::env::var("CRASH_MODEL").ok().and_then(|text| text.parse().ok());
-    for count in [9, 30, 77, 300].into_iter().chain(asked) {
+fn all_daemons_refuse_a_crashing_request_in_time_in_fleets_of_any_size() {
+    let extra_size = std::env::var("CRASH_MODEL").ok().and_then(|text| text.parse().ok());
+    for count in [9, 30, 77, 300].into_iter().chain(extra_size) {
         let seeds = if count > 100 { 1..=1 } else { 1..=8 };
-        let times = seeds.map(|seed| CrashModel::new(count, seed).time_to_stop());
+        let times = seeds.map(|seed| CrashModel::new(count, seed).time_to_quarantine());
         let longest = times.max().unwrap_or_default();
         println!("{count} daemons: {longest:?} at most");
-        expect_that!(longest, lt(CONTACT_TIME / 2), "{count} daemons");
+        expect_that!(longest, lt(MAX_PROPAGATION_TIME / 2), "{count} daemons");
     }
 }
 
--- a/tests/gateway/crash_rules.rs
+++ b/tests/gateway/crash_rules.rs
@@ -1,5 +1,6 @@
-//! Which requests are the same, which runs count against one, and when it is refused, tried and
-//! cleared.
+//! Quarantine of requests that crash endpoints: which requests are the same, which crashed runs are
+//! evidence, when a request is quarantined, tried again and cleared, and when a daemon has received
+//! enough from its peers to decide.
 
 use std::time::Duration;
 
@@ -47,8 +48,8 @@
     Call { head, body: Bytes::from_static(b"body") }
 }
 
-/// A request that differs from `call` by this change, of this account.
-fn changed(account: Option<&str>, change: impl FnOnce(&mut Call)) -> RequestFingerprint {
+/// Fingerprint of `call` with this change, for this account.
+fn fingerprint_with(account: Option<&str>, change: impl FnOnce(&mut Call)) -> RequestFingerprint {
     let mut call = call();
     change(&mut call);
     RequestFingerprint::of(account, &call)
@@ -58,8 +59,8 @@
     ($($name:ident: $same:expr, $account:expr, $change:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            let usual = changed(Some("reader"), |_| {});
-            expect_that!(changed($account, $change) == usual, eq($same));
+            let unchanged = fingerprint_with(Some("reader"), |_| {});
+            expect_that!(fingerprint_with($account, $change) == unchanged, eq($same));
         }
     )*};
 }
@@ -68,7 +69,7 @@
     same_with_another_id: true, Some("reader"), |call| call.head.id = "b".into();
     same_with_another_key: true, Some("reader"), |call| call.head.key = Some("key-2".into());
     same_with_another_deadline: true, Some("reader"), |call| call.head.deadline = Some(millis(7));
-    same_after_another_event: true, Some("reader"), |call| call.head.last_event = Some(3);
+    same_with_another_last_event: true, Some("reader"), |call| call.head.last_event = Some(3);
     same_with_another_header: true, Some("reader"), |call| {
         call.head.headers.insert("idempotency-key", "k".parse().expect("value"));
     };
@@ -78,17 +79,17 @@
     differs_by_host: false, Some("reader"), |call| call.head.host = "other.example".into();
     differs_by_query: false, Some("reader"), |call| call.head.target = "/page/?x=2".into();
     differs_by_body: false, Some("reader"), |call| call.body = Bytes::from_static(b"bodz");
-    differs_where_query_and_body_meet: false, Some("reader"), |call| {
+    differs_if_bytes_move_from_the_body_to_the_query: false, Some("reader"), |call| {
         call.head.target = "/page/?x=1b".into();
         call.body = Bytes::from_static(b"ody");
     };
 }
 
 #[googletest::test]
-fn fingerprint_is_read_as_it_is_shown() {
-    let usual = changed(Some("reader"), |_| {});
-    expect_that!(usual.to_string().parse::<RequestFingerprint>(), ok(eq(usual)));
-    expect_that!(usual.head, eq(RequestFingerprint::head_of(Some("reader"), &call().head)));
+fn displayed_fingerprint_parses_back() {
+    let unchanged = fingerprint_with(Some("reader"), |_| {});
+    expect_that!(unchanged.to_string().parse::<RequestFingerprint>(), ok(eq(unchanged)));
+    expect_that!(unchanged.head, eq(RequestFingerprint::head_of(Some("reader"), &call().head)));
     for text in ["", "12", &"g".repeat(48), &"+".repeat(48), &"0".repeat(49)] {
         expect_that!(text.parse::<RequestFingerprint>(), err(anything()));
     }
@@ -98,7 +99,7 @@
     RequestFingerprint { head: number, content: u128::from(number) }
 }
 
-/// Times in these tests, from the start of each.
+/// Time base of a test; all times are offsets from it.
 struct TestClock(Instant);
 
 impl TestClock {
@@ -115,7 +116,8 @@
     }
 }
 
-/// Names each case: runs as (endpoint, begun, crashed) in ms, and how many count.
+/// Defines one test per case: runs as (endpoint, begun, crashed) in ms, and how many count as
+/// evidence.
 macro_rules! evidence {
     ($($name:ident: $runs:expr, $count:expr;)*) => {$(
         #[googletest::test]
@@ -130,10 +132,10 @@
 }
 
 evidence! {
-    runs_one_after_another_count_each: [(1, 0, 50), (2, 60, 90), (3, 100, 200)], 3;
+    consecutive_runs_count_each: [(1, 0, 50), (2, 60, 90), (3, 100, 200)], 3;
     runs_that_break_together_count_once: [(1, 0, 500), (2, 100, 501), (3, 200, 502)], 1;
     runs_that_overlap_count_once: [(1, 0, 100), (2, 70, 200), (3, 40, 150)], 1;
-    runs_told_in_any_order_count_alike: [(3, 100, 200), (1, 0, 50), (2, 60, 90)], 3;
+    order_of_recording_does_not_matter: [(3, 100, 200), (1, 0, 50), (2, 60, 90)], 3;
     one_crash_seen_by_several_daemons_counts_once: [(1, 0, 50), (1, 60, 300), (1, 310, 900)], 1;
     endpoint_that_crashes_again_counts_again: [(1, 0, 50), (1, 3_000, 3_050)], 2;
     retry_that_began_with_the_crash_counts: [(1, 0, 50), (2, 45, 90)], 2;
@@ -141,7 +143,7 @@
 }
 
 #[googletest::test]
-fn whole_response_ends_all_older_suspicion() {
+fn complete_response_clears_earlier_crashes() {
     let (clock, mut record) = (TestClock::new(), CrashRecord::default());
     record.add(clock.run(1, 0, 50));
     record.add(clock.run(2, 60, 90));
@@ -152,58 +154,58 @@
 }
 
 #[googletest::test]
-fn what_comes_back_from_others_later_changes_nothing() {
+fn own_record_echoed_with_delayed_times_changes_nothing() {
     let (clock, mut record) = (TestClock::new(), CrashRecord::default());
     record.clear(clock.at(0));
     record.add(clock.run(1, 10, 50));
     record.trials = 1;
     record.trial_at = Some(clock.at(30));
-    let mut late = CrashRecord::default();
-    late.clear(clock.at(40));
-    late.add(clock.run(1, 50, 90));
-    late.trials = 1;
-    late.trial_at = Some(clock.at(70));
+    let mut echoed = CrashRecord::default();
+    echoed.clear(clock.at(40));
+    echoed.add(clock.run(1, 50, 90));
+    echoed.trials = 1;
+    echoed.trial_at = Some(clock.at(70));
     let mut merged = record.clone();
-    merged.merge(&late);
+    merged.merge(&echoed);
     expect_that!(merged, eq(&record));
 }
 
-/// Quarantines request 1 by three runs at the endpoints from `first` on; the last crash is at
-/// 300 ms.
+/// Ledger in which request 1 is quarantined after runs at three endpoints, numbered from `first`.
+/// The last crash is at 300 ms.
 fn quarantined(clock: &TestClock, first: u64) -> CrashLedger {
     let mut ledger = CrashLedger::default();
-    for place in 0..3 {
-        let run = clock.run(first + place, place * 100, place * 100 + 100);
-        let now = clock.at(place * 100 + 100);
-        expect_that!(ledger.record_crash(request(1), run, now), eq(place == 2));
+    for index in 0..3 {
+        let run = clock.run(first + index, index * 100, index * 100 + 100);
+        let now = clock.at(index * 100 + 100);
+        expect_that!(ledger.record_crash(request(1), run, now), eq(index == 2));
     }
     ledger
 }
 
-fn judge(ledger: &mut CrashLedger, now: Instant) -> RunVerdict {
+fn decide(ledger: &mut CrashLedger, now: Instant) -> RunVerdict {
     ledger.decide_run(request(1), |_| true, now)
 }
 
 #[googletest::test]
-fn third_run_in_a_row_quarantines() {
+fn third_consecutive_crash_quarantines_a_request() {
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
     let now = clock.at(1_300);
-    expect_that!(judge(&mut ledger, now), eq(RunVerdict::Refused(seconds(29))));
+    expect_that!(decide(&mut ledger, now), eq(RunVerdict::Refused(seconds(29))));
     expect_that!(ledger.decide_run(request(2), |_| true, now), eq(RunVerdict::Allowed));
 }
 
 #[googletest::test]
-fn trials_come_further_and_further_apart() {
+fn wait_before_a_trial_grows_up_to_half_an_hour() {
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
     let mut last_crash = 300;
     for wait_s in [30, 120, 480, 1_800, 1_800] {
         let due = last_crash + wait_s * 1_000;
-        let early = judge(&mut ledger, clock.at(due - 5_000));
+        let early = decide(&mut ledger, clock.at(due - 5_000));
         expect_that!(early, eq(RunVerdict::Refused(seconds(5))));
-        expect_that!(judge(&mut ledger, clock.at(due)), eq(RunVerdict::Trial));
-        expect_that!(judge(&mut ledger, clock.at(due + 1)), not(eq(RunVerdict::Trial)));
+        expect_that!(decide(&mut ledger, clock.at(due)), eq(RunVerdict::Trial));
+        expect_that!(decide(&mut ledger, clock.at(due + 1)), not(eq(RunVerdict::Trial)));
         last_crash = due + 100;
         ledger.record_crash(request(1), clock.run(9, due, last_crash), clock.at(last_crash));
     }
@@ -220,16 +222,16 @@
 }
 
 #[googletest::test]
-fn whole_response_to_a_trial_ends_the_quarantine() {
+fn complete_response_to_a_trial_ends_the_quarantine() {
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
-    expect_that!(judge(&mut ledger, clock.at(60_000)), eq(RunVerdict::Trial));
+    expect_that!(decide(&mut ledger, clock.at(60_000)), eq(RunVerdict::Trial));
     expect_that!(ledger.clear(request(1), clock.at(60_100)), eq(true));
-    expect_that!(judge(&mut ledger, clock.at(60_101)), eq(RunVerdict::Allowed));
+    expect_that!(decide(&mut ledger, clock.at(60_101)), eq(RunVerdict::Allowed));
 }
 
 #[googletest::test]
-fn quarantine_ends_by_itself_an_hour_after_the_last_crash() {
+fn quarantine_expires_an_hour_after_the_last_crash() {
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
     ledger.forget_old(clock.at(3_590_000));
@@ -239,61 +241,65 @@
 }
 
 #[googletest::test]
-fn popular_request_is_not_blamed_for_fleets_that_end() {
+fn popular_request_is_not_quarantined_when_whole_fleets_end() {
     let clock = TestClock::new();
     let mut ledger = CrashLedger::default();
-    // Three fleets of 20 endpoints end, ten seconds apart; some responses come in between.
+    // Three fleets of 20 endpoints end, ten seconds apart; complete responses arrive in between.
     for fleet in 0..3 {
         let ended = fleet * 10_000 + 5_000;
-        for place in 0..20 {
-            let run = clock.run(fleet * 20 + place, ended - 100 * place, ended + place);
+        for index in 0..20 {
+            let run = clock.run(fleet * 20 + index, ended - 100 * index, ended + index);
             expect_that!(ledger.record_crash(request(1), run, clock.at(ended + 60)), eq(false));
         }
         ledger.clear(request(1), clock.at(ended + 4_000));
     }
-    expect_that!(judge(&mut ledger, clock.at(40_000)), eq(RunVerdict::Allowed));
+    expect_that!(decide(&mut ledger, clock.at(40_000)), eq(RunVerdict::Allowed));
 }
 
 #[googletest::test]
-fn request_beside_the_one_to_blame_is_not_quarantined() {
+fn request_running_beside_the_crashing_one_is_not_quarantined() {
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
-    for place in 0..3 {
-        let run = clock.run(1 + place, place * 100 + 20, place * 100 + 101);
+    for index in 0..3 {
+        let run = clock.run(1 + index, index * 100 + 20, index * 100 + 101);
         expect_that!(ledger.record_crash(request(2), run, clock.at(400)), eq(false));
     }
 }
 
 #[googletest::test]
-fn blame_moves_to_the_request_with_more_crashes() {
+fn request_with_more_crashes_replaces_the_one_that_was_quarantined_first() {
     let clock = TestClock::new();
-    // Request 1 ran beside request 2 by chance and was recorded first.
+    // Request 1 was running by chance when request 2 caused the crashes, and was recorded first.
     let mut ledger = quarantined(&clock, 1);
-    for place in 0..4 {
-        let run = clock.run(1 + place, place * 100 + 20, place * 100 + 101);
-        let is_blamed = ledger.record_crash(request(2), run, clock.at(500));
-        expect_that!(is_blamed, eq(place == 3), "its first runs may be the other's fault");
+    for index in 0..4 {
+        let run = clock.run(1 + index, index * 100 + 20, index * 100 + 101);
+        let is_quarantined = ledger.record_crash(request(2), run, clock.at(500));
+        expect_that!(
+            is_quarantined,
+            eq(index == 3),
+            "its first three crashes are explained by request 1"
+        );
     }
-    expect_that!(judge(&mut ledger, clock.at(1_000)), eq(RunVerdict::Allowed));
+    expect_that!(decide(&mut ledger, clock.at(1_000)), eq(RunVerdict::Allowed));
     let other = ledger.decide_run(request(2), |_| true, clock.at(1_000));
     expect_that!(matches!(other, RunVerdict::Refused(_)), eq(true));
 }
 
 #[googletest::test]
-fn two_requests_to_blame_are_both_stopped() {
+fn two_crashing_requests_are_both_quarantined() {
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
-    // One crash is common to both.
-    for (place, endpoint) in [(0, 3), (1, 11), (2, 12), (3, 13)] {
-        let run = clock.run(endpoint, 210 + place * 100, 301 + place * 100);
-        let is_blamed = ledger.record_crash(request(2), run, clock.at(700));
-        expect_that!(is_blamed, eq(place == 3));
+    // Both were running in one of the crashes.
+    for (index, endpoint) in [(0, 3), (1, 11), (2, 12), (3, 13)] {
+        let run = clock.run(endpoint, 210 + index * 100, 301 + index * 100);
+        let is_quarantined = ledger.record_crash(request(2), run, clock.at(700));
+        expect_that!(is_quarantined, eq(index == 3));
     }
-    expect_that!(matches!(judge(&mut ledger, clock.at(800)), RunVerdict::Refused(_)), eq(true));
+    expect_that!(matches!(decide(&mut ledger, clock.at(800)), RunVerdict::Refused(_)), eq(true));
 }
 
 #[googletest::test]
-fn full_table_keeps_what_is_quarantined() {
+fn full_ledger_keeps_quarantined_requests() {
     let clock = TestClock::new();
     let mut ledger = quarantined(&clock, 1);
     for number in 2..3 * MAX_RECORDS as u64 {
@@ -308,13 +314,13 @@
 }
 
 #[googletest::test]
-fn daemon_that_has_just_started_is_told_all_that_is_quarantined() {
+fn reports_bring_all_quarantined_requests_to_a_daemon_that_has_just_started() {
     let clock = TestClock::new();
     let mut ledger = CrashLedger::default();
     for number in 0..200 {
-        for place in 0..3 {
-            let run = clock.run(number * 3 + place, place * 100, place * 100 + 100);
-            ledger.record_crash(request(number), run, clock.at(place * 100 + 100));
+        for index in 0..3 {
+            let run = clock.run(number * 3 + index, index * 100, index * 100 + 100);
+            ledger.record_crash(request(number), run, clock.at(index * 100 + 100));
         }
     }
     let (now, mut rng) = (clock.at(20_000), SmallRng::seed_from_u64(1));
@@ -328,23 +334,23 @@
 }
 
 #[googletest::test]
-fn request_that_is_cleared_here_is_cleared_at_others() {
+fn request_cleared_at_one_daemon_is_cleared_at_the_others() {
     let clock = TestClock::new();
-    let mut there = quarantined(&clock, 1);
-    let mut here = CrashLedger::default();
+    let mut other_daemon = quarantined(&clock, 1);
+    let mut clearing = CrashLedger::default();
     let mut rng = SmallRng::seed_from_u64(1);
-    for (request, record) in there.report(clock.at(400), &mut rng) {
-        here.receive(request, &record, clock.at(400));
+    for (request, record) in other_daemon.report(clock.at(400), &mut rng) {
+        clearing.receive(request, &record, clock.at(400));
     }
-    here.clear(request(1), clock.at(500));
-    for (request, record) in here.report(clock.at(600), &mut rng) {
-        there.receive(request, &record, clock.at(600));
+    clearing.clear(request(1), clock.at(500));
+    for (request, record) in clearing.report(clock.at(600), &mut rng) {
+        other_daemon.receive(request, &record, clock.at(600));
     }
-    expect_that!(judge(&mut there, clock.at(601)), eq(RunVerdict::Allowed));
+    expect_that!(decide(&mut other_daemon, clock.at(601)), eq(RunVerdict::Allowed));
     for (request, record) in quarantined(&clock, 1).report(clock.at(700), &mut rng) {
-        here.receive(request, &record, clock.at(700));
+        clearing.receive(request, &record, clock.at(700));
     }
-    expect_that!(judge(&mut here, clock.at(701)), eq(RunVerdict::Allowed));
+    expect_that!(decide(&mut clearing, clock.at(701)), eq(RunVerdict::Allowed));
 }
 
 #[googletest::test]
@@ -354,7 +360,7 @@
     expect_that!(contact.is_current(clock.at(50)), eq(false));
     contact.receive_response(clock.at(60));
     expect_that!(contact.is_current(clock.at(61)), eq(true));
-    // It stands still: a response to a call made before that proves nothing.
+    // The process was suspended: a response to an earlier call proves nothing.
     expect_that!(contact.is_current(clock.at(5_000)), eq(false));
     contact.begin_interval(clock.at(5_000));
     contact.receive_response(clock.at(100));
@@ -364,16 +370,16 @@
 }
 
 #[googletest::test]
-fn daemon_that_reaches_no_peer_goes_on_alone() {
+fn daemon_without_peer_responses_stops_waiting_after_300_ms() {
     let clock = TestClock::new();
     let contact = PeerContact::new(clock.at(0));
     expect_that!(contact.is_current(clock.at(299)), eq(false));
     expect_that!(contact.is_current(clock.at(300)), eq(true));
 }
 
-/// What it reads first may be of a copy of the store.
+/// The first configuration that it reads may come from a store restored from an outdated copy.
 #[googletest::test]
-fn daemon_that_starts_waits_for_a_newer_configuration_of_its_peers() {
+fn starting_daemon_waits_for_a_newer_configuration_of_its_peers() {
     let clock = TestClock::new();
     let mut contact = PeerContact::new(clock.at(0));
     contact.receive_response(clock.at(10));
@@ -386,13 +392,13 @@
     expect_that!(contact.is_current(clock.at(80)), eq(false));
     contact.observe_lag(false, clock.at(200));
     expect_that!(contact.is_current(clock.at(200)), eq(true));
-    // Later changes are served by what it has.
+    // Once it has caught up, it no longer waits for newer configurations.
     contact.observe_lag(true, clock.at(300));
     expect_that!(contact.is_current(clock.at(300)), eq(true));
 }
 
 #[googletest::test]
-fn daemon_that_cannot_catch_up_goes_on_after_a_while() {
+fn daemon_that_cannot_catch_up_stops_waiting_after_2500_ms() {
     let clock = TestClock::new();
     let mut contact = PeerContact::new(clock.at(0));
     for time in (0..3_000).step_by(100) {
@@ -404,8 +410,8 @@
 }
 
 proptest! {
-    /// However the runs of a request overlap, no more count than there are crashes that lie
-    /// apart, and never more than runs.
+    /// For any overlap of a request's runs, the evidence is at most the number of distinct crashes,
+    /// which is at most the number of runs.
     #[test]
     fn evidence_is_bounded(
         runs in proptest::collection::vec((0_u64..6, 0_u64..5_000, 0_u64..2_000), 0..40),
--- a/tests/gateway/event_cutter.rs
+++ b/tests/gateway/event_cutter.rs
@@ -1,10 +1,11 @@
-//! Cutting of streams into events, against a naive version.
+//! Splitting of streams into events, compared with a naive version.
 
 use proptest::prelude::*;
 use willowarch::gateway::request::event_cutter::EventCutter;
 
-/// Naive version: all at once, split at blank lines.
-fn whole_events(text: &str, skip_to: Option<u64>) -> String {
+/// Naive version: splits the whole text at blank lines, and drops incomplete events and those with
+/// ids up to `skip_to`.
+fn naive_events(text: &str, skip_to: Option<u64>) -> String {
     let mut kept = String::new();
     for event in text.split_inclusive("\n\n").filter(|event| event.ends_with("\n\n")) {
         let id = event.lines().find_map(|line| line.strip_prefix("id:"));
@@ -35,6 +36,6 @@
             rest = later;
         }
         passed.extend_from_slice(&cutter.feed(rest, skip_to).unwrap().bytes);
-        prop_assert_eq!(String::from_utf8(passed).unwrap(), whole_events(&text, skip_to));
+        prop_assert_eq!(String::from_utf8(passed).unwrap(), naive_events(&text, skip_to));
     }
 }
