--- a/tests/gateway/choice_inputs.rs
+++ b/tests/gateway/choice_inputs.rs
@@ -1,5 +1,5 @@
-//! Inputs of the choice of an endpoint that several files of rules share: endpoints of one service, times,
-//! and what an attempt needs.
+//! Inputs of the endpoint choice that several test files share: endpoints of one service, times,
+//! and the requirements of an attempt.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,14 +13,15 @@
     store_position::{StoreEra, StorePosition},
 };
 
-/// Requests that an endpoint runs at once.
+/// Number of requests that an endpoint runs at once.
 pub const SLOTS: u32 = 8;
 
 pub fn seconds(count: f64) -> Duration {
     Duration::from_secs_f64(count)
 }
 
-/// Times are in the past of this, so that none is from before the start of the clock.
+/// Base time of a test. It is 100 s ahead, so that earlier times can be derived from it without
+/// reaching a time before the start of the clock.
 pub fn start() -> Instant {
     Instant::now() + seconds(100.0)
 }
@@ -43,7 +44,7 @@
     EndpointList { position: StorePosition::new(StoreEra(0), 1), endpoints }
 }
 
-/// What an attempt needs that may be followed by another one, if the endpoint refuses or fails, or not.
+/// Query of an attempt. `may_retry`: another endpoint may be tried if this one refuses or fails it.
 pub fn query(parts: &[PromptPart], may_retry: bool) -> ChoiceQuery<'_> {
     ChoiceQuery {
         service: "pool",
--- a/tests/gateway/endpoint_choice.rs
+++ b/tests/gateway/endpoint_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of endpoints, and what is learnt for it.
+//! The choice of an endpoint, and the state that it uses: loads, failures and the prefill rate.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Lets another daemon report this load of an endpoint.
+/// Applies another daemon's report of this load of an endpoint.
 fn report(table: &mut EndpointTable, endpoint: &str, load: EndpointLoad, now: Instant) {
     let loads = [(endpoint_number(endpoint), load)].into();
     table.apply_report(daemon(5), ReportedLoads { at: now, loads, services: BTreeMap::new() });
@@ -88,31 +88,31 @@
 
 #[googletest::test]
 fn daemons_agree_on_the_affinity_endpoint_of_a_prompt() {
-    let records = || (0..12).map(|place| record(&format!("i-{place}"), "a")).collect();
+    let records = || (0..12).map(|index| record(&format!("i-{index}"), "a")).collect();
     let (one, other) = (table(records()), table(records()));
     let now = Instant::now();
-    for subject in 0..40 {
-        let parts = [PARTS[0], PromptPart { id: subject, tokens: 4_000 }, PARTS[2]];
+    for part_id in 0..40 {
+        let parts = [PARTS[0], PromptPart { id: part_id, tokens: 4_000 }, PARTS[2]];
         let query = query(&parts, &[]);
         expect_that!(chosen(&one, &query, now), eq(&chosen(&other, &query, now)));
     }
 }
 
 #[googletest::test]
-fn an_affinity_endpoint_with_a_long_wait_is_left() {
+fn affinity_endpoint_with_a_long_wait_is_not_chosen() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
-    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
+    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("an endpoint");
     let load = RunLoad { uncached_tokens: 60_000, memory_tokens: 60_000 };
     table.begin(&affinity, &[], load, now);
     expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity))));
 }
 
 #[googletest::test]
-fn loads_that_others_tell_of_count_until_they_are_old() {
+fn loads_reported_by_others_count_until_they_are_old() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
-    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("a replica");
+    let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("an endpoint");
     let load = EndpointLoad { running: 4, uncached_tokens: 0, memory_tokens: 0 };
     report(&mut table, &affinity, load, now);
     expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity.clone()))));
@@ -121,11 +121,11 @@
 }
 
 #[googletest::test]
-fn backlog_that_another_daemon_reported_is_read_on() {
+fn backlog_reported_by_another_daemon_is_reduced_with_time() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
     let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("an endpoint");
-    // Read in a second at the rate that is assumed at first.
+    // Prefilled in a second at the initially assumed rate.
     let load = EndpointLoad { running: 1, uncached_tokens: 40_000, memory_tokens: 0 };
     report(&mut table, &affinity, load, now);
     expect_that!(chosen(&table, &query(&PARTS, &[]), now), not(eq(&Some(affinity.clone()))));
@@ -134,12 +134,12 @@
 }
 
 #[googletest::test]
-fn requests_gather_less_where_loads_of_others_are_old() {
+fn affinity_weighs_less_if_the_loads_of_others_are_old() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
     let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("an endpoint");
-    // The affinity endpoint has a queue: more than reading the prompt takes elsewhere, but less
-    // than that and the delay it would cause there.
+    // The queue of the affinity endpoint takes longer than prefilling the prompt elsewhere, but
+    // less than that plus the delay that it would cause to other requests there.
     let load = EndpointLoad { running: 1, uncached_tokens: 8_000, memory_tokens: 0 };
     report(&mut table, &affinity, load, now);
     expect_that!(chosen(&table, &query(&PARTS, &[]), now), eq(&Some(affinity.clone())));
@@ -165,7 +165,7 @@
 }
 
 #[googletest::test]
-fn a_prompt_beyond_the_memory_left_goes_elsewhere() {
+fn endpoint_without_enough_memory_for_a_prompt_counts_as_full() {
     let mut table = table(vec![record("i-0", "a")]);
     let now = Instant::now();
     table.begin("i-0", &[], RunLoad { uncached_tokens: 0, memory_tokens: 98_000 }, now);
@@ -174,7 +174,7 @@
 }
 
 #[googletest::test]
-fn endpoint_at_whose_address_another_answers_is_not_chosen_again() {
+fn endpoint_whose_address_belongs_to_another_one_is_not_chosen_again() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "b")]);
     let now = Instant::now();
     table.mark_ended("i-0");
@@ -203,7 +203,7 @@
 }
 
 #[googletest::test]
-fn a_failure_is_forgotten_though_nothing_succeeds() {
+fn failure_expires_without_a_success() {
     let mut table = table(vec![record("i-0", "a"), record("i-1", "a")]);
     let now = Instant::now();
     let affinity = chosen(&table, &query(&PARTS, &[]), now).expect("an endpoint");
@@ -215,7 +215,7 @@
 }
 
 #[googletest::test]
-fn expected_wait_holds_no_penalty_for_failures() {
+fn estimated_wait_includes_no_penalty_for_failures() {
     let mut table = table(vec![record("i-0", "a")]);
     let now = Instant::now();
     let waits = [AttemptResult::Succeeded, AttemptResult::Failed].map(|result| {
@@ -230,7 +230,7 @@
 }
 
 #[googletest::test]
-fn prefill_rate_is_learnt() {
+fn prefill_rate_converges_to_the_measured_one() {
     let mut rate = PrefillRate::default();
     for _ in 0..200 {
         rate.learn(10_000, millis(45 + 100));
--- a/tests/gateway/failure_rules.rs
+++ b/tests/gateway/failure_rules.rs
@@ -1,5 +1,5 @@
-//! Rules of endpoints that fail: which are outliers, and what these are sent. Times are given,
-//! nothing waits.
+//! Rules for endpoints that fail: which are outliers, and which requests these get. Times are
+//! simulated.
 
 use googletest::prelude::*;
 use rand::{SeedableRng, rngs::SmallRng};
@@ -22,13 +22,13 @@
 
 fn table(count: usize, now: Instant) -> EndpointTable {
     let records: Vec<EndpointRecord> =
-        (0..count).map(|place| record(&format!("i-{place}"), 5)).collect();
+        (0..count).map(|index| record(&format!("i-{index}"), 5)).collect();
     let mut table = EndpointTable::new("a".into());
     table.set_list(&list(&records), now);
     table
 }
 
-fn play(table: &mut EndpointTable, id: &str, result: AttemptResult, now: Instant) {
+fn run_request(table: &mut EndpointTable, id: &str, result: AttemptResult, now: Instant) {
     let permits = table.begin(id, &[], RunLoad::default(), now);
     let intake = match result {
         AttemptResult::Succeeded => RequestIntake::Ran,
@@ -38,7 +38,7 @@
     table.end(id, RunLoad::default(), result, now, now);
 }
 
-/// Whether an endpoint is chosen in any of many draws.
+/// Whether an endpoint is chosen with any of 40 random seeds.
 fn is_chosen(table: &EndpointTable, id: &str, may_retry_after_failure: bool, now: Instant) -> bool {
     let query = ChoiceQuery { may_retry_after_failure, ..query(&[], true) };
     (0..40).any(|seed| match table.choose(&query, now, &mut SmallRng::seed_from_u64(seed)) {
@@ -48,10 +48,10 @@
 }
 
 #[googletest::test]
-fn outlier_is_left_to_requests_that_survive_a_failure() {
+fn outlier_gets_only_requests_that_may_be_retried_after_a_failure() {
     let now = start();
     let mut table = table(4, now);
-    play(&mut table, "i-0", AttemptResult::Failed, now);
+    run_request(&mut table, "i-0", AttemptResult::Failed, now);
     expect_false!(is_chosen(&table, "i-0", true, now));
     let later = now + seconds(0.1);
     expect_true!(is_chosen(&table, "i-0", true, later));
@@ -59,93 +59,93 @@
 }
 
 #[googletest::test]
-fn prompts_gather_at_endpoints_that_do_not_fail() {
+fn outlier_is_not_an_affinity_endpoint() {
     let now = start();
     let mut table = table(4, now);
     let parts = [PromptPart { id: 1, tokens: 4_000 }, PromptPart { id: 2, tokens: 100 }];
     let query = query(&parts, true);
     let chosen = |table: &EndpointTable, now: Instant| {
         let choice = table.choose(&query, now, &mut SmallRng::seed_from_u64(1));
-        let ChoiceResult::Endpoint(choice) = choice else { panic!("none has room") };
+        let ChoiceResult::Endpoint(choice) = choice else { panic!("no endpoint has room") };
         choice.endpoint.id.clone()
     };
     let affinity = chosen(&table, now);
-    play(&mut table, &affinity, AttemptResult::Failed, now);
-    // Its pause is over, and it still counts as failing.
+    run_request(&mut table, &affinity, AttemptResult::Failed, now);
+    // Its pause is over, but it still counts as an outlier.
     expect_that!(chosen(&table, now + seconds(0.1)), not(eq(&affinity)));
     expect_that!(chosen(&table, now + seconds(4.1)), eq(&affinity));
 }
 
 #[googletest::test]
-fn endpoint_that_works_again_is_used_by_all() {
+fn endpoint_that_works_again_gets_all_requests() {
     let now = start();
     let mut table = table(4, now);
-    play(&mut table, "i-0", AttemptResult::Failed, now);
+    run_request(&mut table, "i-0", AttemptResult::Failed, now);
     for number in 1..12 {
         let later = now + seconds(0.1) * number;
-        play(&mut table, "i-0", AttemptResult::Succeeded, later);
+        run_request(&mut table, "i-0", AttemptResult::Succeeded, later);
     }
     expect_true!(is_chosen(&table, "i-0", false, now + seconds(1.2)));
 }
 
 #[googletest::test]
-fn failure_is_forgotten_where_nothing_is_sent() {
+fn failure_expires_without_further_requests() {
     let now = start();
     let mut table = table(4, now);
-    play(&mut table, "i-0", AttemptResult::Failed, now);
+    run_request(&mut table, "i-0", AttemptResult::Failed, now);
     expect_true!(is_chosen(&table, "i-0", false, now + seconds(4.1)));
 }
 
 #[googletest::test]
-fn requests_that_fail_everywhere_say_nothing_of_endpoints() {
+fn requests_that_fail_at_every_endpoint_make_none_an_outlier() {
     let now = start();
     let mut table = table(4, now);
     for round in 0..10 {
-        for place in 0..4 {
+        for index in 0..4 {
             let at = now + seconds(0.1) * round;
-            play(&mut table, &format!("i-{place}"), AttemptResult::Failed, at);
+            run_request(&mut table, &format!("i-{index}"), AttemptResult::Failed, at);
         }
     }
-    // The first few were outliers for a moment.
+    // The first ones to fail were outliers for a moment.
     let later = now + seconds(2.1);
-    for place in 0..4 {
-        play(&mut table, &format!("i-{place}"), AttemptResult::Failed, later);
-        expect_true!(is_chosen(&table, &format!("i-{place}"), true, later), "i-{place}");
+    for index in 0..4 {
+        run_request(&mut table, &format!("i-{index}"), AttemptResult::Failed, later);
+        expect_true!(is_chosen(&table, &format!("i-{index}"), true, later), "i-{index}");
     }
 }
 
 #[googletest::test]
-fn endpoint_that_is_alone_is_no_outlier() {
+fn only_endpoint_of_a_service_is_no_outlier() {
     let now = start();
     let mut table = table(1, now);
-    play(&mut table, "i-0", AttemptResult::Failed, now);
+    run_request(&mut table, "i-0", AttemptResult::Failed, now);
     expect_true!(is_chosen(&table, "i-0", false, now));
 }
 
 #[googletest::test]
-fn others_are_told_of_a_second_failure() {
+fn second_failure_is_reported_to_other_daemons() {
     let now = start();
     let mut table = table(4, now);
-    play(&mut table, "i-0", AttemptResult::Failed, now);
+    run_request(&mut table, "i-0", AttemptResult::Failed, now);
     expect_that!(table.warnings(now), is_empty());
     let later = now + seconds(0.1);
-    play(&mut table, "i-0", AttemptResult::Failed, later);
+    run_request(&mut table, "i-0", AttemptResult::Failed, later);
     expect_that!(table.warnings(later).len(), eq(1));
 }
 
 #[googletest::test]
-fn request_that_began_before_the_last_result_says_nothing_new() {
+fn failure_of_a_request_begun_before_the_last_result_does_not_pause_the_endpoint() {
     let now = start();
     let mut table = table(4, now);
     table.begin("i-0", &[], RunLoad::default(), now);
-    play(&mut table, "i-0", AttemptResult::Succeeded, now + seconds(1.0));
+    run_request(&mut table, "i-0", AttemptResult::Succeeded, now + seconds(1.0));
     let later = now + seconds(3.0);
     table.end("i-0", RunLoad::default(), AttemptResult::Failed, now, later);
     expect_true!(is_chosen(&table, "i-0", true, later));
 }
 
 #[googletest::test]
-fn fraction_is_measured_against_the_median() {
+fn failure_fraction_is_compared_with_the_median_of_the_others() {
     let now = start();
     let mut rate = FailureRate::default();
     for _ in 0..7 {
--- a/tests/gateway/limit_model.rs
+++ b/tests/gateway/limit_model.rs
@@ -1,8 +1,8 @@
-//! Whether the daemons of a fleet of any size keep to the limit of an endpoint together: their tables
-//! of peers and endpoints, which exchange as the real ones do, on a clock of the test's own.
+//! Simulates whether the daemons of a fleet together comply with the limit of an endpoint. The peer
+//! and endpoint tables are the real ones and exchange reports as the daemons do; time is simulated.
 //!
-//! `LIMIT_MODEL=300 cargo test --release --test gateway limit_model -- --nocapture` plays one
-//! more size.
+//! `LIMIT_MODEL=300 cargo test --release --test gateway limit_model -- --nocapture` also runs it
+//! with that number of daemons.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -37,38 +37,39 @@
 const ENDPOINT: &str = "i-0";
 const SERVICE: &str = "pool";
 const SLOTS: u32 = 1_000;
-/// When the endpoint names its limit, to one daemon, and how long the model goes on.
-const NAMED_AT: Duration = Duration::from_secs(5);
-const LENGTH: Duration = Duration::from_secs(20);
-/// Time from then on after which the limit is kept, and over which requests are counted.
-const KEPT_AFTER: Duration = Duration::from_secs(3);
+/// When the endpoint reports its limit, to one daemon, and how long the simulation lasts.
+const LIMIT_REPORTED_AT: Duration = Duration::from_secs(5);
+const SIMULATED_TIME: Duration = Duration::from_secs(20);
+/// Time after `LIMIT_REPORTED_AT` from which the limit has to be met, and length of the windows in
+/// which requests are counted.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 const WINDOW: Duration = Duration::from_secs(4);
-/// What may come within it: a multiple of the limit, and some requests besides.
-const MULTIPLE: f64 = 1.5;
-const BESIDES: f64 = 5.0;
-/// Share of the limit that is used where clients want more.
-const USED_SHARE: std::ops::RangeInclusive<f64> = 0.7..=1.0;
+/// Most requests allowed in a window: a multiple of the limit, and a few in addition.
+const ALLOWED_FACTOR: f64 = 1.5;
+const ALLOWED_EXTRA: f64 = 5.0;
+/// Fraction of the limit that has to be used if clients send more than that.
+const USED_FRACTION: std::ops::RangeInclusive<f64> = 0.7..=1.0;
 /// Limits, in requests a second.
 const LIMITS: [f64; 9] = [0.0, 0.1, 0.4, 1.2, 1.6, 4.0, 12.0, 40.0, 100.0];
-/// Those of them that large fleets are played with, which take long.
-const FEW_LIMITS: [f64; 2] = [1.2, 40.0];
+/// Limits tested with large fleets, whose simulation takes long.
+const LARGE_FLEET_LIMITS: [f64; 2] = [1.2, 40.0];
 const LARGE_FLEET: usize = 50;
-/// Time between two daemons that are replaced, and for which clients stay at one daemon.
+/// Time between two replacements of daemons, and for which moving clients stay at one daemon.
 const REPLACE_INTERVAL: Duration = Duration::from_secs(1);
 const STAY: Duration = Duration::from_secs(2);
 
-/// To which daemons clients send.
+/// Daemons to which clients send requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ClientPlaces {
-    /// To all alike.
+enum ClientPattern {
+    /// To all, at random.
     All,
-    /// To one.
+    /// To one only.
     One,
-    /// To one after the other.
+    /// To one at a time, changing after `STAY`.
     Moving,
-    /// To all alike, and one daemon after the other is replaced.
-    AllWhileReplaced,
-    /// To none at first, then all at once to all.
+    /// To all, at random, while daemons are replaced one after the other.
+    AllDuringReplacements,
+    /// No requests at first; after twice `LIMIT_REPORTED_AT` to all, at random.
     AllLate,
 }
 
@@ -80,7 +81,7 @@
     has_contact: bool,
 }
 
-/// What one daemon tells another.
+/// Report of one daemon to another.
 #[derive(Clone)]
 struct Report {
     incarnation: IncarnationId,
@@ -90,8 +91,8 @@
 
 struct LimitModel {
     daemons: Vec<ModelDaemon>,
-    places: HashMap<SocketAddr, usize>,
-    clients: ClientPlaces,
+    index_by_address: HashMap<SocketAddr, usize>,
+    clients: ClientPattern,
     /// Requests a second of all clients.
     offered: f64,
     began: Instant,
@@ -101,8 +102,8 @@
     arrivals: Vec<Instant>,
 }
 
-fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8 + 1], 8229))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8 + 1], 8229))
 }
 
 fn endpoint_list() -> EndpointList {
@@ -120,8 +121,8 @@
 }
 
 impl ModelDaemon {
-    fn new(place: usize, seeds: &[SocketAddr], incarnation: u64, now: Instant) -> Self {
-        let own = address(place);
+    fn new(index: usize, seeds: &[SocketAddr], incarnation: u64, now: Instant) -> Self {
+        let own = address(index);
         let mut endpoints = EndpointTable::new("a".into());
         endpoints.set_list(&endpoint_list(), now);
         Self {
@@ -133,7 +134,7 @@
         }
     }
 
-    fn divide(&mut self, daemons: usize, now: Instant) {
+    fn set_shares(&mut self, daemons: usize, now: Instant) {
         self.endpoints.observe_demand(now);
         for endpoint in self.endpoints.limited() {
             let share = own_share(&self.peers, &self.endpoints, &endpoint, daemons);
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Whether a request is sent to the endpoint.
+    /// Handles a client's request. Returns whether it is sent to the endpoint.
     fn sends(&mut self, now: Instant) -> bool {
         self.endpoints.count_request(&SERVICE.into());
         if self.endpoints.limited().is_empty() {
@@ -153,14 +154,14 @@
 }
 
 impl LimitModel {
-    /// Daemons that know each other.
-    fn new(count: usize, clients: ClientPlaces, offered: f64, seed: u64) -> Self {
+    /// Creates daemons that all know each other.
+    fn new(count: usize, clients: ClientPattern, offered: f64, seed: u64) -> Self {
         let now = Instant::now();
         let mut daemons: Vec<ModelDaemon> =
-            (0..count).map(|place| ModelDaemon::new(place, &[], place as u64 + 1, now)).collect();
-        for (place, daemon) in daemons.iter_mut().enumerate() {
+            (0..count).map(|index| ModelDaemon::new(index, &[], index as u64 + 1, now)).collect();
+        for (index, daemon) in daemons.iter_mut().enumerate() {
             daemon.has_contact = true;
-            for other in (0..count).filter(|other| *other != place) {
+            for other in (0..count).filter(|other| *other != index) {
                 let incarnation = IncarnationId(other as u64 + 1);
                 let report = PeerReport { incarnation, sequence: 1, leaving: false };
                 daemon.peers.receive_report(address(other), report, now);
@@ -168,7 +169,7 @@
         }
         Self {
             daemons,
-            places: (0..count).map(|place| (address(place), place)).collect(),
+            index_by_address: (0..count).map(|index| (address(index), index)).collect(),
             clients,
             offered,
             began: now,
@@ -179,17 +180,17 @@
         }
     }
 
-    fn play(&mut self, limit: f64) {
-        let mut is_named = false;
-        while self.now < self.began + LENGTH {
-            if !is_named && self.now >= self.began + NAMED_AT {
-                is_named = true;
+    fn run(&mut self, limit: f64) {
+        let mut is_reported = false;
+        while self.now < self.began + SIMULATED_TIME {
+            if !is_reported && self.now >= self.began + LIMIT_REPORTED_AT {
+                is_reported = true;
                 let observation = LimitObservation { limit: Some(limit), at: self.now };
                 self.daemons[0].endpoints.record_limit(ENDPOINT, observation, self.now);
                 let count = self.daemons.len();
-                self.daemons[0].divide(count, self.now);
+                self.daemons[0].set_shares(count, self.now);
             }
-            self.interval();
+            self.run_interval();
         }
     }
 
@@ -201,68 +202,71 @@
         self.elapsed().as_millis().is_multiple_of(interval.as_millis())
     }
 
-    /// One gossip interval of every daemon. What is received in it is passed on in the next one.
-    fn interval(&mut self) {
+    /// Runs one gossip interval of every daemon. Reports received in it are passed on in the next
+    /// one.
+    fn run_interval(&mut self) {
         self.send_requests();
         self.now += GOSSIP_INTERVAL;
-        if self.clients == ClientPlaces::AllWhileReplaced && self.is_time_for(REPLACE_INTERVAL) {
+        if self.clients == ClientPattern::AllDuringReplacements
+            && self.is_time_for(REPLACE_INTERVAL)
+        {
             self.replace();
         }
         let reports: Vec<Report> = (0..self.daemons.len()).map(|one| self.report(one)).collect();
-        for place in 0..self.daemons.len() {
-            for peer in self.daemons[place].peers.next_calls(self.now, &mut self.rng) {
-                let other = self.places[&peer];
-                self.receive(other, place, &reports[place]);
-                self.receive(place, other, &reports[other]);
+        for index in 0..self.daemons.len() {
+            for peer in self.daemons[index].peers.next_calls(self.now, &mut self.rng) {
+                let other = self.index_by_address[&peer];
+                self.receive(other, index, &reports[index]);
+                self.receive(index, other, &reports[other]);
             }
         }
         if self.is_time_for(DIVIDE_INTERVAL) {
             let (count, now) = (self.daemons.len(), self.now);
-            self.daemons.iter_mut().for_each(|daemon| daemon.divide(count, now));
+            self.daemons.iter_mut().for_each(|daemon| daemon.set_shares(count, now));
         }
     }
 
-    /// Requests of one gossip interval, at random moments.
+    /// Sends the requests of one gossip interval at random times.
     fn send_requests(&mut self) {
         let mean = self.offered * GOSSIP_INTERVAL.as_secs_f64();
         let count = mean as usize + usize::from(self.rng.random_bool(mean.fract()));
-        let mut moments: Vec<Duration> =
+        let mut offsets: Vec<Duration> =
             (0..count).map(|_| GOSSIP_INTERVAL.mul_f64(self.rng.random_range(0.0..1.0))).collect();
-        moments.sort_unstable();
-        for moment in moments {
-            let Some(place) = self.place_of_client() else { return };
-            let now = self.now + moment;
-            if self.daemons[place].sends(now) {
+        offsets.sort_unstable();
+        for offset in offsets {
+            let Some(index) = self.daemon_of_client() else { return };
+            let now = self.now + offset;
+            if self.daemons[index].sends(now) {
                 self.arrivals.push(now);
             }
         }
     }
 
-    fn place_of_client(&mut self) -> Option<usize> {
+    fn daemon_of_client(&mut self) -> Option<usize> {
         let count = self.daemons.len();
         match self.clients {
-            ClientPlaces::One => Some(0),
-            ClientPlaces::Moving => {
+            ClientPattern::One => Some(0),
+            ClientPattern::Moving => {
                 Some(self.elapsed().div_duration_f64(STAY) as usize * 7 % count)
             }
-            ClientPlaces::AllLate if self.elapsed() < NAMED_AT * 2 => None,
-            ClientPlaces::All | ClientPlaces::AllWhileReplaced | ClientPlaces::AllLate => {
+            ClientPattern::AllLate if self.elapsed() < LIMIT_REPORTED_AT * 2 => None,
+            ClientPattern::All | ClientPattern::AllDuringReplacements | ClientPattern::AllLate => {
                 Some(self.rng.random_range(0..count))
             }
         }
     }
 
-    /// A daemon is replaced by one that knows three seeds.
+    /// Replaces a random daemon by a new one that knows three seeds.
     fn replace(&mut self) {
-        let place = self.rng.random_range(0..self.daemons.len());
+        let index = self.rng.random_range(0..self.daemons.len());
         let seeds: Vec<SocketAddr> = (0..3.min(self.daemons.len())).map(address).collect();
         self.incarnations += 1;
-        self.daemons[place] = ModelDaemon::new(place, &seeds, self.incarnations, self.now);
-        self.daemons[place].has_contact = self.daemons.len() == 1;
+        self.daemons[index] = ModelDaemon::new(index, &seeds, self.incarnations, self.now);
+        self.daemons[index].has_contact = self.daemons.len() == 1;
     }
 
-    fn report(&mut self, place: usize) -> Report {
-        let daemon = &self.daemons[place];
+    fn report(&mut self, index: usize) -> Report {
+        let daemon = &self.daemons[index];
         Report {
             incarnation: daemon.incarnation,
             services: daemon.endpoints.own_services().clone(),
@@ -297,89 +301,93 @@
             .filter_map(|limit| daemon.endpoints.receive_limit(*limit, now))
             .collect();
         if !changes.is_empty() {
-            daemon.divide(count, now);
+            daemon.set_shares(count, now);
         }
     }
 
-    /// The most that came in a window, as a multiple of what is allowed.
-    fn most(&self, limit: f64) -> f64 {
-        let from = self.began + NAMED_AT + KEPT_AFTER;
-        let kept: Vec<Instant> = self.arrivals.iter().copied().filter(|at| *at >= from).collect();
-        let allowed = limit * MULTIPLE * WINDOW.as_secs_f64() + BESIDES;
+    /// Most requests in any window after the settling time, as a fraction of what is allowed.
+    fn peak_fraction(&self, limit: f64) -> f64 {
+        let from = self.began + LIMIT_REPORTED_AT + SETTLING_TIME;
+        let arrivals: Vec<Instant> =
+            self.arrivals.iter().copied().filter(|at| *at >= from).collect();
+        let allowed = limit * ALLOWED_FACTOR * WINDOW.as_secs_f64() + ALLOWED_EXTRA;
         let within = |last: usize| {
-            kept[..=last].iter().rev().take_while(|at| kept[last] - **at < WINDOW).count()
+            arrivals[..=last].iter().rev().take_while(|at| arrivals[last] - **at < WINDOW).count()
         };
-        (0..kept.len()).map(within).max().unwrap_or(0) as f64 / allowed
+        (0..arrivals.len()).map(within).max().unwrap_or(0) as f64 / allowed
     }
 
-    /// Share of the limit that was used once it was kept.
-    fn used(&self, limit: f64) -> f64 {
-        let from = self.began + NAMED_AT + KEPT_AFTER;
-        let kept = self.arrivals.iter().filter(|at| **at >= from).count();
-        kept as f64 / (limit * (self.now - from).as_secs_f64())
+    /// Fraction of the limit that was used after the settling time.
+    fn used_fraction(&self, limit: f64) -> f64 {
+        let from = self.began + LIMIT_REPORTED_AT + SETTLING_TIME;
+        let arrivals = self.arrivals.iter().filter(|at| **at >= from).count();
+        arrivals as f64 / (limit * (self.now - from).as_secs_f64())
     }
 }
 
-/// Plays all limits at fleets of these sizes; clients want ten times as much, or five requests a
-/// second at each daemon.
-fn play_all(
-    clients: ClientPlaces,
+/// Simulates all limits with fleets of these sizes. Clients send ten times the limit, or five
+/// requests per second and daemon if that is more.
+fn check_all_limits(
+    clients: ClientPattern,
     sizes: &[usize],
     mut check: impl FnMut(usize, f64, &LimitModel),
 ) {
-    let asked = std::env::var("LIMIT_MODEL").ok().and_then(|text| text.parse().ok());
-    for count in sizes.iter().copied().chain(asked) {
+    let extra_size = std::env::var("LIMIT_MODEL").ok().and_then(|text| text.parse().ok());
+    for count in sizes.iter().copied().chain(extra_size) {
         let mut worst = 0.0_f64;
-        let limits = if count > LARGE_FLEET { &FEW_LIMITS[..] } else { &LIMITS };
+        let limits = if count > LARGE_FLEET { &LARGE_FLEET_LIMITS[..] } else { &LIMITS };
         for (seed, limit) in (1..).zip(limits.iter().copied()) {
             let offered = (limit * 10.0).max(count as f64 * 5.0);
             let mut model = LimitModel::new(count, clients, offered, seed);
-            model.play(limit);
-            let most = model.most(limit);
-            worst = worst.max(most);
-            expect_that!(most, le(1.0), "{count} daemons, limit {limit}, {clients:?}");
+            model.run(limit);
+            let peak_fraction = model.peak_fraction(limit);
+            worst = worst.max(peak_fraction);
+            expect_that!(peak_fraction, le(1.0), "{count} daemons, limit {limit}, {clients:?}");
             check(count, limit, &model);
         }
         println!("{count} daemons, {clients:?}: at most {worst:.2} of what is allowed");
     }
 }
 
-fn check_used(count: usize, limit: f64, model: &LimitModel) {
+fn check_used_fraction(count: usize, limit: f64, model: &LimitModel) {
     if limit < 1.0 {
         return;
     }
-    let used = model.used(limit);
-    println!("{count} daemons, limit {limit}: {used:.2} used");
-    expect_true!(USED_SHARE.contains(&used), "{count} daemons, limit {limit}: {used:.2}");
+    let used_fraction = model.used_fraction(limit);
+    println!("{count} daemons, limit {limit}: {used_fraction:.2} used");
+    expect_true!(
+        USED_FRACTION.contains(&used_fraction),
+        "{count} daemons, limit {limit}: {used_fraction:.2}"
+    );
 }
 
 #[googletest::test]
-fn limits_are_kept_and_used_by_fleets_of_any_size() {
-    play_all(ClientPlaces::All, &[1, 2, 9, 30, 77], check_used);
+fn limits_are_met_and_used_by_fleets_of_any_size() {
+    check_all_limits(ClientPattern::All, &[1, 2, 9, 30, 77], check_used_fraction);
 }
 
 #[googletest::test]
-fn limits_are_kept_and_used_when_all_clients_are_at_one_daemon() {
-    // With more daemons the one is not always among those that share the limit.
-    play_all(ClientPlaces::One, &[1, 2], check_used);
-    play_all(ClientPlaces::One, &[9], |count, limit, model| {
+fn limits_are_met_and_used_when_all_clients_are_at_one_daemon() {
+    // With more daemons, the one with the clients does not always hold a share of the limit.
+    check_all_limits(ClientPattern::One, &[1, 2], check_used_fraction);
+    check_all_limits(ClientPattern::One, &[9], |count, limit, model| {
         if limit >= 12.0 {
-            check_used(count, limit, model);
+            check_used_fraction(count, limit, model);
         }
     });
 }
 
 #[googletest::test]
-fn limits_are_kept_while_clients_move_from_daemon_to_daemon() {
-    play_all(ClientPlaces::Moving, &[2, 9, 77], |_, _, _| {});
+fn limits_are_met_while_clients_move_from_daemon_to_daemon() {
+    check_all_limits(ClientPattern::Moving, &[2, 9, 77], |_, _, _| {});
 }
 
 #[googletest::test]
-fn limits_are_kept_while_daemons_are_replaced() {
-    play_all(ClientPlaces::AllWhileReplaced, &[9, 30, 77], |_, _, _| {});
+fn limits_are_met_while_daemons_are_replaced() {
+    check_all_limits(ClientPattern::AllDuringReplacements, &[9, 30, 77], |_, _, _| {});
 }
 
 #[googletest::test]
-fn limits_are_kept_when_all_clients_come_at_once() {
-    play_all(ClientPlaces::AllLate, &[9, 77], |_, _, _| {});
+fn limits_are_met_when_all_clients_start_at_once() {
+    check_all_limits(ClientPattern::AllLate, &[9, 77], |_, _, _| {});
 }
--- a/tests/gateway/signal_rules.rs
+++ b/tests/gateway/signal_rules.rs
@@ -1,5 +1,6 @@
-//! Rules of what endpoints say of themselves: what holds, for which start, how long, and how
-//! requests come back after a pause. Times are given, nothing waits.
+//! Rules for signals of endpoints (draining, back-off, refusal): which signal applies, to which
+//! start of the endpoint, for how long, and how requests are resumed after a pause. Times are
+//! simulated.
 
 use std::time::Duration;
 
@@ -31,7 +32,7 @@
     table
 }
 
-/// Whether an endpoint is chosen in any of many draws.
+/// Whether an endpoint is chosen with any of 40 random seeds.
 fn is_chosen(table: &EndpointTable, id: &str, may_retry: bool, now: Instant) -> bool {
     (0..40).any(|seed| {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -52,14 +53,14 @@
 }
 
 #[googletest::test]
-fn draining_endpoint_is_not_chosen_whatever_lists_say() {
+fn draining_endpoint_is_not_chosen_even_if_listed_as_ready() {
     let (now, ready) = (start(), [record("i-0", 5), record("i-1", 5)]);
     let mut table = table(&ready, now);
     expect_true!(table.record_draining("i-0", now));
     expect_false!(table.record_draining("i-0", now));
     expect_false!(is_chosen(&table, "i-0", true, now));
-    // Listed as ready again, missing, and listed again; also by a list that knows no starts, and
-    // by one that is older.
+    // Listed as ready again, missing, and listed again; then a list without start times, and one
+    // with an earlier start.
     for records in [&ready[..], &ready[1..], &ready[..], &[record("i-0", 0)], &[record("i-0", 4)]] {
         table.set_list(&list(records), now);
         expect_false!(is_chosen(&table, "i-0", true, now), "{records:?}");
@@ -67,13 +68,13 @@
     expect_that!(table.ready("pool").count(), eq(0));
     table.set_list(&list(&[record("i-0", 6)]), now);
     expect_true!(is_chosen(&table, "i-0", true, now));
-    // A list that comes late doesn't bring the mark back.
+    // A delayed list with the earlier start doesn't restore the draining signal.
     table.set_list(&list(&ready), now);
     expect_true!(is_chosen(&table, "i-0", true, now));
 }
 
 #[googletest::test]
-fn draining_holds_for_an_endpoint_that_tells_its_start_later() {
+fn draining_signal_applies_to_the_start_that_is_listed_first() {
     let now = start();
     let mut table = table(&[record("i-0", 0)], now);
     table.record_draining("i-0", now);
@@ -104,7 +105,7 @@
 }
 
 #[googletest::test]
-fn warning_of_an_endpoint_that_is_not_listed_yet_holds() {
+fn warning_about_an_endpoint_that_is_not_listed_yet_applies_once_it_is_listed() {
     let now = start();
     let mut table = table(&[], now);
     receive(&mut table, warning("i-0", 5, WarningKind::Draining, now), now);
@@ -113,7 +114,7 @@
 }
 
 #[googletest::test]
-fn warnings_are_passed_on_while_they_are_new() {
+fn warnings_are_reported_to_others_for_a_limited_time() {
     let now = start();
     let mut table = table(&[record("i-0", 5), record("i-1", 5)], now);
     table.record_draining("i-0", now);
@@ -128,12 +129,12 @@
 }
 
 #[googletest::test]
-fn endpoint_that_backs_off_gets_nothing_until_then() {
+fn endpoint_gets_no_requests_until_its_back_off_ends() {
     let now = start();
     let mut table = table(&[record("i-0", 5)], now);
     table.record_refusal("i-0", Some(seconds(2.5)), now);
     expect_false!(is_chosen(&table, "i-0", true, now + seconds(2.4)));
-    // It may be missing from the list for a while, and be listed without its start.
+    // It may be missing from the list for a while, or be listed without its start time.
     for records in [&[][..], &[record("i-0", 5)], &[record("i-0", 0)]] {
         table.set_list(&list(records), now + seconds(1.0));
         expect_false!(is_chosen(&table, "i-0", true, now + seconds(2.4)));
@@ -144,7 +145,7 @@
 }
 
 #[googletest::test]
-fn the_back_off_that_ends_last_counts() {
+fn back_off_that_ends_last_applies() {
     let now = start();
     let mut table = table(&[record("i-0", 5)], now);
     table.record_refusal("i-0", Some(seconds(1.0)), now);
@@ -156,7 +157,7 @@
 }
 
 #[googletest::test]
-fn back_off_beyond_belief_counts_as_a_refusal() {
+fn implausibly_long_back_off_counts_as_a_refusal_without_a_time() {
     let now = start();
     let mut table = table(&[record("i-0", 5)], now);
     table.record_refusal("i-0", Some(seconds(1e12)), now);
@@ -165,15 +166,15 @@
 }
 
 #[googletest::test]
-fn refusals_in_a_row_lengthen_the_pause_to_a_second() {
+fn consecutive_refusals_double_the_pause_up_to_a_second() {
     let (mut now, mut pause) = (start(), EndpointPause::default());
     let mut waited = Vec::new();
     for _ in 0..7 {
         pause.refused(RefusalKind::Unexplained, now);
-        // One that was under way belongs to the same pause.
+        // A refusal of a request sent before the pause doesn't lengthen it.
         pause.refused(RefusalKind::Unexplained, now);
         let steps = (1..).find(|step| !pause.is_paused(now + seconds(0.01) * *step));
-        let steps = steps.expect("an end");
+        let steps = steps.expect("the pause ends");
         waited.push(steps * 10);
         now += seconds(0.01) * steps;
     }
@@ -184,7 +185,7 @@
 }
 
 #[googletest::test]
-fn requests_come_back_slowly() {
+fn slow_start_after_a_pause_doubles_the_requests_at_a_time() {
     let (now, mut pause) = (start(), EndpointPause::default());
     pause.refused(RefusalKind::BackOff(seconds(1.0)), now);
     let later = now + seconds(1.1);
@@ -195,7 +196,7 @@
             permits.push(pause.begin());
         }
         admitted.push(permits.len());
-        // The others end without a response.
+        // The other requests end without a response.
         let (first, others) = permits.split_first().expect("a request");
         pause.ran(*first, SLOTS, later);
         others.iter().for_each(|permit| pause.ended(*permit));
@@ -204,7 +205,7 @@
 }
 
 #[googletest::test]
-fn a_request_from_before_the_pause_opens_nothing() {
+fn request_sent_before_a_pause_does_not_advance_its_slow_start() {
     let (now, mut pause) = (start(), EndpointPause::default());
     let before = pause.begin();
     pause.refused(RefusalKind::Unexplained, now);
@@ -218,7 +219,7 @@
 }
 
 #[googletest::test]
-fn busy_endpoint_that_refuses_is_used_again_at_once() {
+fn refusal_by_a_busy_endpoint_causes_a_short_pause_without_slow_start() {
     let now = start();
     let mut table = table(&[record("i-0", 5)], now);
     for _ in 0..SLOTS {
@@ -231,22 +232,22 @@
 }
 
 #[googletest::test]
-fn request_that_cannot_go_elsewhere_is_sent_where_nothing_was_refused() {
+fn request_that_cannot_be_retried_avoids_an_endpoint_that_has_refused() {
     let now = start();
     let mut table = table(&[record("i-0", 5), record("i-1", 5)], now);
     table.record_refusal("i-0", None, now);
     let later = now + seconds(0.1);
     expect_true!(is_chosen(&table, "i-0", true, later));
     expect_false!(is_chosen(&table, "i-0", false, later));
-    // Where nothing else is left it is sent all the same.
+    // It is sent there if no other endpoint is left.
     table.record_draining("i-1", later);
     expect_true!(is_chosen(&table, "i-0", false, later));
 }
 
-/// An endpoint that had refused one request was never used again by routes without a second attempt, as
-/// long as another one had room.
+/// An endpoint that had refused one request got no further requests of routes with a single
+/// attempt, as long as another endpoint had room.
 #[googletest::test]
-fn endpoint_that_has_refused_is_tried_again_by_requests_that_cannot_go_elsewhere() {
+fn endpoint_that_has_refused_gets_requests_that_cannot_be_retried_again_after_some_seconds() {
     let now = start();
     let mut table = table(&[record("i-0", 5), record("i-1", 5)], now);
     table.record_refusal("i-0", None, now);
@@ -255,13 +256,13 @@
 }
 
 #[googletest::test]
-fn refusals_of_other_daemons_make_careful() {
+fn requests_that_cannot_be_retried_avoid_an_endpoint_that_refused_another_daemon() {
     let now = start();
     let mut table = table(&[record("i-0", 5), record("i-1", 5)], now);
     receive(&mut table, warning("i-0", 5, WarningKind::NotServing, now), now);
     expect_false!(is_chosen(&table, "i-0", false, now));
     expect_true!(is_chosen(&table, "i-0", true, now));
-    // One that has just run a request here refuses the other daemon alone.
+    // An endpoint that has just run a request of this daemon may refuse only the other daemon.
     table.begin("i-1", &[], RunLoad::default(), now);
     table.record_intake("i-1", None, RequestIntake::Ran, now);
     receive(&mut table, warning("i-1", 5, WarningKind::NotServing, now), now);
@@ -269,11 +270,12 @@
 }
 
 #[googletest::test]
-fn one_daemons_refusal_makes_all_wait_that_know_of_it() {
+fn refusal_reported_by_another_daemon_restarts_the_pause_here() {
     let now = start();
     let mut table = table(&[record("i-0", 5)], now);
     table.record_refusal("i-0", None, now);
-    // A message that brings the own refusal back, a little younger, says nothing new.
+    // The own refusal comes back from another daemon with a slightly later time: it is not a new
+    // one.
     let later = now + seconds(0.05);
     receive(&mut table, warning("i-0", 5, WarningKind::NotServing, later), later);
     expect_true!(is_chosen(&table, "i-0", true, now + seconds(0.07)));
@@ -284,7 +286,7 @@
 }
 
 #[googletest::test]
-fn chosen_request_is_not_sent_to_an_endpoint_that_has_spoken_meanwhile() {
+fn request_is_not_sent_if_its_endpoint_has_sent_a_signal_since_the_choice() {
     let (now, chosen) = (start(), record("i-0", 5));
     let mut table = table(std::slice::from_ref(&chosen), now);
     expect_true!(table.may_be_sent(&chosen, now));
@@ -298,7 +300,7 @@
 }
 
 #[googletest::test]
-fn clients_come_back_one_after_another_when_the_first_endpoint_is_back() {
+fn retry_times_are_spread_over_the_ends_of_the_back_offs() {
     let now = start();
     let mut table = table(&[record("i-0", 5), record("i-1", 5)], now);
     expect_that!(table.forecast("pool", now), eq(RoomForecast::Now));
