--- a/tests/gateway/endpoint_starts.rs
+++ b/tests/gateway/endpoint_starts.rs
@@ -1,6 +1,6 @@
-//! An endpoint that starts again under its id holds and knows nothing of before. Its entry then
-//! tells a later start. After another had once responded at its address, it was not used any more:
-//! its requests got 503 also 1 s after the entry of its next start.
+//! An endpoint that restarts under its id has none of its earlier state, and its entry has a later
+//! start time. Once another endpoint had responded at its address, the restarted one was not used
+//! either: requests still got 503 1 s after the entry with the later start time was written.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
     gateway_site::{Site, endpoint_entry, wait_for},
 };
 
-/// Time within which a later start is used.
+/// Time within which an endpoint has to be used after a later start.
 const USED_WITHIN: Duration = Duration::from_secs(1);
-/// Time of a change that must change nothing.
+/// Wait after writing an entry: longer than an entry takes to be applied.
 const APPLY_TIME: Duration = Duration::from_millis(1_500);
 
 fn entry(endpoint: &EndpointStandin, born: u64) -> Value {
@@ -23,7 +23,8 @@
     entry
 }
 
-/// A site whose one endpoint, born at 5, has been found to have ended.
+/// A site with one endpoint, started at 5, that counts as ended because another one responded at
+/// its address.
 fn ended_site() -> Site {
     let site = Site::start(&[EndpointManner::Answer]);
     let endpoint = &site.endpoints[0];
@@ -32,12 +33,12 @@
     endpoint.set(EndpointManner::Other);
     expect_that!(site.ask("/plain/", "a").status, eq(503));
     endpoint.set(EndpointManner::Answer);
-    expect_that!(site.ask("/plain/", "b").status, eq(503), "it is not chosen again");
+    expect_that!(site.ask("/plain/", "b").status, eq(503), "an ended endpoint is not chosen again");
     site
 }
 
 #[googletest::test]
-fn later_start_is_used() {
+fn endpoint_is_used_again_after_a_later_start() {
     let site = ended_site();
     let endpoint = &site.endpoints[0];
     site.platform.put("servers", &endpoint.id, entry(endpoint, 6));
@@ -46,7 +47,7 @@
 }
 
 #[googletest::test]
-fn same_or_earlier_start_changes_nothing() {
+fn entry_of_the_same_or_an_earlier_start_does_not_bring_an_ended_endpoint_back() {
     let site = ended_site();
     let endpoint = &site.endpoints[0];
     for (number, born) in [5, 4].into_iter().enumerate() {
@@ -59,24 +60,24 @@
 }
 
 #[googletest::test]
-fn late_entry_of_an_earlier_start_does_not_take_the_endpoint_away() {
+fn delayed_draining_entry_of_an_earlier_start_is_ignored() {
     let site = Site::start(&[EndpointManner::Answer]);
     let endpoint = &site.endpoints[0];
     site.platform.put("servers", &endpoint.id, entry(endpoint, 6));
     std::thread::sleep(APPLY_TIME);
-    let mut late = entry(endpoint, 5);
-    late["state"] = json!("draining");
-    site.platform.put("servers", &endpoint.id, late);
+    let mut delayed = entry(endpoint, 5);
+    delayed["state"] = json!("draining");
+    site.platform.put("servers", &endpoint.id, delayed);
     std::thread::sleep(APPLY_TIME);
     expect_that!(site.ask("/plain/", "a").status, eq(200));
-    // The list is read anew.
+    // The daemon has to read the whole list again.
     site.platform.forget_history();
     std::thread::sleep(APPLY_TIME);
     expect_that!(site.ask("/plain/", "b").status, eq(200));
 }
 
 #[googletest::test]
-fn other_daemons_are_told_of_a_later_start() {
+fn daemon_without_the_store_learns_of_a_later_start_from_a_peer() {
     let site = ended_site();
     let endpoint = &site.endpoints[0];
     let refusing = crate::platform_standin::PlatformStandin::start();
--- a/tests/gateway/lost_entries.rs
+++ b/tests/gateway/lost_entries.rs
@@ -1,4 +1,5 @@
-//! Which endpoints are used while a store that was restored from a copy lacks what was written since.
+//! Which endpoints are used after the store was restored from a copy, while entries written after
+//! the copy are missing.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,7 +15,7 @@
     store_position::{StoreEra, StorePosition},
 };
 
-const LAPSE: Duration = Duration::from_secs(3);
+const ENTRY_EXPIRY: Duration = Duration::from_secs(3);
 const BORN: u64 = 7;
 
 fn record(id: &str, born: u64, state: EndpointState) -> Rc<EndpointRecord> {
@@ -39,35 +40,35 @@
 }
 
 struct ListedEntries {
-    memory: EntryHistory,
+    history: EntryHistory,
     now: Instant,
 }
 
 impl ListedEntries {
     fn new() -> Self {
-        Self { memory: EntryHistory::new(LAPSE), now: Instant::now() }
+        Self { history: EntryHistory::new(ENTRY_EXPIRY), now: Instant::now() }
     }
 
-    /// The store lists these; returns the endpoints that a new era makes drain.
+    /// Applies a list of the store. Returns the endpoints known to drain if the era is new.
     fn list(&mut self, era: u64, revision: u64, endpoints: &[Rc<EndpointRecord>]) -> Vec<u64> {
-        let drained = self.memory.begin_era(StoreEra(era));
+        let drained = self.history.begin_era(StoreEra(era));
         let position = StorePosition::new(StoreEra(era), revision);
-        self.memory.apply(EndpointList { position, endpoints: endpoints.to_vec() }, self.now);
+        self.history.apply(EndpointList { position, endpoints: endpoints.to_vec() }, self.now);
         drained.into_iter().map(|start| start.endpoint).collect()
     }
 
     fn used(&self) -> Vec<String> {
-        self.memory.used().endpoints.iter().map(|record| record.id.to_string()).collect()
+        self.history.used().endpoints.iter().map(|record| record.id.to_string()).collect()
     }
 
-    fn pass(&mut self, time: Duration) -> bool {
+    fn advance(&mut self, time: Duration) -> bool {
         self.now += time;
-        self.memory.end_rewrite_period(self.now)
+        self.history.end_rewrite_period(self.now)
     }
 }
 
 #[googletest::test]
-fn endpoint_that_drains_does_so_whatever_a_copy_says() {
+fn draining_endpoint_drains_although_a_copy_lists_it_as_ready() {
     let mut entries = ListedEntries::new();
     entries.list(1, 5, &[ready("a"), draining("b")]);
     let drained = entries.list(2, 3, &[ready("a"), ready("b")]);
@@ -75,7 +76,7 @@
 }
 
 #[googletest::test]
-fn endpoint_that_drained_and_has_gone_is_remembered() {
+fn endpoint_that_drained_and_was_removed_drains_if_a_copy_lists_it() {
     let mut entries = ListedEntries::new();
     entries.list(1, 5, &[ready("a"), draining("b")]);
     entries.list(1, 6, &[ready("a")]);
@@ -84,20 +85,20 @@
 }
 
 #[googletest::test]
-fn entry_that_a_copy_lacks_is_used_until_the_time_is_over() {
+fn endpoint_missing_from_a_copy_is_used_until_the_rewrite_period_ends() {
     let mut entries = ListedEntries::new();
     entries.list(1, 5, &[ready("a"), ready("b")]);
     entries.list(2, 3, &[ready("a")]);
     expect_that!(entries.used(), eq(&vec!["a", "b"]));
-    expect_that!(entries.pass(LAPSE / 2), eq(false));
+    expect_that!(entries.advance(ENTRY_EXPIRY / 2), eq(false));
     entries.list(2, 4, &[ready("a"), ready("c")]);
     expect_that!(entries.used(), eq(&vec!["a", "b", "c"]));
-    expect_that!(entries.pass(LAPSE / 2), eq(true));
+    expect_that!(entries.advance(ENTRY_EXPIRY / 2), eq(true));
     expect_that!(entries.used(), eq(&vec!["a", "c"]));
 }
 
 #[googletest::test]
-fn entry_that_was_written_again_goes_when_the_store_says_so() {
+fn rewritten_entry_is_removed_with_the_list_of_the_store() {
     let mut entries = ListedEntries::new();
     entries.list(1, 5, &[ready("a"), ready("b")]);
     entries.list(2, 3, &[ready("a")]);
@@ -107,18 +108,18 @@
 }
 
 #[googletest::test]
-fn entry_that_had_gone_is_used_once_it_has_outlasted_the_time() {
+fn removed_entry_that_a_copy_lists_is_used_after_the_rewrite_period() {
     let mut entries = ListedEntries::new();
     entries.list(1, 5, &[ready("a"), ready("b")]);
     entries.list(1, 6, &[ready("a")]);
     entries.list(2, 3, &[ready("a"), ready("b")]);
     expect_that!(entries.used(), eq(&vec!["a"]));
-    expect_that!(entries.pass(LAPSE), eq(true));
+    expect_that!(entries.advance(ENTRY_EXPIRY), eq(true));
     expect_that!(entries.used(), eq(&vec!["a", "b"]));
 }
 
 #[googletest::test]
-fn later_start_of_an_endpoint_that_had_gone_is_used_at_once() {
+fn later_start_of_a_removed_endpoint_is_used_immediately() {
     let mut entries = ListedEntries::new();
     entries.list(1, 5, &[ready("a"), ready("b")]);
     entries.list(1, 6, &[ready("a")]);
@@ -128,18 +129,18 @@
 }
 
 #[googletest::test]
-fn entries_are_remembered_over_two_losses() {
+fn missing_entries_are_used_across_two_restores() {
     let mut entries = ListedEntries::new();
     entries.list(1, 5, &[ready("a"), ready("b"), draining("c")]);
     entries.list(2, 3, &[ready("a"), ready("c")]);
-    entries.pass(LAPSE / 2);
+    entries.advance(ENTRY_EXPIRY / 2);
     entries.list(3, 3, &[ready("a"), ready("c")]);
-    entries.pass(LAPSE / 2);
+    entries.advance(ENTRY_EXPIRY / 2);
     expect_that!(entries.used(), eq(&vec!["a", "b", "c"]));
 }
 
 #[googletest::test]
-fn first_list_of_a_daemon_is_taken_as_it_is() {
+fn first_list_of_a_daemon_is_used_as_it_is() {
     let mut entries = ListedEntries::new();
     expect_that!(entries.list(2, 3, &[ready("a"), draining("b")]), is_empty());
     expect_that!(entries.used(), eq(&vec!["a", "b"]));
