--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! Plan of the endpoints to hold.
+//! The required number of endpoints of a service and their planned distribution over zones.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -30,8 +30,8 @@
 
 fn held(reclaimable: [u32; 4], on_demand: [u32; 4]) -> BTreeMap<SharedName, ZoneHolding> {
     let holding =
-        |place: usize| ZoneHolding { reclaimable: reclaimable[place], on_demand: on_demand[place] };
-    ZONES.iter().enumerate().map(|(place, zone)| ((*zone).into(), holding(place))).collect()
+        |index: usize| ZoneHolding { reclaimable: reclaimable[index], on_demand: on_demand[index] };
+    ZONES.iter().enumerate().map(|(index, zone)| ((*zone).into(), holding(index))).collect()
 }
 
 fn planner(running: f64) -> EndpointPlanner {
@@ -52,7 +52,7 @@
 }
 
 #[googletest::test]
-fn reclaimable_endpoints_suffice_when_a_zone_goes() {
+fn reclaimable_endpoints_suffice_if_a_zone_is_lost() {
     for running in [6.0, 30.0, 72.0, 100.0] {
         let planner = planner(running);
         let targets = planner.plan(&spec(), &held([0; 4], [5; 4]), ReclaimRisk::OneZone);
@@ -65,25 +65,25 @@
             expect_that!(
                 f64::from(others),
                 ge(planner.required()),
-                "{running} running, {zone} gone"
+                "{running} requests running, zone {zone} lost"
             );
         }
     }
 }
 
 #[googletest::test]
-fn on_demand_ones_stay_until_reclaimable_ones_serve_and_return_when_these_are_missing() {
+fn on_demand_endpoints_are_planned_only_while_reclaimable_ones_do_not_suffice() {
     let planner = planner(72.0);
     let before = total(&planner, &held([0; 4], [5; 4]), PriceClass::OnDemand);
     expect_that!(f64::from(before), ge(planner.required()));
-    let calm = total(&planner, &held([4; 4], [0; 4]), PriceClass::OnDemand);
-    expect_that!(calm, eq(0));
-    let zones_gone = total(&planner, &held([4, 4, 0, 0], [0; 4]), PriceClass::OnDemand);
-    expect_that!(zones_gone, gt(0));
+    let enough_reclaimable = total(&planner, &held([4; 4], [0; 4]), PriceClass::OnDemand);
+    expect_that!(enough_reclaimable, eq(0));
+    let two_zones_lost = total(&planner, &held([4, 4, 0, 0], [0; 4]), PriceClass::OnDemand);
+    expect_that!(two_zones_lost, gt(0));
 }
 
 #[googletest::test]
-fn required_number_decays_slowly_and_not_without_demand() {
+fn required_number_decays_slowly_and_only_with_observed_demand() {
     let start = Instant::now();
     let mut planner = EndpointPlanner::new(None, start);
     planner.estimate_from_held(&held([0; 4], [5; 4]), start);
@@ -91,24 +91,24 @@
     let later = start + Duration::from_secs(60);
     planner.observe(&ServiceDemand::default(), 20, later);
     expect_that!(planner.required(), near(17.0, 0.1));
-    let little =
+    let low_demand =
         ServiceDemand { prefill_rate: 0.0, endpoint_prefill_rate: 1.0, running: 3.0, slots: 10.0 };
-    planner.observe(&little, 20, later + Duration::from_secs(10));
+    planner.observe(&low_demand, 20, later + Duration::from_secs(10));
     expect_that!(planner.required(), all!(lt(11.0), gt(9.5)));
 }
 
 #[googletest::test]
-fn zones_without_reclaimable_endpoints_hold_no_room_for_them() {
+fn on_demand_endpoints_fill_zones_without_reclaimable_capacity() {
     let mut planner = planner(120.0);
-    let gone = held([0; 4], [5; 4]);
-    let before = total(&planner, &gone, PriceClass::OnDemand);
+    let none_reclaimable = held([0; 4], [5; 4]);
+    let before = total(&planner, &none_reclaimable, PriceClass::OnDemand);
     for zone in ZONES {
         planner.record_capacity_refusal(&zone.into(), Instant::now());
     }
-    let dry = total(&planner, &gone, PriceClass::OnDemand);
-    expect_that!(f64::from(dry), ge(planner.required()));
-    expect_that!(dry, gt(before));
-    for count in planner.plan(&spec(), &gone, ReclaimRisk::OneZone).into_values() {
+    let all_refused = total(&planner, &none_reclaimable, PriceClass::OnDemand);
+    expect_that!(f64::from(all_refused), ge(planner.required()));
+    expect_that!(all_refused, gt(before));
+    for count in planner.plan(&spec(), &none_reclaimable, ReclaimRisk::OneZone).into_values() {
         expect_that!(count, le(10));
     }
 }
@@ -117,7 +117,8 @@
 fn full_endpoints_do_not_raise_the_required_number_without_bound() {
     let start = Instant::now();
     let mut planner = EndpointPlanner::new(None, start);
-    // Few endpoints, slow because they are full: more requests run than they can serve.
+    // A few endpoints that are slow because they are full: more requests are running than they can
+    // serve.
     let overloaded = ServiceDemand {
         prefill_rate: 4e6,
         endpoint_prefill_rate: 20_000.0,
@@ -131,7 +132,7 @@
 }
 
 #[googletest::test]
-fn orders_wait_until_the_list_has_stopped_growing() {
+fn planner_is_settled_once_the_list_has_stopped_growing() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut planner = EndpointPlanner::new(None, start);
@@ -140,22 +141,22 @@
         expect_that!(planner.is_settled(at(ms)), eq(false), "after {ms} ms");
     }
     expect_that!(planner.is_settled(at(3_000)), eq(true));
-    // What comes later was ordered.
+    // Endpoints listed later were ordered.
     planner.estimate_from_held(&held([0; 4], [6; 4]), at(4_000));
     expect_that!(planner.is_settled(at(4_100)), eq(true));
 }
 
 #[googletest::test]
-fn successor_goes_on_from_the_required_number() {
+fn new_leader_continues_with_the_recorded_required_number() {
     let start = Instant::now();
     let mut planner = EndpointPlanner::new(Some(24.0), start);
-    // A zone has just gone: what is left says little of what is needed.
+    // A zone was just lost: the remaining endpoints are fewer than required.
     planner.estimate_from_held(&held([2, 2, 2, 0], [0; 4]), start);
     expect_that!(planner.required(), near(24.0, 0.1));
 }
 
 #[googletest::test]
-fn on_demand_ones_suffice_alone_while_all_zones_may_go() {
+fn on_demand_endpoints_suffice_alone_while_all_zones_are_at_risk() {
     let planner = planner(72.0);
     let held = held([5; 4], [0; 4]);
     let targets = planner.plan(&spec(), &held, ReclaimRisk::AllZones);
@@ -166,7 +167,7 @@
 }
 
 #[googletest::test]
-fn zone_that_goes_endangers_the_others_for_a_while_and_fewer_in_a_zone_do_not() {
+fn lost_zone_puts_all_zones_at_risk_for_a_while_but_a_shrunken_one_does_not() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let risk = |wave: &ReclaimWave, ms| wave.risk(spec().start_time, at(ms));
--- a/tests/gateway/fleet_places.rs
+++ b/tests/gateway/fleet_places.rs
@@ -1,5 +1,6 @@
-//! Fleets of real daemons that play at the same time. Tests wait for a place before they start one, so that
-//! the load on the machine does not depend on how many tests run at a time.
+//! Limits the number of fleets of real daemons that run at the same time. A test acquires a slot
+//! before it starts a fleet, so that the load on the machine doesn't depend on the number of test
+//! threads.
 
 use std::{
     sync::{Mutex, MutexGuard, TryLockError},
@@ -7,23 +8,23 @@
     time::Duration,
 };
 
-/// Fleets at a time.
-const PLACES: usize = 3;
-/// Pause between two looks for a free place.
-const PLACE_PAUSE: Duration = Duration::from_millis(50);
+/// Number of fleets that may run at the same time.
+const MAX_FLEETS: usize = 3;
+/// Interval between two attempts to acquire a slot.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-static FLEETS: [Mutex<()>; PLACES] = [const { Mutex::new(()) }; PLACES];
+static FLEET_SLOTS: [Mutex<()>; MAX_FLEETS] = [const { Mutex::new(()) }; MAX_FLEETS];
 
-/// Waits for a place. One is free again also after a test that failed in it.
+/// Waits for a free slot. A slot whose test has panicked is free again.
 pub fn acquire_fleet_slot() -> MutexGuard<'static, ()> {
     loop {
-        for place in &FLEETS {
-            match place.try_lock() {
+        for slot in &FLEET_SLOTS {
+            match slot.try_lock() {
                 Ok(guard) => return guard,
                 Err(TryLockError::Poisoned(poisoned)) => return poisoned.into_inner(),
                 Err(TryLockError::WouldBlock) => {}
             }
         }
-        thread::sleep(PLACE_PAUSE);
+        thread::sleep(RETRY_INTERVAL);
     }
 }
--- a/tests/gateway/leader_rules.rs
+++ b/tests/gateway/leader_rules.rs
@@ -1,5 +1,5 @@
-//! Rules of the leader without I/O: when the lease may be acquired and held, which usage window
-//! is due, which orders of endpoints are sent.
+//! Rules of the leader without I/O: when the lease may be acquired and held, which usage window is
+//! due, and which endpoint orders are sent.
 
 use std::time::Duration;
 
@@ -35,15 +35,15 @@
 }
 
 #[googletest::test]
-fn lease_is_acquired_only_when_its_holder_has_ended() {
+fn lease_is_acquired_only_when_it_was_released_or_has_expired() {
     let acquire = |fence| AcquireDecision::Acquire { fence };
     let other = LeaseOwner::Other;
-    let whole = (LEASE + ACQUIRE_MARGIN).as_millis() as u64;
+    let unchanged_ms = (LEASE + ACQUIRE_MARGIN).as_millis() as u64;
     for (observed, decision) in [
         (None, acquire(1)),
         (observed(other, false, 0), AcquireDecision::Wait(LEASE + ACQUIRE_MARGIN)),
-        (observed(other, false, whole - 1), AcquireDecision::Wait(millis(1))),
-        (observed(other, false, whole), acquire(8)),
+        (observed(other, false, unchanged_ms - 1), AcquireDecision::Wait(millis(1))),
+        (observed(other, false, unchanged_ms), acquire(8)),
         (observed(other, true, 0), acquire(8)),
         (observed(LeaseOwner::EarlierProcess, false, 0), acquire(8)),
         (observed(LeaseOwner::ThisProcess, false, 0), acquire(7)),
@@ -53,17 +53,19 @@
     }
 }
 
-/// Daemons that remember nothing acquire the lease after the store has lost it.
+/// A restored store may lack the lease record, and the daemon that acquires the lease then may know
+/// of no earlier fence.
 #[googletest::test]
 fn fences_of_an_era_are_above_those_of_all_earlier_ones() {
-    let whole = (LEASE + ACQUIRE_MARGIN).as_millis() as u64;
+    let unchanged_ms = (LEASE + ACQUIRE_MARGIN).as_millis() as u64;
     let mut highest = 0;
     for era in 0..5 {
         let first = decide_acquire(None, LEASE, StoreEra(era));
         expect_that!(first, eq(AcquireDecision::Acquire { fence: first_fence(StoreEra(era)) }));
         expect_that!(first_fence(StoreEra(era)), gt(highest), "era {era}");
-        // Of a record of an earlier era.
-        let next = decide_acquire(observed(LeaseOwner::Other, false, whole), LEASE, StoreEra(era));
+        // Fence after a record of an earlier era.
+        let next =
+            decide_acquire(observed(LeaseOwner::Other, false, unchanged_ms), LEASE, StoreEra(era));
         expect_that!(
             next,
             eq(AcquireDecision::Acquire { fence: first_fence(StoreEra(era)).max(8) })
@@ -73,7 +75,7 @@
 }
 
 #[googletest::test]
-fn holder_renews_in_time_and_stops_when_it_could_not() {
+fn holder_renews_in_time_and_loses_the_lease_otherwise() {
     for (age_ms, is_leaving, decision) in [
         (0, false, HoldDecision::Keep),
         (1_000, false, HoldDecision::Keep),
@@ -104,16 +106,16 @@
 }
 
 #[googletest::test]
-fn leader_that_has_just_started_reports_only_what_all_have_counted() {
-    for (age_ms, report_age_ms, heard) in [
+fn new_leader_reports_usage_only_after_receiving_all_counts() {
+    for (age_ms, report_age_ms, expected) in [
         (100, 300, false),
         (999, 300, false),
         (1_000, 300, true),
         (1_000, 1_800, false),
         (3_600, 1_800, true),
     ] {
-        let has_heard = has_received_counts(millis(age_ms), millis(report_age_ms));
-        expect_that!(has_heard, eq(heard), "{age_ms} ms, reports {report_age_ms} ms old");
+        let has_received = has_received_counts(millis(age_ms), millis(report_age_ms));
+        expect_that!(has_received, eq(expected), "{age_ms} ms, reports {report_age_ms} ms old");
     }
 }
 
@@ -127,7 +129,8 @@
     }
 }
 
-/// Two zones with this many reclaimable endpoints each, and requests that need two in each.
+/// A service that holds this many reclaimable endpoints in each of two zones and requires two in
+/// each.
 fn service(held: u32) -> ObservedService {
     let holding = ZoneHolding { reclaimable: held, on_demand: 0 };
     ObservedService {
@@ -146,7 +149,7 @@
 }
 
 impl Orders {
-    /// Orders of a holder that knows that two endpoints are required.
+    /// Orders of a new holder; two endpoints were required so far.
     fn new() -> Self {
         let service: SharedName = "pool".into();
         let orders = EndpointOrders::after([(service.clone(), 2.0)].into());
@@ -166,7 +169,7 @@
 }
 
 #[googletest::test]
-fn accepted_order_is_sent_again_only_if_the_list_does_not_follow() {
+fn accepted_order_is_sent_again_if_the_list_does_not_change_in_time() {
     let mut orders = Orders::new();
     let due = orders.due(1_500, 1);
     expect_that!(due.len(), eq(2));
@@ -179,7 +182,7 @@
 }
 
 #[googletest::test]
-fn new_holder_orders_more_reclaimable_endpoints_at_once_and_the_rest_later() {
+fn new_holder_orders_reclaimable_endpoints_immediately_and_others_once_the_list_is_stable() {
     let mut orders = Orders::new();
     let due = orders.due(0, 1);
     expect_that!(due.len(), eq(2));
@@ -187,7 +190,7 @@
         expect_that!(order.class, eq(PriceClass::Reclaimable));
         expect_that!(order.count, eq(2));
     }
-    // The list still grows: whatever is missing or too much may come from that.
+    // While the list still grows, endpoints may only seem to be missing or surplus.
     let mut others = Orders::new();
     expect_that!(
         others.due(0, 0).iter().any(|order| order.class == PriceClass::OnDemand),
@@ -198,7 +201,7 @@
 }
 
 #[googletest::test]
-fn order_whose_outcome_is_unknown_is_sent_again_at_once() {
+fn order_with_an_unknown_result_is_sent_again_immediately() {
     let mut orders = Orders::new();
     orders.due(0, 1);
     let due = orders.due(1_500, 1);
@@ -207,21 +210,21 @@
 }
 
 #[googletest::test]
-fn zone_without_capacity_is_asked_again_after_a_while_and_gets_on_demand_endpoints() {
+fn zone_without_reclaimable_capacity_gets_on_demand_endpoints_and_is_tried_again_later() {
     let mut orders = Orders::new();
     orders.due(0, 1);
     let due = orders.due(1_500, 1);
     expect_that!(due.iter().all(|order| order.class == PriceClass::Reclaimable), eq(true));
     orders.finish(1_500, &due, OrderResult::CapacityRefused);
-    let instead = orders.due(2_000, 1);
-    expect_that!(instead.len(), gt(0));
-    expect_that!(instead.iter().all(|order| order.class == PriceClass::OnDemand), eq(true));
+    let replacements = orders.due(2_000, 1);
+    expect_that!(replacements.len(), gt(0));
+    expect_that!(replacements.iter().all(|order| order.class == PriceClass::OnDemand), eq(true));
     let again = orders.due(3_600, 1);
     expect_that!(again.iter().any(|order| order.class == PriceClass::Reclaimable), eq(true));
 }
 
 #[googletest::test]
-fn leader_that_takes_over_within_a_wave_knows_of_it() {
+fn leader_that_takes_over_during_a_reclaim_wave_orders_on_demand_endpoints() {
     let start = Instant::now();
     let service_name: SharedName = "pool".into();
     let mut waves = ReclaimWaves::default();
--- a/tests/gateway/unknown_routes.rs
+++ b/tests/gateway/unknown_routes.rs
@@ -1,4 +1,4 @@
-//! What a client is told of a route that its daemon doesn't know.
+//! Responses to requests for routes and keys that a daemon's configuration doesn't have.
 
 use std::{
     thread,
@@ -14,12 +14,13 @@
     platform_standin::PlatformStandin,
 };
 
-/// Time within which changes have to be applied, in milliseconds.
+/// Apply limit: time within which configuration changes have to be applied, in milliseconds.
 const APPLY_LIMIT_MS: u64 = 1_000;
 
-/// Daemons that had lost the store refused routes that an operator had added meanwhile with 404 and
-/// keys with 401, which clients take for final, as if their configuration were still the newest
-/// one: 5,538 requests for routes over 3 s old in a run of 25 s with 77 daemons.
+/// Daemons that couldn't reach the store responded with 404 to routes, and with 401 to keys, that
+/// an operator had added since, as if their configuration were still the newest one. Clients treat
+/// both as final. In a run of 25 s with 77 daemons, this affected 5,538 requests for routes over 3
+/// s old.
 #[googletest::test]
 fn unknown_routes_and_keys_may_be_retried_while_the_configuration_is_in_doubt() {
     let platform = PlatformStandin::start();
@@ -43,8 +44,8 @@
     expect_that!(ask("/plain/", "key-1").status, eq(200));
 
     platform.set_down(false);
-    let back_at = Instant::now();
-    wait_for("certainty", || ask("/none/", "key-1").status == 404);
-    expect_that!(back_at.elapsed(), lt(Duration::from_secs(3)));
+    let store_restored_at = Instant::now();
+    wait_for("404 for an unknown route", || ask("/none/", "key-1").status == 404);
+    expect_that!(store_restored_at.elapsed(), lt(Duration::from_secs(3)));
     expect_that!(ask("/plain/", "other").status, eq(401));
 }
