--- a/tests/gateway/decoders.rs
+++ b/tests/gateway/decoders.rs
@@ -1,4 +1,4 @@
-//! Every translation of the platform's formats, also of malformed input.
+//! Decoders of the platform's formats, with valid and with malformed input.
 
 use googletest::prelude::*;
 use hyper::{Request, Response};
@@ -42,7 +42,7 @@
 }
 
 #[googletest::test]
-fn configuration_is_read_whole() {
+fn configuration_fields_are_decoded() {
     let text = sample_configuration().to_string();
     let read = configuration::decode(text.as_bytes()).expect("decodes");
     expect_that!(read.version, eq(7));
@@ -63,7 +63,7 @@
 }
 
 #[googletest::test]
-fn endpoint_entries_are_read() {
+fn endpoint_entries_are_decoded() {
     let entry = json!({"service": "s", "address": "10.0.0.1:80", "zone": "a", "version": "v1",
         "slots": 32, "state": "draining", "cold-left-ms": 0, "use-spot": true, "seq": 3});
     let read = endpoints::decode("i-1".into(), entry.to_string().as_bytes()).expect("decodes");
@@ -74,7 +74,7 @@
 }
 
 #[googletest::test]
-fn store_answers_are_read() {
+fn store_pages_and_watch_events_are_decoded() {
     let object = json!({"metadata": {"name": "n", "revision": 4}, "spec": {"a": 1}});
     let page = json!({"items": [object], "more": true, "at": 9});
     let (listing, more) =
@@ -90,6 +90,8 @@
     expect_that!(at, eq(StorePosition::new(StoreEra(2), 12)));
 }
 
+/// One unreadable object must not prevent the others of the same page or watch answer from being
+/// decoded.
 #[googletest::test]
 fn objects_that_cannot_be_read_spoil_no_others() {
     let good = r#"{"metadata": {"name": "n", "revision": 4}, "spec": {"a": 1}}"#;
@@ -104,19 +106,19 @@
         let (listing, _) =
             object_codec::decode_page(StoreEra(2), page.as_bytes()).expect("decodes");
         let names: Vec<&str> = listing.objects.iter().map(|object| &*object.name).collect();
-        expect_that!(names.contains(&"n"), eq(true), "{bad}");
+        expect_that!(names.contains(&"n"), eq(true), "beside the unreadable object {bad}");
         let watch = format!(
             r#"{{"events": [{{"gone": false, "object": {bad}}},
                 {{"gone": false, "object": {good}}}], "at": 9}}"#
         );
         let (changes, _) =
             object_codec::decode_watch(StoreEra(2), watch.as_bytes()).expect("decodes");
-        expect_that!(changes.is_empty(), eq(false), "{bad}");
+        expect_that!(changes.is_empty(), eq(false), "beside the unreadable object {bad}");
     }
 }
 
 #[googletest::test]
-fn bytes_that_are_no_text_spoil_no_other_object() {
+fn object_with_invalid_utf8_does_not_prevent_decoding_of_others() {
     let mut page = br#"{"items": [{"metadata": {"name": "b"}, "spec": "#.to_vec();
     page.extend(b"\"\xff\xfe\"}, ");
     page.extend(br#"{"metadata": {"name": "n"}, "spec": {}}], "more": false, "at": 9}"#);
@@ -125,15 +127,15 @@
 }
 
 #[googletest::test]
-fn entry_with_a_field_twice_names_no_endpoint() {
+fn endpoint_entry_with_a_duplicate_field_is_rejected() {
     let entry = r#"{"service": "s", "address": "10.0.0.1:80", "zone": "a", "slots": 3,
         "state": "ready", "state": "draining"}"#;
     expect_that!(endpoints::decode("i".into(), entry.as_bytes()).is_err(), eq(true));
 }
 
 #[googletest::test]
-fn settings_name_what_is_wrong() {
-    let error = settings::parse("{}").expect_err("refused").to_string();
+fn settings_errors_name_the_invalid_field() {
+    let error = settings::parse("{}").expect_err("empty settings were accepted").to_string();
     expect_that!(error, contains_substring("node"));
     let address = "127.0.0.1:80";
     for key in ["revoke-ms", "config-apply-ms"] {
@@ -142,12 +144,14 @@
             "listen": {"front": address, "readiness": address, "control": address},
             "bounds": {key: -1}, "platform": {"address": address}, "new": [],
         });
-        let error = settings::parse(&whole.to_string()).expect_err("refused").to_string();
+        let error = settings::parse(&whole.to_string())
+            .expect_err("settings with a negative bound were accepted")
+            .to_string();
         expect_that!(error, contains_substring(format!("bounds.{key}")));
     }
 }
 
-fn head(headers: &[(&str, &str)]) -> std::result::Result<(), HeadError> {
+fn head_result(headers: &[(&str, &str)]) -> std::result::Result<(), HeadError> {
     let mut request = Request::builder().uri("/a/b?c=1");
     for (name, value) in headers {
         request = request.header(*name, *value);
@@ -157,21 +161,21 @@
 }
 
 #[googletest::test]
-fn heads_that_cannot_be_relied_on_are_refused() {
+fn invalid_request_heads_are_rejected() {
     let id = ("x-request-id", "r");
     let host = ("host", "h");
-    expect_that!(head(&[id, host]), ok(eq(())));
-    expect_that!(head(&[host]), err(eq(HeadError::NoId)));
-    expect_that!(head(&[id]), err(eq(HeadError::NoHost)));
-    expect_that!(head(&[id, host, ("host", "other")]), err(eq(HeadError::NoHost)));
+    expect_that!(head_result(&[id, host]), ok(eq(())));
+    expect_that!(head_result(&[host]), err(eq(HeadError::NoId)));
+    expect_that!(head_result(&[id]), err(eq(HeadError::NoHost)));
+    expect_that!(head_result(&[id, host, ("host", "other")]), err(eq(HeadError::NoHost)));
     let two = [id, host, ("content-length", "1"), ("transfer-encoding", "chunked")];
-    expect_that!(head(&two), err(eq(HeadError::AmbiguousLength)));
-    expect_that!(head(&[id, host, ("upgrade", "h2c")]), err(eq(HeadError::BadMethod)));
+    expect_that!(head_result(&two), err(eq(HeadError::AmbiguousLength)));
+    expect_that!(head_result(&[id, host, ("upgrade", "h2c")]), err(eq(HeadError::BadMethod)));
     let tokens = [id, host, ("x-token-counts", "1,-2")];
-    expect_that!(head(&tokens), err(eq(HeadError::BadHeader("X-Token-Counts"))));
+    expect_that!(head_result(&tokens), err(eq(HeadError::BadHeader("X-Token-Counts"))));
 }
 
-fn meaning(status: u16, headers: &[(&str, &str)]) -> ResponseMeaning {
+fn meaning_of(status: u16, headers: &[(&str, &str)]) -> ResponseMeaning {
     let mut answer = Response::builder().status(status);
     for (name, value) in headers {
         answer = answer.header(*name, *value);
@@ -180,19 +184,19 @@
 }
 
 #[googletest::test]
-fn answers_mean_what_the_protocol_says() {
+fn responses_are_classified_by_status_and_headers() {
     let mine = ("x-request-id", "mine");
-    expect_that!(meaning(200, &[mine]), eq(ResponseMeaning::Ran));
-    expect_that!(meaning(200, &[]), eq(ResponseMeaning::Foreign));
-    expect_that!(meaning(503, &[("x-request-id", "other")]), eq(ResponseMeaning::Foreign));
-    expect_that!(meaning(503, &[mine, ("x-not-executed", "1")]), eq(ResponseMeaning::NotRun));
-    expect_that!(meaning(503, &[mine]), eq(ResponseMeaning::Ran));
-    expect_that!(meaning(421, &[]), eq(ResponseMeaning::OtherEndpoint));
-    expect_that!(meaning(504, &[mine]), eq(ResponseMeaning::Ran));
+    expect_that!(meaning_of(200, &[mine]), eq(ResponseMeaning::Ran));
+    expect_that!(meaning_of(200, &[]), eq(ResponseMeaning::Foreign));
+    expect_that!(meaning_of(503, &[("x-request-id", "other")]), eq(ResponseMeaning::Foreign));
+    expect_that!(meaning_of(503, &[mine, ("x-not-executed", "1")]), eq(ResponseMeaning::NotRun));
+    expect_that!(meaning_of(503, &[mine]), eq(ResponseMeaning::Ran));
+    expect_that!(meaning_of(421, &[]), eq(ResponseMeaning::OtherEndpoint));
+    expect_that!(meaning_of(504, &[mine]), eq(ResponseMeaning::Ran));
 }
 
-/// Replaces the value at a random place of a JSON text by another one.
-fn damaged(value: &Value, place: usize, with: &Value) -> String {
+/// Returns `value` as JSON text with the value at `place`, counted depth first, replaced by `with`.
+fn with_replaced_value(value: &Value, place: usize, with: &Value) -> String {
     fn replace(value: &mut Value, place: &mut usize, with: &Value) {
         if *place == 0 {
             *value = with.clone();
@@ -233,12 +237,12 @@
 
 proptest! {
     #[test]
-    fn damaged_configurations_do_no_harm(place in 1_usize..80, with in any_json()) {
-        let _ = configuration::decode(damaged(&sample_configuration(), place, &with).as_bytes());
+    fn decoding_of_damaged_configurations_does_not_panic(place in 1_usize..80, with in any_json()) {
+        let _ = configuration::decode(with_replaced_value(&sample_configuration(), place, &with).as_bytes());
     }
 
     #[test]
-    fn bytes_do_no_harm(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_of_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = configuration::decode(&bytes);
         let _ = endpoints::decode("i".into(), &bytes);
         let _ = object_codec::decode_object(StoreEra(2), &bytes);
@@ -248,9 +252,9 @@
     }
 
     #[test]
-    fn headers_do_no_harm(name in 0_usize..7, value in "[ -~]{0,40}") {
+    fn arbitrary_header_values_do_not_panic(name in 0_usize..7, value in "[ -~]{0,40}") {
         let names = ["x-deadline-ms", "x-token-counts", "x-prompt-prefix", "last-event-id",
             "authorization", "x-length-hint", "connection"];
-        let _ = head(&[("x-request-id", "r"), ("host", "h"), (names[name], &value)]);
+        let _ = head_result(&[("x-request-id", "r"), ("host", "h"), (names[name], &value)]);
     }
 }
--- a/tests/gateway/exchange.rs
+++ b/tests/gateway/exchange.rs
@@ -1,4 +1,5 @@
-//! What daemons tell each other: nobody is left behind whom the store turns away.
+//! Gossip messages between daemons: their encoding, and a daemon that gets its configuration from a peer
+//! because its store refuses all calls.
 
 use std::{rc::Rc, time::Duration};
 
@@ -36,26 +37,30 @@
     platform_standin::PlatformStandin,
 };
 
+/// A daemon whose store refuses all calls must still serve requests and apply new keys, which it gets
+/// from a peer. Once the peer is gone, it must refuse requests, as the keys may have been revoked.
 #[googletest::test]
-fn daemon_that_the_store_turns_away_learns_from_a_peer() {
+fn daemon_whose_store_refuses_calls_gets_the_configuration_from_a_peer() {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
     let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
     platform.put("servers", "i-0", endpoint_entry(&endpoint, "ready"));
-    let served = Gateway::start("edge-1", &platform, &[]);
-    served.wait_ready();
+    let with_store = Gateway::start("edge-1", &platform, &[]);
+    with_store.wait_ready();
     let refusing = PlatformStandin::start();
     refusing.set_down(true);
-    let cut_off = Gateway::start("edge-2", &refusing, &[served.peers]);
-    cut_off.wait_ready();
-    expect_that!(ask(cut_off.clients, "/plain/", "a", "key-1", &[], b"").status, eq(200));
+    let without_store = Gateway::start("edge-2", &refusing, &[with_store.peers]);
+    without_store.wait_ready();
+    expect_that!(ask(without_store.clients, "/plain/", "a", "key-1", &[], b"").status, eq(200));
     platform.put("config", "main", configuration(4, &["key-2"]));
-    wait_for("new key", || ask(cut_off.clients, "/plain/", "b", "key-2", &[], b"").status == 200);
-    expect_that!(ask(cut_off.clients, "/plain/", "c", "key-1", &[], b"").status, eq(401));
-    drop(served);
-    // The peer's word is all that proved the keys: without it they are refused in time.
+    wait_for("acceptance of the new key", || {
+        ask(without_store.clients, "/plain/", "b", "key-2", &[], b"").status == 200
+    });
+    expect_that!(ask(without_store.clients, "/plain/", "c", "key-1", &[], b"").status, eq(401));
+    drop(with_store);
+    // The freshness proof came from the peer only: without the peer it expires after `revoke-ms`, 5 s.
     std::thread::sleep(Duration::from_millis(5_200));
-    expect_that!(ask(cut_off.clients, "/plain/", "d", "key-2", &[], b"").status, eq(503));
+    expect_that!(ask(without_store.clients, "/plain/", "d", "key-2", &[], b"").status, eq(503));
 }
 
 fn sample_counters() -> DaemonCounters {
@@ -157,8 +162,8 @@
     }
 }
 
-/// The same with texts as daemons of the former release send and request them.
-fn former_message() -> GossipMessage {
+/// `sample_message` with the texts and requests for texts in the form of the previous release.
+fn previous_release_message() -> GossipMessage {
     let text = Some(SentText::Plain(Bytes::from_static(b"{}")));
     let request = TextRequest { accepts_compressed: false, bases: Vec::new() };
     GossipMessage {
@@ -205,8 +210,8 @@
 }
 
 #[googletest::test]
-fn message_is_read_as_it_was_written() {
-    for sample in [sample_message(), former_message()] {
+fn decoded_message_equals_the_encoded_one() {
+    for sample in [sample_message(), previous_release_message()] {
         let read = decode(&encoded(&sample)).expect("decodes");
         expect_that!(read.state, eq(&sample.state));
         expect_that!(read.is_starting, eq(sample.is_starting));
@@ -226,13 +231,13 @@
 
 proptest! {
     #[test]
-    fn damaged_message_does_no_harm(
+    fn decoding_of_a_damaged_message_does_not_panic(
         former: bool,
         place in 0_usize..8_000,
         byte: u8,
         length in 0_usize..8_000,
     ) {
-        let message = if former { former_message() } else { sample_message() };
+        let message = if former { previous_release_message() } else { sample_message() };
         let mut bytes = encoded(&message);
         let place = place % bytes.len();
         bytes[place] = byte;
--- a/tests/gateway/sent_texts.rs
+++ b/tests/gateway/sent_texts.rs
@@ -1,4 +1,5 @@
-//! Texts as they are sent to peers: compressed against a former text, whole, or as they are.
+//! Texts that are sent to peers: compressed as a difference from a former text, compressed as a whole,
+//! or plain.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -24,7 +25,7 @@
     format!(r#"{{"name":"r-{number}","path-prefix":"/p{number}/","timeout-ms":{timeout_ms}}},"#)
 }
 
-/// A configuration of so many routes, one of them with a timeout of its own.
+/// A configuration of `routes` routes with a timeout of 500 ms, except one with `timeout_ms`.
 fn text(routes: usize, timeout_ms: u32) -> Bytes {
     let timeout = |number| if number == routes / 2 { timeout_ms } else { 500 };
     (0..routes).map(|number| route(number, timeout(number))).collect::<String>().into()
@@ -34,7 +35,7 @@
     StorePosition::new(StoreEra(2), 9)
 }
 
-/// A list of so many endpoints, of which one is in this state.
+/// A list of `count` endpoints, of which one is in this state and all others are ready.
 fn endpoint_list(count: usize, state: EndpointState) -> EndpointList {
     let endpoint = |number: usize| {
         let is_changed = number == count / 3;
@@ -78,28 +79,33 @@
     TextRequest { accepts_compressed: true, bases: ids(texts) }
 }
 
-/// What a daemon that has applied `texts` sends for a request.
+/// What a daemon that has applied `texts` sends in response to a request.
 fn sent(texts: &[Bytes], request: &TextRequest) -> SentText {
     exchange(texts).try_send(request, Instant::now()).expect("a text")
 }
 
 #[googletest::test]
-fn a_change_is_sent_in_a_few_bytes_whatever_the_length_of_the_text() {
+fn change_of_one_timeout_compresses_to_under_300_bytes_at_any_length() {
     for routes in [20, 1_400, 12_000] {
         let (former, newer) = (text(routes, 600), text(routes, 700));
         let change = compress(&newer, &former).expect("compressed");
-        expect_that!(change.len(), lt(300), "{routes} routes, {} bytes", newer.len());
+        expect_that!(
+            change.len(),
+            lt(300),
+            "difference of a text of {routes} routes, {} bytes",
+            newer.len()
+        );
         expect_that!(decompress(&change, &former).expect("text"), eq(newer.as_ref()));
     }
 }
 
-/// A list of 10,000 endpoints has over 1 MB, a second of a link of 10 Mbit/s.
+/// A list of 10,000 endpoints has over 1 MB, which takes a link of 10 Mbit/s a second to transfer.
 #[googletest::test]
-fn a_change_of_one_endpoint_is_sent_in_a_few_bytes() {
+fn change_of_one_endpoint_compresses_to_under_300_bytes() {
     let former = write_text(&endpoint_list(10_000, EndpointState::Ready));
     let newer = endpoint_list(10_000, EndpointState::Draining);
     let change = compress(&write_text(&newer), &former).expect("compressed");
-    expect_that!(change.len(), lt(300), "of {} bytes", former.len());
+    expect_that!(change.len(), lt(300), "difference of a list of {} bytes", former.len());
     let text = decompress(&change, &former).expect("text");
     let list = read_list(position(), &text).expect("list");
     expect_that!(list.endpoints, eq(&newer.endpoints));
@@ -107,7 +113,7 @@
 }
 
 #[googletest::test]
-fn another_text_than_the_base_is_found() {
+fn decompression_against_a_wrong_base_fails() {
     let (former, newer) = (text(1_400, 600), text(1_400, 700));
     let change = compress(&newer, &former).expect("compressed");
     let other = text(1_399, 600);
@@ -116,36 +122,36 @@
 }
 
 #[googletest::test]
-fn a_text_beyond_the_limit_is_not_decoded() {
-    let endless = vec![b' '; (4 << 20) + 1];
-    let data = compress(&endless, &[]).expect("compressed");
+fn text_longer_than_the_limit_is_not_decompressed() {
+    let too_long = vec![b' '; (4 << 20) + 1];
+    let data = compress(&too_long, &[]).expect("compressed");
     expect_that!(decompress(&data, &[]), err(anything()));
 }
 
 #[googletest::test]
-fn the_newest_text_in_common_is_the_base() {
+fn newest_text_that_both_daemons_keep_is_the_base() {
     let texts = [text(50, 600), text(50, 700), text(50, 800)];
     let [first, second, _] = &texts;
     let (other, another) = (text(51, 600), text(52, 600));
     let base = |bases: &[&Bytes]| match sent(&texts, &request(bases)) {
         SentText::Compressed(text) => text.base,
-        SentText::Plain(_) => panic!("plain"),
+        SentText::Plain(_) => panic!("the text was sent plain"),
     };
     expect_that!(base(&[&other, second, first]), eq(TextId::of(second)));
     expect_that!(base(&[&other, first]), eq(TextId::of(first)));
     expect_that!(base(&[&other, &another]), eq(TextId::NO_BASE));
 }
 
-/// A daemon of an earlier release, which doesn't say that it accepts compressed texts.
+/// Daemons of an earlier release don't state that they accept compressed texts.
 #[googletest::test]
-fn a_text_is_sent_as_it_is_to_those_that_cannot_read_another() {
+fn daemons_that_do_not_accept_compressed_texts_get_plain_ones() {
     let texts = [text(50, 600), text(50, 700)];
     let request = TextRequest { accepts_compressed: false, bases: Vec::new() };
     expect_that!(sent(&texts, &request), eq(&SentText::Plain(text(50, 700))));
 }
 
 #[googletest::test]
-fn changes_are_sent_to_many_at_once_and_long_texts_one_after_the_other() {
+fn long_whole_texts_are_sent_one_at_a_time_and_differences_at_once() {
     let texts = [text(12_000, 600), text(12_000, 700)];
     let (mut sender, now) = (exchange(&texts), Instant::now());
     expect_that!(sender.try_send(&request(&[]), now), some(anything()));
@@ -154,12 +160,12 @@
     let step = std::time::Duration::from_millis(1);
     for number in 0..20 {
         let change = sender.try_send(&request(&[&texts[0]]), now + step * number);
-        expect_that!(change, some(anything()), "{number}");
+        expect_that!(change, some(anything()), "difference number {number}");
     }
 }
 
 #[googletest::test]
-fn former_texts_are_kept_within_limits() {
+fn kept_former_texts_are_limited_in_bytes_and_number() {
     let long: Vec<Bytes> = (1..=9_u8).map(|byte| Bytes::from(vec![byte; 400_000])).collect();
     expect_that!(held(&long).bases(), eq(&ids(&[&long[8], &long[7], &long[6]])));
     let short: Vec<Bytes> = (1..=40_u8).map(|byte| Bytes::from(vec![byte; 2])).collect();
@@ -168,7 +174,8 @@
     expect_that!(held(std::slice::from_ref(&longest)).bases(), eq(&ids(&[&longest])));
 }
 
-/// The store was restored from a copy, and has given the same revision to two texts.
+/// A store that was restored from a copy may give the same revision to two different texts. A receiver
+/// whose text differs from that of the sender must not get a difference from the sender's text.
 #[googletest::test]
 fn different_texts_of_one_revision_are_no_base_for_each_other() {
     let (older, newer) = (text(50, 700), text(50, 800));
@@ -176,12 +183,12 @@
     let mut receiver = exchange(&[text(49, 700)]);
     match sender.try_send(&receiver.request(), Instant::now()) {
         Some(SentText::Compressed(text)) => expect_that!(receiver.read(&text), ok(eq(&newer))),
-        _ => panic!("nothing compressed was sent"),
+        _ => panic!("no compressed text was sent"),
     }
 }
 
 #[googletest::test]
-fn whole_texts_are_requested_after_one_that_could_not_be_read() {
+fn whole_text_is_requested_after_a_difference_could_not_be_read() {
     let (older, newer) = (text(50, 700), text(50, 800));
     let mut sender = exchange(&[older.clone(), newer.clone()]);
     let mut receiver = exchange(std::slice::from_ref(&older));
@@ -194,7 +201,7 @@
                 }
                 receiver.read(&text)
             }
-            _ => panic!("nothing compressed was sent"),
+            _ => panic!("no compressed text was sent"),
         }
     };
     expect_that!(fetch(&mut receiver, 0, true), err(anything()));
@@ -213,13 +220,13 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_as_it_was_written(text: Vec<u8>, base: Vec<u8>) {
+    fn decompression_restores_any_text(text: Vec<u8>, base: Vec<u8>) {
         let data = compress(&text, &base).expect("compressed");
         prop_assert_eq!(decompress(&data, &base).expect("text"), text);
     }
 
     #[test]
-    fn damaged_data_does_no_harm(place in 0_usize..200, byte: u8, length in 0_usize..200) {
+    fn decompression_of_damaged_data_does_not_panic(place in 0_usize..200, byte: u8, length in 0_usize..200) {
         let former = text(30, 600);
         let mut data = compress(&text(30, 700), &former).expect("compressed");
         let place = place % data.len();
--- a/tests/gateway/text_model.rs
+++ b/tests/gateway/text_model.rs
@@ -1,11 +1,11 @@
-//! A model without I/O of how configurations spread in a large fleet: the daemons' own rules of
-//! whom to call and of whom to request a text, over links of 10 Mbit/s.
+//! Simulation without I/O of how configurations spread in a large fleet. It runs the daemons' own code
+//! that selects the peers to call and the peers to request texts from, over links of 10 Mbit/s.
 //!
-//! Every daemon calls others at its own moment of the gossip interval. Daemons that start
-//! together keep nearly the same moment: in a real run 65 of 79 called others within the same
-//! 20 ms of every 100 ms. A message takes no time; texts, compressed as the daemons do it,
-//! share the sender's link evenly and end after the limit of a call. The watchers of the store
-//! have each new text after their own link has carried it whole.
+//! Every daemon calls its peers at a fixed phase of the gossip interval. Daemons that start together
+//! have nearly the same phase: in a real run, 65 of 79 called their peers within the same 20 ms of
+//! every 100 ms. Messages take no time. Texts are compressed as in the daemons, share the bandwidth of
+//! the sender's link evenly and fail after the time limit of a call. The daemons that watch the store
+//! have each new text once their own link has transferred the whole of it.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -31,39 +31,39 @@
     store_position::StorePosition,
 };
 
-/// What a link of 10 Mbit/s carries, in bytes a second.
+/// Bandwidth of a link of 10 Mbit/s in bytes per second.
 const LINK_BYTES_PER_S: f64 = 1_250_000.0;
-/// Time between two steps of the model; a daemon calls others in one of twenty steps.
+/// Time between two steps of the simulation; a daemon calls its peers in one of twenty steps.
 const STEP: Duration = Duration::from_millis(5);
-/// Fraction of the daemons that call others in the same few steps.
-const IN_STEP: f64 = 65.0 / 79.0;
-/// Steps in which these daemons call: 20 ms.
+/// Fraction of the daemons that call their peers in the same `SHARED_STEPS` steps of each interval.
+const SHARED_PHASE_FRACTION: f64 = 65.0 / 79.0;
+/// Number of steps in which these daemons call their peers: 20 ms.
 const SHARED_STEPS: u32 = 4;
-/// Summaries of other daemons in one message, as in the real exchange.
+/// Number of summaries of other daemons in one message, as in the daemon.
 const PEER_SUMMARIES: usize = 8;
 
-/// Texts that the operators write.
+/// The changes of the configuration that operators write.
 #[derive(Clone, Copy, Debug)]
 pub struct TextChanges {
-    /// Bytes of the whole text.
+    /// Length of the whole text in bytes.
     pub text_bytes: usize,
-    /// Time from one change to the next.
+    /// Time between two changes.
     pub interval: Duration,
     /// Number of changes.
     pub count: u64,
 }
 
-/// Bytes that a text takes on its way.
+/// Length of a text as it is sent, in bytes.
 #[derive(Clone, Copy, Debug)]
 struct SentBytes {
-    /// Without a former text in common.
+    /// Where sender and receiver have no former text in common.
     whole: usize,
-    /// Against a former text.
+    /// As a difference from a former text.
     change: usize,
 }
 
 impl SentBytes {
-    /// Of a configuration of `length` bytes in which one timeout was changed.
+    /// Lengths for a configuration of `length` bytes in which one timeout was changed.
     fn of(length: usize) -> Self {
         let former = sample_text(length, 3_000);
         let text = sample_text(length, 3_001);
@@ -72,7 +72,7 @@
     }
 }
 
-/// A timeout, and routes with random names.
+/// A configuration of `length` bytes with one timeout and routes of random names.
 fn sample_text(length: usize, timeout_ms: u32) -> Vec<u8> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut text = format!(r#"{{"timeout-ms":{timeout_ms},"routes":["#).into_bytes();
@@ -87,7 +87,7 @@
     text
 }
 
-/// A text on its way to a daemon.
+/// A text that is being sent to a daemon.
 struct TextTransfer {
     from: usize,
     to: usize,
@@ -120,19 +120,19 @@
     }
 }
 
-/// Daemons, and the time that each change took to reach all of them.
+/// The simulated daemons, and when each change has reached all of them.
 pub struct TextModel {
     daemons: Vec<ModelDaemon>,
-    /// Daemons that watch the store: the first ones.
+    /// Number of daemons that watch the store; these are the first ones.
     watchers: usize,
     changes: TextChanges,
     sent_bytes: SentBytes,
-    /// Stand for the texts, by revision: only their lengths matter here, and that they differ.
+    /// Placeholders for the texts, by revision: the code only needs their lengths, and that they differ.
     texts: Vec<Bytes>,
     start: Instant,
     now: Instant,
     rng: SmallRng,
-    /// When each revision was held by all daemons, or a newer one.
+    /// When all daemons held each revision or a newer one.
     reached_all: BTreeMap<u64, Instant>,
 }
 
@@ -162,9 +162,9 @@
     (GOSSIP_INTERVAL.as_millis() / STEP.as_millis()) as u32
 }
 
-/// The step of each interval in which a daemon calls others.
+/// Draws the step of each interval in which a daemon calls its peers.
 fn draw_phase(rng: &mut SmallRng) -> u32 {
-    let steps = match rng.random_bool(IN_STEP) {
+    let steps = match rng.random_bool(SHARED_PHASE_FRACTION) {
         true => SHARED_STEPS,
         false => interval_steps(),
     };
@@ -178,7 +178,7 @@
 }
 
 impl TextModel {
-    /// So many daemons that know each other and hold revision 1; the changes have not begun.
+    /// Creates daemons that know each other and hold revision 1, before the first change.
     pub fn new(daemons: usize, changes: TextChanges, seed: u64) -> Self {
         let now = Instant::now();
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -197,15 +197,15 @@
             sending: Vec::new(),
         };
         let daemons: Vec<ModelDaemon> = (0..daemons).map(&mut daemon).collect();
-        // One watcher a gossip group.
+        // One daemon of each gossip group watches the store.
         let watchers = daemons[0].peers.neighbours().groups;
         let sent_bytes = SentBytes::of(changes.text_bytes);
         let reached_all = BTreeMap::new();
         Self { daemons, watchers, changes, sent_bytes, texts, start: now, now, rng, reached_all }
     }
 
-    /// Plays all changes and `rest` after the last; returns the longest time that a revision
-    /// took to reach all daemons, itself or by a newer one, or none if one did not.
+    /// Simulates all changes and the time `rest` after the last one. Returns the longest time until all
+    /// daemons held a revision or a newer one; `None` if that did not happen for some revision.
     pub fn longest_spread(&mut self, rest: Duration) -> Option<Duration> {
         let end = self.start + self.changes.interval * self.changes.count as u32 + rest;
         while self.now < end {
@@ -233,11 +233,11 @@
                 self.call_peers(place);
             }
         }
-        self.carry_texts();
-        self.note_reached();
+        self.advance_transfers();
+        self.record_reached();
     }
 
-    /// The watchers have each text once their own link has carried it.
+    /// Applies each text at the daemons that watch the store, once their own link has transferred it.
     fn read_store(&mut self) {
         let carried = Duration::from_secs_f64(self.changes.text_bytes as f64 / LINK_BYTES_PER_S);
         let arrived = (1..=self.changes.count)
@@ -256,25 +256,25 @@
         let holders = fetches.addresses().filter(|one| !calls.contains(one));
         let holders: Vec<SocketAddr> = holders.collect();
         calls.extend(holders);
-        // All calls of an interval are on their way before the first response arrives.
+        // All calls of an interval are started before the first response arrives.
         let callees: Vec<usize> = calls.into_iter().map(place_of).collect();
         if let Some(holder) = fetches.configuration {
             self.request_text(place, place_of(holder));
         }
         for callee in callees {
-            self.swap_reports(place, callee);
+            self.exchange_reports(place, callee);
         }
     }
 
-    /// Both sides of a call learn what the other holds.
-    fn swap_reports(&mut self, caller: usize, callee: usize) {
+    /// Both sides of a call receive the versions that the other holds.
+    fn exchange_reports(&mut self, caller: usize, callee: usize) {
         let (caller_held, callee_held) =
             (self.daemons[caller].versions(), self.daemons[callee].versions());
         self.report(caller, callee, caller_held);
         self.report(callee, caller, callee_held);
     }
 
-    /// `to` receives a message of `from`.
+    /// The daemon `to` receives a message from `from`.
     fn report(&mut self, from: usize, to: usize, held: HeldVersions) {
         let sender = &mut self.daemons[from];
         sender.sequence += 1;
@@ -290,7 +290,7 @@
         receiver.catch_up.receive(address(from), held, own, self.now);
     }
 
-    /// The holder sends the text, or withholds it.
+    /// The holder begins to send the text, or withholds it.
     fn request_text(&mut self, caller: usize, holder: usize) {
         let bases = self.daemons[caller].texts.bases();
         let sender = &mut self.daemons[holder];
@@ -315,8 +315,9 @@
         self.daemons[caller].catch_up.end_fetches(from, fetches, outcomes, self.now);
     }
 
-    /// Every sender's link carries its texts, each an even share; calls end after their limit.
-    fn carry_texts(&mut self) {
+    /// Advances the transfers by one step. Each transfer gets an even share of its sender's link, and
+    /// fails once the time limit of the call is over.
+    fn advance_transfers(&mut self) {
         let now = self.now;
         let mut ended = Vec::new();
         for sender in &mut self.daemons {
@@ -341,7 +342,7 @@
         }
     }
 
-    fn note_reached(&mut self) {
+    fn record_reached(&mut self) {
         let oldest = self.daemons.iter().map(|daemon| daemon.held).min().unwrap_or(0);
         for revision in 2..=oldest {
             self.reached_all.entry(revision).or_insert(self.now);
