--- a/tests/gateway/groups.rs
+++ b/tests/gateway/groups.rs
@@ -1,5 +1,5 @@
-//! Many daemons' tables, ledgers and counts in one process, which exchange as the real ones
-//! do, on a clock of the test's own.
+//! Peer tables, quota ledgers and usage counts of many daemons in one process. They exchange messages as
+//! the real daemons do, on a simulated clock.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,7 +28,7 @@
     ids::{IncarnationId, SharedName},
 };
 
-/// Summaries of other daemons in one message, as in the real exchange.
+/// Number of summaries of other daemons in one message, as in the daemon.
 const PEER_SUMMARIES: usize = 8;
 
 struct TestDaemon {
@@ -41,7 +41,7 @@
     down: bool,
 }
 
-/// Daemons that exchange news as the real ones do, in one process.
+/// Simulated daemons that exchange messages as the real ones do.
 pub struct TestFleet {
     daemons: Vec<TestDaemon>,
     places: HashMap<SocketAddr, usize>,
@@ -56,12 +56,12 @@
 }
 
 impl TestFleet {
-    /// Daemons that have just started; they know three seeds.
+    /// Creates daemons that have just started and know up to three seed addresses.
     pub fn new(count: usize) -> Self {
         Self::with_seed(count, 7)
     }
 
-    /// The same with other draws.
+    /// Does the same as `new`, with this seed of the random numbers.
     pub fn with_seed(count: usize, seed: u64) -> Self {
         let now = Instant::now();
         let seeds: Vec<SocketAddr> = (0..3.min(count)).map(address).collect();
@@ -84,17 +84,17 @@
         }
     }
 
-    /// Time of the fleet.
+    /// The simulated time.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// One of the daemons.
+    /// Index of a random daemon.
     pub fn random_place(&mut self) -> usize {
         self.rng.random_range(0..self.daemons.len())
     }
 
-    /// One gossip interval of every daemon.
+    /// Advances the time by one gossip interval, in which every daemon makes its calls.
     pub fn turn(&mut self) {
         self.now += GOSSIP_INTERVAL;
         for place in 0..self.daemons.len() {
@@ -116,7 +116,8 @@
         }
     }
 
-    /// `to` receives a message of `from`; a response holds the sums of its sender's group.
+    /// The daemon `to` receives a message from `from`. A response also holds the totals of its sender's
+    /// group.
     fn send(&mut self, from: usize, to: usize, is_response: bool) {
         let now = self.now;
         let sender = &mut self.daemons[from];
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Gossip intervals for this time.
+    /// Runs gossip intervals for this time.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Asks the daemon at `place` for units of an account.
+    /// Requests `units` of the account from the daemon at `place`; returns whether they are admitted.
     pub fn admit(&mut self, place: usize, quota: &AccountQuota, units: u64) -> bool {
         let daemon = &mut self.daemons[place];
         let sharing = daemon.peers.sharing(self.now);
@@ -178,14 +179,14 @@
 }
 
 #[googletest::test]
-fn all_daemons_meet_whatever_their_number() {
+fn all_daemons_learn_of_each_other_in_fleets_of_any_size() {
     for (count, within_s) in [(1, 2), (2, 2), (9, 3), (30, 8), (87, 12), (300, 30)] {
         let mut fleet = TestFleet::new(count);
         fleet.run(Duration::from_secs(within_s));
         for daemon in &fleet.daemons {
             let sharing = daemon.peers.sharing(fleet.now);
-            expect_that!(sharing.known, eq(count), "{} of {count}", daemon.address);
-            expect_that!(sharing.heard, eq(count), "{} of {count}", daemon.address);
+            expect_that!(sharing.known, eq(count), "known to {} of {count}", daemon.address);
+            expect_that!(sharing.heard, eq(count), "reported to {} of {count}", daemon.address);
         }
     }
 }
@@ -197,8 +198,8 @@
         fleet.run(Duration::from_secs(10));
         let before = fleet.calls;
         fleet.run(Duration::from_secs(10));
-        let a_second = (fleet.calls - before) as f64 / 10.0 / count as f64;
-        expect_that!(a_second, le(22.0), "{count} daemons");
+        let calls_per_s = (fleet.calls - before) as f64 / 10.0 / count as f64;
+        expect_that!(calls_per_s, le(22.0), "calls per second and daemon of {count}");
     }
 }
 
@@ -208,7 +209,11 @@
         let others: Vec<SocketAddr> = (1..count).map(address).collect();
         let neighbours = Neighbours::of(&address(0), &others);
         let bound = (GROUP_SIZE * 2) as f64 + (count as f64).sqrt() * 2.5;
-        expect_that!(neighbours.all().count() as f64, le(bound), "{count} daemons");
+        expect_that!(
+            neighbours.all().count() as f64,
+            le(bound),
+            "neighbours in a fleet of {count} daemons"
+        );
         expect_that!(neighbours.representatives.len(), eq(neighbours.groups - 1));
         for (group, representative) in &neighbours.representatives {
             expect_that!(group_of(representative, neighbours.groups), eq(*group));
@@ -217,7 +222,7 @@
 }
 
 #[googletest::test]
-fn usage_adds_up_at_every_daemon() {
+fn every_daemon_knows_the_total_usage() {
     for count in [9, 87] {
         let mut fleet = TestFleet::new(count);
         fleet.run(Duration::from_secs(10));
@@ -231,13 +236,13 @@
         let expected = (count * (count - 1) / 2) as u64;
         for daemon in &fleet.daemons {
             let total = daemon.usage.total(5);
-            expect_that!(total.get(&account), some(eq(&expected)), "{}", daemon.address);
+            expect_that!(total.get(&account), some(eq(&expected)), "total at {}", daemon.address);
         }
     }
 }
 
 #[googletest::test]
-fn daemons_that_are_gone_are_forgotten_and_groups_heal() {
+fn ended_daemons_are_removed_from_the_peer_tables_of_all_others() {
     let mut fleet = TestFleet::new(60);
     fleet.run(Duration::from_secs(10));
     for place in (0..60).step_by(4) {
@@ -246,7 +251,7 @@
     fleet.run(Duration::from_secs(50));
     for daemon in fleet.daemons.iter().filter(|daemon| !daemon.down) {
         let sharing = daemon.peers.sharing(fleet.now);
-        expect_that!(sharing.known, eq(45), "{}", daemon.address);
-        expect_that!(sharing.heard, eq(45), "{}", daemon.address);
+        expect_that!(sharing.known, eq(45), "known to {}", daemon.address);
+        expect_that!(sharing.heard, eq(45), "reported to {}", daemon.address);
     }
 }
--- a/tests/gateway/leader_state.rs
+++ b/tests/gateway/leader_state.rs
@@ -1,4 +1,4 @@
-//! What daemons know of the leader lease, the wall clock and usage.
+//! State of the leader tasks: the leader lease, the wall clock and the usage counts.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -25,7 +25,7 @@
 }
 
 #[googletest::test]
-fn holder_stops_before_others_may_start() {
+fn lease_holder_stops_acting_before_others_may_acquire_the_lease() {
     let lease = Duration::from_secs(3);
     let start = Instant::now();
     let mut view = LeaderLease {
@@ -49,7 +49,7 @@
 }
 
 #[googletest::test]
-fn start_of_a_renewal_is_known_only_of_the_newest_one_and_never_too_early() {
+fn renewal_start_is_known_for_the_newest_renewal_and_is_the_earliest_seen() {
     let start = Instant::now();
     let at = |count| start + millis(count);
     let mut view = LeaderLease::default();
@@ -57,12 +57,12 @@
     expect_that!(view.renewal_start(2, 5), some(eq(at(1_000))));
     expect_that!(view.renewal_start(2, 6), none());
     expect_that!(view.renewal_start(1, 5), none());
-    // The same renewal by a message that was late, and by one that was faster.
+    // The same renewal in a message with a longer delay, then in one with a shorter delay.
     view.observe(renewal(2, 5, at(1_900)));
     expect_that!(view.renewal_start(2, 5), some(eq(at(1_000))));
     view.observe(renewal(2, 5, at(990)));
     expect_that!(view.renewal_start(2, 5), some(eq(at(990))));
-    // An older one, late.
+    // An older renewal in a delayed message.
     view.observe(renewal(2, 4, at(2_500)));
     expect_that!(view.renewal_start(2, 5), some(eq(at(990))));
     view.observe(renewal(2, 6, at(2_000)));
@@ -72,7 +72,7 @@
 }
 
 #[googletest::test]
-fn jumps_of_the_wall_clock_are_not_followed_at_once() {
+fn wall_clock_jumps_are_not_followed_at_once() {
     let start = Instant::now();
     let mut clock = SteadyWallClock::new(1_000_000, start);
     let seconds = |count| start + Duration::from_secs(count);
@@ -88,7 +88,7 @@
 }
 
 #[googletest::test]
-fn usage_adds_up_over_daemons_and_their_lives() {
+fn usage_adds_up_over_daemons_and_repeated_reports() {
     let mut usage = UsageCounts::default();
     let (reader, kiosk): (SharedName, SharedName) = ("reader".into(), "kiosk".into());
     usage.count(&reader, 7);
@@ -102,13 +102,13 @@
 }
 
 #[googletest::test]
-fn usage_that_others_pass_on_counts_once() {
+fn relayed_usage_counts_once() {
     let mut usage = UsageCounts::default();
     let reader: SharedName = "reader".into();
     let counts = |count: u64| -> BTreeMap<SharedName, u64> { [(reader.clone(), count)].into() };
     usage.receive_relayed(IncarnationId(1), 7, &counts(3));
     expect_that!(usage.total(7), eq(&counts(3)));
-    // Another has heard it later, and a third one earlier; then it reports for itself.
+    // Two peers relay a later and an earlier count of the same daemon; then it reports its own.
     usage.receive_relayed(IncarnationId(1), 7, &counts(5));
     usage.receive_relayed(IncarnationId(1), 7, &counts(4));
     expect_that!(usage.total(7), eq(&counts(5)));
@@ -117,14 +117,14 @@
 }
 
 #[googletest::test]
-fn usage_of_long_gone_daemons_is_dropped() {
+fn usage_of_old_windows_and_ended_daemons_is_dropped() {
     let mut usage = UsageCounts::default();
     let reader: SharedName = "reader".into();
     for number in 0..1_000 {
         usage.receive(daemon(number), number, [(reader.clone(), 1)].into());
     }
     usage.count(&reader, 999);
-    // The newest nine windows: eight behind the own one, and that.
+    // The newest nine windows: the current one and the eight before it.
     expect_that!(usage.reported_in_group().count(), eq(9));
     expect_that!(usage.total(990), is_empty());
     expect_that!(usage.total(991), eq(&BTreeMap::from([(reader.clone(), 1)])));
--- a/tests/gateway/store_positions.rs
+++ b/tests/gateway/store_positions.rs
@@ -1,4 +1,5 @@
-//! What is known of the store's position, and which configuration is held, when the store goes back.
+//! Positions of a store that is restored from a copy, and the configuration and freshness proof that
+//! daemons hold then.
 
 use std::time::Duration;
 
@@ -37,30 +38,35 @@
     platform::configuration::decode(text.as_bytes()).expect("decodes")
 }
 
-/// The store shows a configuration, asked at `asked_at`.
-fn show(state: &mut ConfigurationState, place: StorePosition, number: u64, asked_at: Instant) {
-    state.record_read(place, Some(number), asked_at);
-    state.apply(version(number), place);
-    state.confirm_last_read(asked_at);
+/// Handles the result of a request to the store, sent at `sent_at`: version `number` at `position`.
+fn handle_read(
+    state: &mut ConfigurationState,
+    position: StorePosition,
+    number: u64,
+    sent_at: Instant,
+) {
+    state.record_read(position, Some(number), sent_at);
+    state.apply(version(number), position);
+    state.confirm_last_read(sent_at);
 }
 
 proptest! {
     #[test]
-    fn highest_version_is_held_whatever_the_positions(
-        shown in prop::collection::vec((0..4_u64, 1..50_u64, 1..20_u64), 1..30),
+    fn highest_version_is_held_regardless_of_positions(
+        reads in prop::collection::vec((0..4_u64, 1..50_u64, 1..20_u64), 1..30),
     ) {
         let mut state = ConfigurationState::default();
-        for (era, revision, number) in &shown {
+        for (era, revision, number) in &reads {
             state.apply(version(*number), at(*era, *revision));
         }
-        let highest = shown.iter().map(|(_, _, number)| *number).max();
+        let highest = reads.iter().map(|(_, _, number)| *number).max();
         prop_assert_eq!(Some(state.version()), highest);
     }
 }
 
 proptest! {
     #[test]
-    fn packed_positions_have_the_same_order(
+    fn packing_preserves_the_order_of_positions(
         one in (0..1_000_u64, 0..1_u64 << 40),
         other in (0..1_000_u64, 0..1_u64 << 40),
     ) {
@@ -78,7 +84,7 @@
 }
 
 #[googletest::test]
-fn older_version_of_a_copy_is_not_held_and_the_next_is() {
+fn older_version_in_a_restored_store_is_ignored_and_a_newer_one_applied() {
     let mut state = ConfigurationState::default();
     expect_that!(state.apply(version(14), at(1, 600)), eq(ApplyOutcome::Applied));
     expect_that!(state.apply(version(10), at(2, 5)), eq(ApplyOutcome::Older));
@@ -87,13 +93,15 @@
     expect_that!(state.apply(version(19), at(2, 9)), eq(ApplyOutcome::Applied));
 }
 
+/// A store that was restored from a copy may lack the operators' newest configuration. What it holds is
+/// no freshness proof until they have had 2 s to write that again.
 #[googletest::test]
-fn copy_proves_nothing_until_operators_had_time_to_write_again() {
+fn restored_store_gives_no_freshness_proof_until_the_rewrite_time_is_over() {
     let start = Instant::now();
     let mut state = ConfigurationState::default();
-    show(&mut state, at(1, 600), 14, start);
+    handle_read(&mut state, at(1, 600), 14, start);
     expect_that!(state.proof, some(eq(start)));
-    show(&mut state, at(2, 5), 14, start + seconds(3));
+    handle_read(&mut state, at(2, 5), 14, start + seconds(3));
     expect_that!(state.untrusted_time_left(start + seconds(4)), some(eq(seconds(1))));
     expect_that!(state.untrusted_time_left(start + seconds(5)), none());
     state.confirm_last_read(start + seconds(4));
@@ -103,18 +111,18 @@
 }
 
 #[googletest::test]
-fn configuration_that_was_written_again_is_proven_at_once() {
+fn configuration_that_was_written_again_after_a_restore_is_proven_at_once() {
     let start = Instant::now();
     let mut state = ConfigurationState::default();
-    show(&mut state, at(1, 600), 14, start);
-    show(&mut state, at(2, 5), 10, start + seconds(3));
+    handle_read(&mut state, at(1, 600), 14, start);
+    handle_read(&mut state, at(2, 5), 10, start + seconds(3));
     expect_that!(state.proof, some(eq(start)));
-    show(&mut state, at(2, 6), 14, start + seconds(4));
+    handle_read(&mut state, at(2, 6), 14, start + seconds(4));
     expect_that!(state.proof, some(eq(start + seconds(4))));
 }
 
 #[googletest::test]
-fn proof_of_a_peer_counts_for_its_version_only() {
+fn freshness_proof_of_a_peer_counts_for_its_version_only() {
     let start = Instant::now();
     let mut state = ConfigurationState::default();
     state.confirm_version(0, Some(start));
@@ -127,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn watch_that_goes_on_from_another_era_is_told_to_list() {
+async fn watch_from_a_position_of_a_former_era_reports_history_gone() {
     let platform = PlatformStandin::start();
     platform.set_era(1);
     platform.put(KIND, "main", json!({"version": 1}));
@@ -154,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn write_by_a_revision_of_another_era_is_a_conflict() {
+async fn conditional_write_at_a_position_of_a_former_era_is_a_conflict() {
     let platform = PlatformStandin::start();
     platform.set_era(1);
     platform.put(KIND, "main", json!({"version": 1}));
@@ -162,7 +170,7 @@
     let store = StoreClient::new(platform.address);
     let known = store.read(KIND, "main").await.expect("answer").expect("object");
     platform.restore_copy();
-    // Nothing has told of the new era yet.
+    // The client has not received an answer of the new era yet.
     let condition = WriteCondition::At(known.position);
     let written = store.write(KIND, "main", condition, &json!({"version": 2})).await;
     assert_that!(matches!(written, Ok(WriteResult::WrittenInLaterEra)), eq(true));
