--- a/tests/gateway/exchange.rs
+++ b/tests/gateway/exchange.rs
@@ -45,22 +45,20 @@
     platform.put("config", "main", configuration(3, &["key-1"]));
     let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
     platform.put("servers", "i-0", endpoint_entry(&endpoint, "ready"));
-    let with_store = Gateway::start("edge-1", &platform, &[]);
-    with_store.wait_ready();
+    let edge_1 = Gateway::start("edge-1", &platform, &[]);
+    edge_1.wait_ready();
     let refusing = PlatformStandin::start();
     refusing.set_down(true);
-    let without_store = Gateway::start("edge-2", &refusing, &[with_store.peers]);
-    without_store.wait_ready();
-    expect_that!(ask(without_store.clients, "/plain/", "a", "key-1", &[], b"").status, eq(200));
+    let edge_2 = Gateway::start("edge-2", &refusing, &[edge_1.peers]);
+    edge_2.wait_ready();
+    expect_that!(ask(edge_2.clients, "/plain/", "a", "key-1", &[], b"").status, eq(200));
     platform.put("config", "main", configuration(4, &["key-2"]));
-    wait_for("acceptance of the new key", || {
-        ask(without_store.clients, "/plain/", "b", "key-2", &[], b"").status == 200
-    });
-    expect_that!(ask(without_store.clients, "/plain/", "c", "key-1", &[], b"").status, eq(401));
-    drop(with_store);
+    wait_for("new key", || ask(edge_2.clients, "/plain/", "b", "key-2", &[], b"").status == 200);
+    expect_that!(ask(edge_2.clients, "/plain/", "c", "key-1", &[], b"").status, eq(401));
+    drop(edge_1);
     // The freshness proof came from the peer only: without the peer it expires after `revoke-ms`, 5 s.
     std::thread::sleep(Duration::from_millis(5_200));
-    expect_that!(ask(without_store.clients, "/plain/", "d", "key-2", &[], b"").status, eq(503));
+    expect_that!(ask(edge_2.clients, "/plain/", "d", "key-2", &[], b"").status, eq(503));
 }
 
 fn sample_counters() -> DaemonCounters {
