--- a/tests/gateway/leader_tasks.rs
+++ b/tests/gateway/leader_tasks.rs
@@ -1,4 +1,5 @@
-//! Tasks of the daemon that holds the leader lease, and what happens to them when it goes.
+//! Usage reports and endpoint orders of the daemon that holds the leader lease, also after it was replaced
+//! or restarted.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,7 +17,8 @@
     calls.filter(|call| call.path == "/reports").collect()
 }
 
-/// Requests reported so far, over all windows; reports that are repeated count once.
+/// Number of requests of the account `reader` in the reports so far, over all windows; repeated reports
+/// count once.
 fn reported_total(platform: &PlatformStandin) -> u64 {
     let by_window: BTreeMap<u64, u64> = reports(platform)
         .into_iter()
@@ -28,15 +30,20 @@
     by_window.values().sum()
 }
 
-/// Every window has one content, whoever reported it, and fences only rise.
+/// Checks that all reports of one window are equal, whichever daemon sent them, and that fences never
+/// decrease.
 pub fn check_reports(reports: &[CloudCall]) {
     let mut contents: BTreeMap<u64, Value> = BTreeMap::new();
     let mut fence = 0;
     for report in reports {
         let window = report.body["window"].as_u64().expect("window");
         let known = contents.entry(window).or_insert_with(|| report.body.clone());
-        assert_eq!(*known, report.body, "window {window} reported in two ways");
-        assert!(report.fence >= fence, "fence {} after {fence}", report.fence);
+        assert_eq!(*known, report.body, "window {window} was reported with different contents");
+        assert!(
+            report.fence >= fence,
+            "report with fence {} after one with fence {fence}",
+            report.fence
+        );
         fence = report.fence;
     }
 }
@@ -49,7 +56,7 @@
     (platform, endpoint)
 }
 
-/// A configuration whose endpoints are ordered by the gateway, in two zones.
+/// Writes a configuration that makes the gateway order endpoints in two zones.
 fn put_fleet(platform: &PlatformStandin) {
     let mut with_fleet = configuration(4, &["key-1"]);
     with_fleet["services"][0]["autoscale"] = json!({
@@ -60,7 +67,7 @@
 }
 
 #[googletest::test]
-fn usage_is_reported_with_its_counts() {
+fn usage_report_counts_all_requests() {
     let (platform, _endpoint) = start_platform();
     let gateway = Gateway::start("edge-1", &platform, &[]);
     gateway.wait_ready();
@@ -68,12 +75,12 @@
         let answer = ask(gateway.clients, "/plain/", &format!("r-{number}"), "key-1", &[], b"");
         expect_that!(answer.status, eq(200));
     }
-    wait_for("all counts", || reported_total(&platform) == 7);
+    wait_for("reports of all 7 requests", || reported_total(&platform) == 7);
     check_reports(&reports(&platform));
 }
 
 #[googletest::test]
-fn runs_that_end_with_an_error_are_reported_once() {
+fn requests_that_end_with_an_error_are_reported_once() {
     let (platform, endpoint) = start_platform();
     endpoint.set(EndpointManner::Fail);
     let other = EndpointStandin::start("i-1", EndpointManner::Fail);
@@ -84,25 +91,28 @@
         let answer = ask(gateway.clients, path, &format!("r-{number}"), "key-1", &[], b"");
         expect_that!(answer.status, eq(500), "{path}");
     }
-    wait_for("all counts", || reported_total(&platform) >= 3);
-    // The plain request ran twice, but is one request.
+    wait_for("reports of all 3 requests", || reported_total(&platform) >= 3);
+    // The request to /plain/ was attempted at both endpoints, but counts as one request.
     expect_that!(reported_total(&platform), eq(3));
 }
 
 #[googletest::test]
-fn run_whose_answer_is_lost_is_reported() {
+fn request_whose_answer_is_lost_is_reported() {
     let (platform, endpoint) = start_platform();
     endpoint.set(EndpointManner::Lose);
     let gateway = Gateway::start("edge-1", &platform, &[]);
     gateway.wait_ready();
     expect_that!(ask(gateway.clients, "/once/", "r-1", "key-1", &[], b"").status, eq(502));
-    wait_for("the count", || reported_total(&platform) == 1);
+    wait_for("the report of the request", || reported_total(&platform) == 1);
 }
 
+/// An ended daemon can't report its usage any more. The leader, which has lost its own state in a
+/// restart, must get that usage from a third daemon to which the ended one had sent it.
 #[googletest::test]
-fn restarted_leader_reports_what_an_ended_daemon_had_counted() {
+fn restarted_leader_reports_the_usage_of_an_ended_daemon() {
     let (platform, _endpoint) = start_platform();
-    // Nobody but the restarted holder can get the lease, and the window is over after the kills.
+    // No other daemon can acquire a lease of 60 s during the test, and a window of 4 s ends only after
+    // both processes were killed.
     let bounds = json!({ "lease-ms": 60_000, "report-window-s": 4 });
     let mut leader = Gateway::start_with("edge-1", &platform, &[], bounds.clone());
     leader.wait_ready();
@@ -116,16 +126,16 @@
         let answer = ask(ending.clients, "/plain/", &format!("r-{number}"), "key-1", &[], b"");
         expect_that!(answer.status, eq(200));
     }
-    // Several gossip rounds of three daemons.
+    // Several gossip intervals of three daemons.
     std::thread::sleep(Duration::from_millis(800));
     drop(ending);
     leader.kill_and_restart();
-    wait_for("all counts", || reported_total(&platform) == 7);
+    wait_for("reports of all 7 requests", || reported_total(&platform) == 7);
     check_reports(&reports(&platform));
 }
 
 #[googletest::test]
-fn successor_repeats_reports_exactly_and_raises_the_fence() {
+fn next_lease_holder_repeats_reports_unchanged_with_a_higher_fence() {
     let (platform, _endpoint) = start_platform();
     let first = Gateway::start("edge-1", &platform, &[]);
     first.wait_ready();
@@ -135,7 +145,7 @@
     let holder = reports(&platform)[0].holder.clone();
     let (holding, other) = if holder == "edge-1" { (first, second) } else { (second, first) };
     drop(holding);
-    wait_for("a successor", || reports(&platform).iter().any(|call| call.holder != holder));
+    wait_for("a new holder", || reports(&platform).iter().any(|call| call.holder != holder));
     let all = reports(&platform);
     let last = all.last().expect("reports");
     expect_that!(last.fence, gt(all[0].fence));
@@ -144,7 +154,7 @@
 }
 
 #[googletest::test]
-fn reports_go_on_when_answers_of_the_store_are_lost() {
+fn reports_continue_after_lost_store_answers() {
     let (platform, _endpoint) = start_platform();
     let gateway = Gateway::start("edge-1", &platform, &[]);
     gateway.wait_ready();
@@ -156,7 +166,7 @@
 }
 
 #[googletest::test]
-fn endpoints_are_ordered_as_reclaimable_ones() {
+fn reclaimable_endpoints_are_ordered_in_both_zones() {
     let (platform, endpoint) = start_platform();
     put_fleet(&platform);
     let gateway = Gateway::start("edge-1", &platform, &[]);
@@ -175,18 +185,19 @@
     expect_that!(endpoint.seen().len(), eq(0));
 }
 
+/// While the cloud has not answered an order for one zone, orders for other zones must be sent.
 #[googletest::test]
-fn order_that_gets_no_answer_holds_up_no_other() {
+fn unanswered_order_does_not_delay_orders_for_other_zones() {
     let (platform, _endpoint) = start_platform();
     platform.slow_orders("hall-a");
     put_fleet(&platform);
     let gateway = Gateway::start("edge-1", &platform, &[]);
     gateway.wait_ready();
-    wait_for("an order beside the one without an answer", || platform.was_overtaken());
+    wait_for("an order for another zone while one is not answered", || platform.was_overtaken());
 }
 
 #[googletest::test]
-fn restarted_holder_goes_on_at_once_with_a_new_fence() {
+fn restarted_holder_resumes_reports_before_the_lease_expires_with_a_new_fence() {
     let (platform, _endpoint) = start_platform();
     let bounds = serde_json::json!({ "lease-ms": 60_000 });
     let mut gateway = Gateway::start_with("edge-1", &platform, &[], bounds);
@@ -194,7 +205,7 @@
     wait_for("a report", || !reports(&platform).is_empty());
     let fence = reports(&platform).last().map(|report| report.fence);
     gateway.kill_and_restart();
-    // Far sooner than the lease of a minute runs out.
+    // The lease of 60 s expires long after the time that `wait_for` allows.
     wait_for("a report with a new fence", || {
         reports(&platform).last().map(|report| report.fence) > fence
     });
--- a/tests/gateway/operations.rs
+++ b/tests/gateway/operations.rs
@@ -1,4 +1,4 @@
-//! What operators see: state, metrics, logs, checks of files.
+//! What operators use: the state page, metrics, logs, `willowctl` and the check of configuration files.
 
 use std::{process::Command, time::Duration};
 
@@ -12,7 +12,7 @@
     gateway_site::{Site, configuration, wait_for},
 };
 
-fn read(site: &Site, path: &str) -> String {
+fn get_text(site: &Site, path: &str) -> String {
     let url = format!("http://{}{path}", site.gateway.metrics);
     let mut answer = ureq::get(&url).call().expect("answer");
     answer.body_mut().read_to_string().expect("text")
@@ -22,16 +22,16 @@
     std::fs::read_to_string(&site.gateway.log).unwrap_or_default()
 }
 
-/// The lines of a request's trace, once it has ended.
-fn traced(site: &Site, id: &str) -> Vec<Value> {
-    wait_for("the line", || log(site).contains(id));
+/// Waits for the log line of a request and returns its trace.
+fn trace_of(site: &Site, id: &str) -> Vec<Value> {
+    wait_for("the log line of the request", || log(site).contains(id));
     gateway::trace_request(id, &[log(site)])
 }
 
 #[googletest::test]
-fn state_tells_versions_and_ages() {
+fn state_contains_versions_and_proof_age() {
     let site = Site::start(&[EndpointManner::Answer]);
-    let state: Value = serde_json::from_str(&read(&site, "/state")).expect("JSON");
+    let state: Value = serde_json::from_str(&get_text(&site, "/state")).expect("JSON");
     expect_that!(state["ready"], eq(&json!(true)));
     expect_that!(state["configuration_version"], eq(&json!(3)));
     expect_that!(state["replicas_ready"]["pool"], eq(&json!(1)));
@@ -41,20 +41,20 @@
 }
 
 #[googletest::test]
-fn metrics_count_what_was_refused_and_why() {
+fn metrics_count_refusals_by_status() {
     let site = Site::start(&[EndpointManner::Full]);
     site.ask("/once/", "a");
     site.ask("/none/", "b");
-    let text = read(&site, "/metrics");
+    let text = get_text(&site, "/metrics");
     expect_that!(text, contains_substring("willowarch_refused{status=\"503\"} 1"));
     expect_that!(text, contains_substring("willowarch_refused{status=\"404\"} 1"));
 }
 
 #[googletest::test]
-fn a_request_is_traced_from_its_id_to_its_cause() {
+fn trace_of_a_request_shows_its_endpoint_and_failure_cause() {
     let site = Site::start(&[EndpointManner::Lose]);
     site.ask("/once/book", "lost-request");
-    let lines = traced(&site, "lost-request");
+    let lines = trace_of(&site, "lost-request");
     assert_eq!(lines.len(), 1);
     expect_that!(lines[0]["kv"]["outcome"], eq(&json!("outcome unknown")));
     let steps = lines[0]["kv"]["steps"].as_str().expect("steps");
@@ -70,10 +70,10 @@
 }
 
 #[googletest::test]
-fn a_refusal_names_its_inputs() {
+fn trace_of_a_refusal_shows_the_account_and_the_state_of_the_endpoints() {
     let site = Site::start(&[EndpointManner::Full]);
     site.ask("/plain/one", "refused-request");
-    let lines = traced(&site, "refused-request");
+    let lines = trace_of(&site, "refused-request");
     let kv = &lines[0]["kv"];
     expect_that!(kv["account"], eq(&json!("reader")));
     let steps = kv["steps"].as_str().expect("steps");
@@ -82,7 +82,7 @@
 }
 
 #[googletest::test]
-fn endpoints_that_fail_are_shown_with_the_reason() {
+fn willowctl_lists_failing_endpoints_with_the_reason() {
     let site = Site::start(&[EndpointManner::Answer, EndpointManner::Fail]);
     for number in 0..20 {
         site.ask("/plain/one", &format!("plain-{number}"));
@@ -99,15 +99,15 @@
 }
 
 #[googletest::test]
-fn a_configuration_that_is_not_newer_is_not_called_applied() {
+fn older_configuration_is_not_logged_as_applied() {
     let site = Site::start(&[EndpointManner::Answer]);
     site.platform.put("config", "main", configuration(2, &["key-1"]));
-    wait_for("the line", || log(&site).contains("version not newer"));
+    wait_for("the log line", || log(&site).contains("version not newer"));
     expect_that!(log(&site).matches("\"outcome\":\"applied\"").count(), eq(1));
 }
 
 #[googletest::test]
-fn lines_are_bounded_and_the_rest_is_told() {
+fn log_lines_per_second_are_limited_and_dropped_ones_counted() {
     let start = Instant::now();
     let mut budget = LineBudget::new(10, start);
     let written = (0..100).filter(|_| budget.allows(start)).count();
@@ -118,15 +118,15 @@
 }
 
 #[googletest::test]
-fn configuration_is_checked_before_it_is_written() {
+fn configuration_check_reports_each_problem() {
     let sound = configuration(3, &["key-1"]);
     expect_that!(gateway::check_configuration(&sound.to_string()), ok(is_empty()));
-    let mut odd = sound;
-    odd["routes"][0]["service"] = json!("nowhere");
-    odd["routes"][1]["attempts"] = json!(3);
-    odd["routes"][2]["path-prefix"] = json!("/stream");
-    odd["routes"][3]["path-prefix"] = json!("/once/");
-    let problems = gateway::check_configuration(&odd.to_string()).expect("decodes").join("\n");
+    let mut invalid = sound;
+    invalid["routes"][0]["service"] = json!("nowhere");
+    invalid["routes"][1]["attempts"] = json!(3);
+    invalid["routes"][2]["path-prefix"] = json!("/stream");
+    invalid["routes"][3]["path-prefix"] = json!("/once/");
+    let problems = gateway::check_configuration(&invalid.to_string()).expect("decodes").join("\n");
     expect_that!(problems, contains_substring("service nowhere does not exist"));
     expect_that!(problems, contains_substring("attempts above 1"));
     expect_that!(problems, contains_substring("must begin and end with a slash"));
@@ -135,7 +135,7 @@
 }
 
 #[googletest::test]
-fn plain_answer_of_known_length_counts_as_answered() {
+fn plain_response_of_known_length_is_logged_as_answered() {
     let site = Site::start(&[EndpointManner::Answer]);
     expect_that!(site.ask("/plain/a", "plain-1").status, eq(200));
     expect_that!(site.ask("/plain/b", "plain-2").status, eq(200));
@@ -143,7 +143,7 @@
         let log = std::fs::read_to_string(&site.gateway.log).unwrap_or_default();
         log.lines().find(|line| line.contains(id)).map(str::to_owned)
     };
-    wait_for("lines of both requests", || {
+    wait_for("log lines of both requests", || {
         line_of("plain-1").is_some() && line_of("plain-2").is_some()
     });
     for id in ["plain-1", "plain-2"] {
@@ -152,18 +152,18 @@
 }
 
 #[googletest::test]
-fn eras_of_the_store_are_logged_counted_and_shown() {
+fn store_era_appears_in_logs_metrics_and_willowctl() {
     let site = Site::start(&[EndpointManner::Answer]);
     site.platform.set_era(4);
     site.platform.put("config", "main", configuration(4, &["key-1"]));
     site.platform.copy_contents();
-    wait_for("the line", || log(&site).contains(r#""store era","kv":{"era":"4"}"#));
+    wait_for("log line of era 4", || log(&site).contains(r#""store era","kv":{"era":"4"}"#));
     site.platform.restore_copy();
-    wait_for("the line", || log(&site).contains(r#""kv":{"era":"5","before":"4"}"#));
+    wait_for("log line of era 5", || log(&site).contains(r#""kv":{"era":"5","before":"4"}"#));
     let tool = Command::new(env!("CARGO_BIN_EXE_willowctl"))
         .args(["gateway", "state", &site.gateway.metrics.to_string()])
         .output()
         .expect("willowctl");
     expect_that!(String::from_utf8_lossy(&tool.stdout), contains_substring("store era 5"));
-    wait_for("the metric", || read(&site, "/metrics").contains("willowarch_store_era 5"));
+    wait_for("metric of era 5", || get_text(&site, "/metrics").contains("willowarch_store_era 5"));
 }
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! The search for a request's route.
+//! Selection of the route for a request's host and path.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[googletest::test]
-fn longest_prefix_of_the_host_wins() {
+fn route_with_the_longest_matching_prefix_of_the_host_is_selected() {
     let mut configuration = Configuration::default();
     for (host, prefix) in [("One", "/"), ("one", "/a/"), ("one", "/a/b/"), ("two", "/a/b/c/")] {
         configuration.add_route(Route {
--- a/tests/gateway/suspension.rs
+++ b/tests/gateway/suspension.rs
@@ -1,5 +1,6 @@
-//! A VM that is suspended: the runtime's clock stands still, and the time goes on. Daemons run in this
-//! process, each on a thread whose time can be let go on as after a suspension.
+//! Daemons whose VM was suspended: the monotonic clock of the runtime has stopped during the suspension,
+//! while real time has passed. Daemons run on threads of this process, and the tests advance the real
+//! time of such a thread as a suspension does.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -21,12 +22,12 @@
     platform_standin::PlatformStandin,
 };
 
-/// Longer than keys may be used without a proof (5 s), and than the lease (1.5 s).
-const LONG: Duration = Duration::from_secs(8);
-/// Time between looks for a suspension to pretend.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// Time of a few gossip intervals.
-const SHORT_WHILE: Duration = Duration::from_millis(300);
+/// Longer than keys may be used without a freshness proof (5 s), and than the lease (1.5 s).
+const LONG_SUSPENSION: Duration = Duration::from_secs(8);
+/// Interval at which a daemon's thread checks for a suspension to simulate.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// A few gossip intervals.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// A daemon on a thread of this process.
 struct ThreadDaemon {
@@ -39,7 +40,7 @@
     fn start(name: &str, platform: SocketAddr) -> Self {
         let ip = own_address();
         let text = daemon_settings(name, ip, platform, &[], &json!({})).to_string();
-        let (suspensions, pretended) = mpsc::channel::<Duration>();
+        let (suspensions, requested_suspensions) = mpsc::channel::<Duration>();
         let (stop, stopped) = oneshot::channel();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -47,8 +48,8 @@
                 let parsed = settings::parse(&text).expect("settings");
                 tokio::task::spawn_local(async move {
                     loop {
-                        pretended.try_iter().for_each(true_time::pretend_suspension);
-                        tokio::time::sleep(LOOK_EVERY).await;
+                        requested_suspensions.try_iter().for_each(true_time::pretend_suspension);
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     }
                 });
                 tokio::select! {
@@ -65,7 +66,7 @@
 
     fn suspend(&self, duration: Duration) {
         self.suspensions.send(duration).expect("a daemon");
-        thread::sleep(SHORT_WHILE);
+        thread::sleep(SETTLE_TIME);
     }
 
     fn status(&self, id: &str) -> u16 {
@@ -79,12 +80,12 @@
 
 impl Drop for ThreadDaemon {
     fn drop(&mut self) {
-        // A daemon that has ended takes no message any more.
+        // Sending fails if the daemon has ended already.
         let _ = self.stop.take().map(|stop| stop.send(()));
     }
 }
 
-fn site() -> (PlatformStandin, EndpointStandin, ThreadDaemon) {
+fn start_site() -> (PlatformStandin, EndpointStandin, ThreadDaemon) {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
     let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
@@ -96,40 +97,44 @@
 #[googletest::test]
 fn time_goes_on_and_timers_stay_with_the_runtime() {
     let before = true_time::now();
-    true_time::pretend_suspension(LONG);
-    expect_that!(true_time::since(before), ge(LONG));
+    true_time::pretend_suspension(LONG_SUSPENSION);
+    expect_that!(true_time::since(before), ge(LONG_SUSPENSION));
     let runtime = Instant::now();
     let timer = true_time::timer_at(true_time::now() + Duration::from_secs(1));
     let wait = timer.saturating_duration_since(runtime);
     expect_that!(wait, all!(ge(Duration::from_millis(990)), le(Duration::from_millis(1_010))));
 }
 
+/// While a VM is suspended, keys may be revoked. The daemon must refuse requests afterwards until the
+/// store has answered, although the runtime's clock shows that the last proof is recent.
 #[googletest::test]
 fn keys_are_not_used_after_a_suspension_until_the_store_has_answered() {
-    let (platform, _endpoint, daemon) = site();
+    let (platform, _endpoint, daemon) = start_site();
     expect_that!(daemon.status("a"), eq(200));
     platform.set_down(true);
-    daemon.suspend(LONG);
+    daemon.suspend(LONG_SUSPENSION);
     expect_that!(daemon.status("b"), eq(503));
     platform.set_down(false);
-    wait_for("a proof", || daemon.status("c") == 200);
+    wait_for("acceptance of the key after a freshness proof", || daemon.status("c") == 200);
 }
 
 #[googletest::test]
 fn short_suspension_changes_nothing_for_keys() {
-    let (platform, _endpoint, daemon) = site();
+    let (platform, _endpoint, daemon) = start_site();
     platform.set_down(true);
     daemon.suspend(Duration::from_secs(1));
     expect_that!(daemon.status("a"), eq(200));
 }
 
+/// Another daemon may have acquired the lease during the suspension, so the former holder must give it
+/// up, although the runtime's clock shows that it is still valid.
 #[googletest::test]
 fn leader_that_was_suspended_for_longer_than_its_lease_has_lost_it() {
-    let (_platform, _endpoint, daemon) = site();
-    wait_for("the lease", || daemon.metric("lease_taken") == Some(1.0));
-    thread::sleep(SHORT_WHILE);
+    let (_platform, _endpoint, daemon) = start_site();
+    wait_for("acquisition of the lease", || daemon.metric("lease_taken") == Some(1.0));
+    thread::sleep(SETTLE_TIME);
     expect_that!(daemon.metric("lease_lost"), none());
-    daemon.suspend(LONG);
-    wait_for("the loss", || daemon.metric("lease_lost") == Some(1.0));
-    wait_for("a new fence", || daemon.metric("lease_taken") == Some(2.0));
+    daemon.suspend(LONG_SUSPENSION);
+    wait_for("loss of the lease", || daemon.metric("lease_lost") == Some(1.0));
+    wait_for("a second lease with a new fence", || daemon.metric("lease_taken") == Some(2.0));
 }
