--- a/tests/gateway/serving.rs
+++ b/tests/gateway/serving.rs
@@ -1,4 +1,5 @@
-//! The way of a request through the real daemon, between raw clients and stand-ins.
+//! Handling of requests by the real daemon, between clients on plain TCP sockets and stand-ins for the
+//! endpoints and the platform.
 
 use std::{
     io::{Read, Write},
@@ -19,7 +20,7 @@
 };
 
 #[googletest::test]
-fn plain_request_goes_through_unchanged() {
+fn plain_request_is_forwarded_and_forged_headers_are_replaced() {
     let site = Site::start(&[EndpointManner::Answer]);
     let headers = ["X-Extra: kept", "X-Tenant: forged", "X-Expect-Instance: forged"];
     let path = "/plain/deep/er?query=1&other=%20";
@@ -53,8 +54,10 @@
     expect_that!(site.runs(), elements_are![eq(&0)]);
 }
 
+/// Request smuggling: with both `Content-Length` and `Transfer-Encoding`, a daemon and an endpoint that
+/// disagree on the end of the body would take its rest for a further request.
 #[googletest::test]
-fn a_request_inside_another_is_never_run() {
+fn request_smuggled_in_a_body_of_ambiguous_length_is_never_run() {
     let site = Site::start(&[EndpointManner::Answer]);
     let inner = "GET /plain/inner HTTP/1.1\r\nHost: site.example\r\nX-Request-Id: in\r\n\
                  Authorization: Token key-1\r\n\r\n";
@@ -70,8 +73,10 @@
     expect_that!(lines, not(contains(contains_substring("inner"))));
 }
 
+/// The endpoint has run the request and closed the connection without a response. A second attempt
+/// would run it twice, and a `Retry-After` would make the client repeat it.
 #[googletest::test]
-fn once_only_request_is_not_repeated_after_a_lost_answer() {
+fn non_idempotent_request_is_not_repeated_after_a_lost_response() {
     let site = Site::start(&[EndpointManner::Lose, EndpointManner::Lose]);
     let answer = site.ask("/once/book", "once-1");
     expect_that!(answer.status, eq(502));
@@ -79,8 +84,9 @@
     expect_that!(site.runs().iter().sum::<usize>(), eq(1));
 }
 
+/// Status 503 with `Retry-After` states that the request has not run and may be repeated.
 #[googletest::test]
-fn once_only_request_that_was_turned_away_is_promised_not_to_have_run() {
+fn refused_non_idempotent_request_gets_503_with_retry_after() {
     let site = Site::start(&[EndpointManner::Full]);
     let answer = site.ask("/once/book", "once-2");
     expect_that!(answer.status, eq(503));
@@ -88,7 +94,7 @@
 }
 
 #[googletest::test]
-fn foreign_answer_is_never_passed_on() {
+fn response_to_another_request_is_never_forwarded() {
     let site = Site::start(&[EndpointManner::Foreign]);
     let answer = site.ask("/once/book", "mine");
     expect_that!(answer.status, eq(502));
@@ -97,21 +103,26 @@
 
 #[googletest::test]
 fn surplus_answer_goes_to_no_request() {
-    // Two endpoints: a surplus response that arrives after the next request was sent spoils that
-    // attempt, and the request has to be served by the other one.
+    // A surplus response that arrives after the next request was sent makes that attempt fail. The
+    // request then has to be served by the other of the two endpoints.
     for manner in [EndpointManner::Surplus, EndpointManner::LateSurplus] {
         let site = Site::start(&[manner; 2]);
         for number in 0..4 {
             let answer = site.ask("/plain/one", &format!("request-{number}"));
-            expect_that!(answer.status, eq(200), "{manner:?}");
-            expect_that!(answer.text(), not(contains_substring("surplus")), "{manner:?}");
+            expect_that!(answer.status, eq(200), "status with endpoint behaviour {manner:?}");
+            expect_that!(
+                answer.text(),
+                not(contains_substring("surplus")),
+                "body with endpoint behaviour {manner:?}"
+            );
         }
     }
 }
 
 #[googletest::test]
 fn retry_meets_no_surplus_answer_of_another_connection() {
-    // Both endpoints have an idle connection, and a surplus response for whoever uses it next.
+    // The daemon has an idle connection to each endpoint, and either endpoint sends a surplus response
+    // to the next request on it.
     let site = Site::start(&[EndpointManner::SurplusBeforeNext; 2]);
     let address = site.gateway.clients;
     let other = std::thread::spawn(move || ask(address, "/plain/one", "first", "key-1", &[], b""));
@@ -124,32 +135,32 @@
 }
 
 #[googletest::test]
-fn error_of_an_endpoint_reaches_the_client_where_no_other_serves() {
-    // The first attempt's error is dropped for a second one, which is refused. The client was told
-    // 502 by this daemon, in place of the response that an endpoint had made.
+fn endpoint_error_is_returned_if_the_second_attempt_is_refused() {
+    // The daemon drops the error response of the first attempt in favour of a second attempt, which is
+    // refused. The client then got a 502 from the daemon instead of the endpoint's response.
     let site = Site::start(&[EndpointManner::Fail, EndpointManner::Full]);
     for path in ["/plain/one", "/stream/one"] {
         for number in 0..6 {
             let answer = site.ask(path, &format!("{}-{number}", path.replace('/', "")));
-            expect_that!(answer.status, eq(500), "{path}");
+            expect_that!(answer.status, eq(500), "status of {path}");
             std::thread::sleep(Duration::from_millis(150));
         }
     }
 }
 
 #[googletest::test]
-fn repeatable_request_goes_to_another_endpoint() {
+fn idempotent_request_is_retried_at_another_endpoint() {
     for manner in [EndpointManner::Fail, EndpointManner::Lose, EndpointManner::Full] {
         let site = Site::start(&[manner, EndpointManner::Answer]);
         for number in 0..4 {
             let answer = site.ask("/plain/one", &format!("request-{number}"));
-            expect_that!(answer.status, eq(200), "{manner:?}");
+            expect_that!(answer.status, eq(200), "status with endpoint behaviour {manner:?}");
         }
     }
 }
 
 #[googletest::test]
-fn attempts_are_not_exceeded() {
+fn number_of_attempts_is_limited() {
     let site = Site::start(&[EndpointManner::Lose; 4]);
     let answer = site.ask("/plain/one", "request-1");
     expect_that!(answer.status, eq(502));
@@ -157,7 +168,7 @@
 }
 
 #[googletest::test]
-fn stream_passes_whole_and_in_order() {
+fn stream_is_forwarded_completely_and_in_order() {
     let site = Site::start(&[EndpointManner::Stream(8)]);
     let answer = site.ask("/stream/one", "stream-1");
     expect_that!(answer.whole, eq(true));
@@ -165,13 +176,13 @@
 }
 
 #[googletest::test]
-fn broken_stream_goes_on_at_another_endpoint_in_the_same_answer() {
+fn broken_stream_is_resumed_at_another_endpoint_in_the_same_response() {
     let site = Site::start(&[EndpointManner::BreakAfter(3), EndpointManner::BreakAfter(3)]);
     let client = std::thread::spawn({
         let address = site.gateway.clients;
         move || ask(address, "/stream/one", "stream-2", "key-1", &[], b"")
     });
-    wait_for("first attempt", || site.runs().iter().sum::<usize>() >= 1);
+    wait_for("the first attempt", || site.runs().iter().sum::<usize>() >= 1);
     for endpoint in site.endpoints.iter().filter(|endpoint| endpoint.seen().is_empty()) {
         endpoint.set(EndpointManner::Stream(5));
     }
@@ -188,7 +199,7 @@
 }
 
 #[googletest::test]
-fn broken_stream_that_may_not_go_on_does_not_look_complete() {
+fn broken_stream_that_may_not_be_resumed_ends_incomplete() {
     let site = Site::start(&[EndpointManner::BreakAfter(3), EndpointManner::Stream(5)]);
     site.endpoints[1].set(EndpointManner::BreakAfter(3));
     let answer = site.ask("/rigid/one", "stream-3");
@@ -198,20 +209,20 @@
 }
 
 #[googletest::test]
-fn stream_of_a_client_that_left_is_cancelled() {
+fn stream_is_cancelled_when_the_client_disconnects() {
     let site = Site::start(&[EndpointManner::Stream(500)]);
     let mut stream = TcpStream::connect(site.gateway.clients).expect("connect");
     let request = "GET /rigid/one HTTP/1.1\r\nHost: site.example\r\nX-Request-Id: gone\r\n\
                    Authorization: Token key-1\r\n\r\n";
     stream.write_all(request.as_bytes()).expect("send");
     let mut first = [0; 64];
-    stream.read_exact(&mut first).expect("first bytes");
+    stream.read_exact(&mut first).expect("first bytes of the response");
     drop(stream);
-    wait_for("cancellation", || site.endpoints[0].was_cancelled());
+    wait_for("cancellation at the endpoint", || site.endpoints[0].was_cancelled());
 }
 
 #[googletest::test]
-fn silent_endpoint_is_left_for_another() {
+fn request_to_a_silent_endpoint_is_served_by_another_within_2_s() {
     let site = Site::start(&[EndpointManner::Silent, EndpointManner::Answer]);
     for number in 0..3 {
         let begun = Instant::now();
@@ -225,8 +236,8 @@
 fn draining_endpoint_gets_no_more_requests() {
     let site = Site::start(&[EndpointManner::Answer, EndpointManner::Answer]);
     site.platform.put("servers", "i-0", endpoint_entry(&site.endpoints[0], "draining"));
-    let settled = Instant::now() + Duration::from_millis(800);
-    while Instant::now() < settled {
+    let wait_until = Instant::now() + Duration::from_millis(800);
+    while Instant::now() < wait_until {
         std::thread::sleep(Duration::from_millis(50));
     }
     let before = site.endpoints[0].seen().len();
@@ -249,7 +260,7 @@
 }
 
 #[googletest::test]
-fn address_that_another_endpoint_has_taken_is_left() {
+fn request_is_retried_if_another_endpoint_has_taken_the_address() {
     let site = Site::start(&[EndpointManner::Other, EndpointManner::Answer]);
     for number in 0..4 {
         expect_that!(site.ask("/plain/one", &format!("request-{number}")).status, eq(200));
@@ -260,17 +271,17 @@
 }
 
 #[googletest::test]
-fn configuration_changes_are_in_force_and_survive_a_dropped_history() {
+fn configuration_changes_apply_after_the_store_has_dropped_its_history() {
     let site = Site::start(&[EndpointManner::Answer]);
     site.platform.forget_history();
     site.platform.put("config", "main", configuration(5, &["key-2"]));
     let address = site.gateway.clients;
-    wait_for("the new key", || ask(address, "/plain/", "n", "key-2", &[], b"").status == 200);
+    wait_for("new key accepted", || ask(address, "/plain/", "n", "key-2", &[], b"").status == 200);
     expect_that!(ask(address, "/plain/", "o", "key-1", &[], b"").status, eq(401));
 }
 
 #[googletest::test]
-fn older_version_never_comes_back() {
+fn older_configuration_version_is_not_applied() {
     let site = Site::start(&[EndpointManner::Answer]);
     site.platform.put("config", "main", configuration(2, &["key-0"]));
     std::thread::sleep(Duration::from_millis(500));
@@ -278,7 +289,7 @@
 }
 
 #[googletest::test]
-fn keys_are_refused_when_the_store_has_been_silent_too_long() {
+fn keys_are_refused_once_the_freshness_proof_has_expired() {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
     let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
@@ -299,7 +310,7 @@
 fn daemon_without_a_configuration_is_not_ready_and_answers_503() {
     let platform = PlatformStandin::start();
     let gateway = Gateway::start("edge-1", &platform, &[]);
-    wait_for("port", || TcpStream::connect(gateway.clients).is_ok());
+    wait_for("a client connection", || TcpStream::connect(gateway.clients).is_ok());
     let answer = ask(gateway.clients, "/plain/", "a", "key-1", &[], b"");
     expect_that!(answer.status, eq(503));
     expect_that!(answer.header("retry-after"), some(anything()));
@@ -307,22 +318,22 @@
 }
 
 #[googletest::test]
-fn planned_stop_ends_what_runs_and_takes_nothing_new() {
+fn planned_stop_completes_running_requests_and_ends_readiness() {
     let mut site = Site::start(&[EndpointManner::Stream(60)]);
     let client = std::thread::spawn({
         let address = site.gateway.clients;
         move || ask(address, "/rigid/one", "long", "key-1", &[], b"")
     });
-    wait_for("run", || !site.endpoints[0].seen().is_empty());
+    wait_for("the request at the endpoint", || !site.endpoints[0].seen().is_empty());
     site.gateway.signal("-TERM");
-    wait_for("not ready", || !site.gateway.is_ready());
+    wait_for("the daemon to be not ready", || !site.gateway.is_ready());
     let answer = client.join().expect("client");
     expect_that!(answer.whole, eq(true));
-    wait_for("end", || site.gateway.has_ended());
+    wait_for("the end of the daemon", || site.gateway.has_ended());
 }
 
 #[googletest::test]
-fn reload_signal_ends_nothing() {
+fn reload_signal_does_not_stop_the_daemon() {
     let mut site = Site::start(&[EndpointManner::Answer]);
     site.gateway.signal("-HUP");
     std::thread::sleep(Duration::from_millis(200));
@@ -336,19 +347,24 @@
     let mut short_idle = configuration(4, &["key-2"]);
     short_idle["limits"]["idle-timeout-ms"] = 200.into();
     site.platform.put("config", "main", short_idle);
-    wait_for("new key", || {
+    wait_for("new key accepted", || {
         ask(site.gateway.clients, "/rigid/", "a", "key-2", &[], b"").status == 200
     });
-    // A request may come with its connection, or while the connection's idle time runs: the latter
-    // connection was closed after its response, since the time went on during the request.
+    // The first request is sent at once, or after 100 ms of the connection's idle time. In the latter
+    // case the daemon closed the connection after the response, since the idle time went on during the
+    // request.
     for pause_ms in [0, 100] {
         let mut connection = KeptConnection::open(site.gateway.clients).expect("connection");
         std::thread::sleep(Duration::from_millis(pause_ms));
         for id in ["first", "second"] {
             let request = kept_request_bytes("/rigid/", id, "key-2", &[], b"");
             let answer = connection.ask(&request).expect("answer");
-            expect_that!(answer.status, eq(200), "{id} after {pause_ms} ms");
-            expect_that!(answer.whole, eq(true), "{id} after {pause_ms} ms");
+            expect_that!(answer.status, eq(200), "status of {id} request after {pause_ms} ms");
+            expect_that!(
+                answer.whole,
+                eq(true),
+                "completeness of {id} response after {pause_ms} ms"
+            );
         }
     }
 }
