--- a/tests/gateway/gateway_site.rs
+++ b/tests/gateway/gateway_site.rs
@@ -18,7 +18,7 @@
 };
 
 /// Longest time that a test waits for a condition or for data from a socket.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Environment variable that keeps the daemons' settings files and logs in the temporary folder of
 /// the tests.
@@ -34,7 +34,7 @@
 
 /// Waits until `holds` returns true; panics with `what` if it does not in time.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < until, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(20));
@@ -328,7 +328,7 @@
 /// or send.
 pub fn try_send_raw(address: SocketAddr, bytes: &[u8]) -> std::io::Result<RawAnswer> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
     stream.write_all(bytes)?;
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
@@ -343,7 +343,7 @@
 impl KeptConnection {
     pub fn open(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
         Ok(Self { stream })
     }
 
