--- a/tests/gateway/gateway_site.rs
+++ b/tests/gateway/gateway_site.rs
@@ -43,7 +43,7 @@
 
 /// Returns a loopback address that no other test daemon on this machine uses: it contains the
 /// process id and a counter.
-pub fn own_address() -> IpAddr {
+pub fn unused_loopback_address() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
     let next = NEXT.fetch_add(1, Ordering::SeqCst) as u8;
@@ -126,7 +126,7 @@
         seeds: &[SocketAddr],
         bounds: Value,
     ) -> Self {
-        let ip = own_address();
+        let ip = unused_loopback_address();
         let at_port = |port| SocketAddr::new(ip, port);
         let (clients, readiness, peers) = (at_port(8001), at_port(8002), at_port(8003));
         let settings = daemon_settings(name, ip, platform, seeds, &bounds);
--- a/tests/gateway/suspension.rs
+++ b/tests/gateway/suspension.rs
@@ -17,7 +17,8 @@
 use crate::{
     endpoint_standin::{EndpointManner, EndpointStandin},
     gateway_site::{
-        ask, configuration, daemon_settings, endpoint_entry, own_address, read_metric, wait_for,
+        ask, configuration, daemon_settings, endpoint_entry, read_metric, unused_loopback_address,
+        wait_for,
     },
     platform_standin::PlatformStandin,
 };
@@ -38,7 +39,7 @@
 
 impl ThreadDaemon {
     fn start(name: &str, platform: SocketAddr) -> Self {
-        let ip = own_address();
+        let ip = unused_loopback_address();
         let text = daemon_settings(name, ip, platform, &[], &json!({})).to_string();
         let (suspensions, requested_suspensions) = mpsc::channel::<Duration>();
         let (stop, stopped) = oneshot::channel();
