--- a/tests/gateway/loopback_proxy.rs
+++ b/tests/gateway/loopback_proxy.rs
@@ -26,7 +26,7 @@
     /// Closes all connections, also new ones.
     Closed,
     /// Forwards this number of bytes per second in total over all connections and both directions.
-    Thin(u32),
+    Limited(u32),
 }
 
 /// State shared by the threads of a proxy.
@@ -63,7 +63,7 @@
 
     /// Waits as long as the link takes to transfer this number of bytes.
     fn wait_for_bandwidth(&self, bytes: usize) {
-        let LinkState::Thin(bytes_per_s) = self.state() else { return };
+        let LinkState::Limited(bytes_per_s) = self.state() else { return };
         let time = Duration::from_secs_f64(bytes as f64 / f64::from(bytes_per_s));
         let mut busy_until = self.busy_until.lock().expect("lock");
         *busy_until = (*busy_until).max(Instant::now()) + time;
--- a/tests/gateway/route_changes.rs
+++ b/tests/gateway/route_changes.rs
@@ -76,7 +76,7 @@
     FleetFault::WatcherLinks(LinkState::Closed),
     FleetFault::StoreConnectionsSilent,
     FleetFault::ThirdOfLinks(LinkState::Silent),
-    FleetFault::AllLinks(LinkState::Thin(THIN_LINK)),
+    FleetFault::AllLinks(LinkState::Limited(THIN_LINK)),
 ];
 const DAEMON_LANE: [FleetFault; 4] = [
     FleetFault::WatchersFrozen,
@@ -193,7 +193,7 @@
     added_routes_are_served_after_store_connections_went_silent:
         FleetFault::StoreConnectionsSilent;
     added_routes_are_served_over_thin_store_links:
-        FleetFault::AllLinks(LinkState::Thin(THIN_LINK));
+        FleetFault::AllLinks(LinkState::Limited(THIN_LINK));
 }
 
 #[googletest::test]
@@ -223,7 +223,7 @@
     let changes = RouteChanges { first_routes: 250, interval, time: Duration::from_secs(8) };
     let outcome = play("thin link", 1, changes, |fleet, until| {
         let time = until.saturating_duration_since(Instant::now());
-        fleet.set_store_links(&[0], LinkState::Thin(TEXT_IN_200_MS), time);
+        fleet.set_store_links(&[0], LinkState::Limited(TEXT_IN_200_MS), time);
     });
     let oldest = outcome.oldest.values().max().copied().unwrap_or_default();
     expect_that!(oldest, lt(Duration::from_millis(1_200)), "{outcome:?}");
