--- a/tests/gateway/groups.rs
+++ b/tests/gateway/groups.rs
@@ -95,7 +95,7 @@
     }
 
     /// Advances the time by one gossip interval, in which every daemon makes its calls.
-    pub fn turn(&mut self) {
+    pub fn run_interval(&mut self) {
         self.now += GOSSIP_INTERVAL;
         for place in 0..self.daemons.len() {
             if self.daemons[place].down {
@@ -150,7 +150,7 @@
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            self.turn();
+            self.run_interval();
         }
     }
 
--- a/tests/gateway/quotas.rs
+++ b/tests/gateway/quotas.rs
@@ -188,7 +188,7 @@
         const UNITS: u64 = 100;
         let until = self.fleet.now() + time;
         while self.fleet.now() < until {
-            self.fleet.turn();
+            self.fleet.run_interval();
             let requests = (times * 10.0).round() as u64;
             for _ in 0..requests {
                 let place = self.fleet.random_place();
