--- a/tests/gateway/crash_fleet.rs
+++ b/tests/gateway/crash_fleet.rs
@@ -17,7 +17,7 @@
 use serde_json::json;
 
 use crate::{
-    crashing_endpoint::{CRASHING, CrashNote, CrashingEndpoint},
+    crashing_endpoint::{CRASHING, CrashingEndpoint, CrashingRun},
     gateway_site::{
         Gateway, RawAnswer, configuration, read_metric, request_bytes, try_send_raw, wait_for,
     },
@@ -75,36 +75,36 @@
 #[derive(Debug)]
 pub struct CrashOutcome {
     pub calm: CalmOutcome,
-    pub notes: Vec<CrashNote>,
+    pub runs: Vec<CrashingRun>,
     /// Statuses of the answers to requests that crash endpoints.
     pub statuses: BTreeMap<u16, usize>,
 }
 
 impl CrashOutcome {
     pub fn crashes(&self) -> usize {
-        self.notes.iter().filter(|note| note.crashed.is_some()).count()
+        self.runs.iter().filter(|run| run.crashed.is_some()).count()
     }
 
     /// Arrivals of each request at endpoints when all daemons have to know of its third crash.
     pub fn late_arrivals(&self) -> BTreeMap<&str, usize> {
-        late_arrivals(&self.notes)
+        late_arrivals(&self.runs)
     }
 }
 
 /// Arrivals of each request at endpoints when all daemons have to know of its third crash.
-pub fn late_arrivals(notes: &[CrashNote]) -> BTreeMap<&str, usize> {
+pub fn late_arrivals(runs: &[CrashingRun]) -> BTreeMap<&str, usize> {
     let mut crashes: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
-    for note in notes {
-        crashes.entry(&note.body).or_default().extend(note.crashed);
+    for run in runs {
+        crashes.entry(&run.body).or_default().extend(run.crashed);
     }
     let mut late = BTreeMap::new();
     for (body, mut times) in crashes {
         times.sort_unstable();
         let known_from = times.get(CRASHES - 1).map(|third| *third + CONTACT_TIME);
-        let is_late = |note: &&CrashNote| {
-            note.body == body && known_from.is_some_and(|from| note.arrived > from)
+        let is_late = |run: &&CrashingRun| {
+            run.body == body && known_from.is_some_and(|from| run.arrived > from)
         };
-        late.insert(body, notes.iter().filter(is_late).count());
+        late.insert(body, runs.iter().filter(is_late).count());
     }
     late
 }
@@ -171,7 +171,7 @@
         });
         CrashOutcome {
             calm: calm.into_inner().expect("lock"),
-            notes: self.endpoints.iter().flat_map(CrashingEndpoint::notes).collect(),
+            runs: self.endpoints.iter().flat_map(CrashingEndpoint::runs).collect(),
             statuses: statuses.into_inner().expect("lock"),
         }
     }
@@ -223,8 +223,8 @@
 
     /// How often the endpoints have ended.
     pub fn crashes(&self) -> usize {
-        let notes = self.endpoints.iter().flat_map(CrashingEndpoint::notes);
-        notes.filter(|note| note.crashed.is_some()).count()
+        let runs = self.endpoints.iter().flat_map(CrashingEndpoint::runs);
+        runs.filter(|run| run.crashed.is_some()).count()
     }
 
     /// Asks again and again, every other time for the same as all calm clients.
--- a/tests/gateway/crashing_endpoint.rs
+++ b/tests/gateway/crashing_endpoint.rs
@@ -38,7 +38,7 @@
 
 /// What an endpoint remembers of requests that crash it.
 #[derive(Clone, Debug)]
-pub struct CrashNote {
+pub struct CrashingRun {
     pub body: String,
     /// When it arrived.
     pub arrived: Instant,
@@ -64,7 +64,7 @@
     is_down: AtomicBool,
     is_dropped: AtomicBool,
     is_mended: Arc<AtomicBool>,
-    notes: Mutex<Vec<CrashNote>>,
+    runs: Mutex<Vec<CrashingRun>>,
 }
 
 /// The running stand-in.
@@ -93,7 +93,7 @@
             is_down: AtomicBool::new(false),
             is_dropped: AtomicBool::new(false),
             is_mended: is_mended.clone(),
-            notes: Mutex::default(),
+            runs: Mutex::default(),
         });
         shared.register(0);
         let serving = shared.clone();
@@ -106,8 +106,8 @@
         self.shared.write_entry("draining");
     }
 
-    pub fn notes(&self) -> Vec<CrashNote> {
-        self.shared.notes.lock().expect("lock").clone()
+    pub fn runs(&self) -> Vec<CrashingRun> {
+        self.shared.runs.lock().expect("lock").clone()
     }
 }
 
@@ -200,7 +200,7 @@
         }
         if body.starts_with(CRASHING) {
             let crashed = crashes.then(|| self.crash());
-            self.notes.lock().expect("lock").push(CrashNote { body, arrived, crashed });
+            self.runs.lock().expect("lock").push(CrashingRun { body, arrived, crashed });
         }
         if self.is_down.load(Ordering::SeqCst) {
             return false;
--- a/tests/gateway/soak_crashes.rs
+++ b/tests/gateway/soak_crashes.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     crash_fleet::{is_refused, late_arrivals, send_crashing},
-    crashing_endpoint::{CRASHING, CrashNote, CrashingEndpoint},
+    crashing_endpoint::{CRASHING, CrashingEndpoint, CrashingRun},
     gateway_site::{RawAnswer, request_bytes, try_send_raw},
     platform_standin::PlatformStandin,
 };
@@ -91,10 +91,10 @@
     pub fn check(&self) {
         let wrongly_refused = self.wrongly_refused.lock().expect("lock");
         assert!(wrongly_refused.is_empty(), "{wrongly_refused:?}");
-        let notes: Vec<CrashNote> =
-            self.endpoints.iter().flat_map(CrashingEndpoint::notes).collect();
-        let late = late_arrivals(&notes).into_values().max().unwrap_or(0);
-        println!("{} arrivals of a request that crashes endpoints, {late} late", notes.len());
+        let runs: Vec<CrashingRun> =
+            self.endpoints.iter().flat_map(CrashingEndpoint::runs).collect();
+        let late = late_arrivals(&runs).into_values().max().unwrap_or(0);
+        println!("{} arrivals of a request that crashes endpoints, {late} late", runs.len());
         assert!(late <= ALLOWED_ARRIVALS, "{late} late arrivals");
     }
 }
