--- a/tests/gateway/backoff_endpoints.rs
+++ b/tests/gateway/backoff_endpoints.rs
@@ -1,13 +1,17 @@
-//! Endpoints turned requests away and asked each daemon for 3 s of back-off; within it one daemon sent
-//! 8 requests to one of them, another 5 to another. The time was read by nobody, and an endpoint
-//! that had refused counted as full for 60 ms. Since it had nothing to do it then looked the idlest:
-//! five of 16 endpoints drew 68 of 136 requests in one second (16, 9, 20, 8 and 15; the others 2 to
-//! 9 each), all refused; with the retry that met a second one, 18 of 118 clients were refused:
+//! Daemons must send no requests to an endpoint during the back-off that it asks for.
+//!
+//! Endpoints refused requests and asked each daemon for a back-off of 3 s; within it one daemon
+//! sent 8 requests to one of them, and another daemon 5 to another. Daemons ignored the back-off
+//! time, and treated an endpoint that had refused as full for 60 ms only. As it ran no requests,
+//! it then seemed the least loaded: five of 16 endpoints attracted 68 of 136 requests in one
+//! second (16, 9, 20, 8 and 15; the others 2 to 9 each) and refused them all. Retries reached a
+//! second such endpoint, so that 18 of 118 clients were refused:
 //!
 //!     7.515 reaches i-910c..., 503 not executed; 7.519 reaches i-d6e5..., 503 not executed
 //!
-//! With nine daemons and twelve endpoints of which four want a back-off of 3 s, all 144 back-offs were
-//! broken, and 2,030 of 4,059 requests were not served, though eight endpoints had room.
+//! With nine daemons and twelve endpoints of which four ask for a back-off of 3 s, all 144
+//! back-offs were broken, and 2,030 of 4,059 requests were not served, although eight endpoints
+//! had room.
 
 use std::{
     collections::HashSet,
@@ -25,28 +29,32 @@
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
 
-/// When endpoints end that had asked for a back-off.
+/// When the endpoints that have asked for a back-off end.
 const END_AT: Duration = Duration::from_millis(2_000);
-/// When they have started again.
+/// When these endpoints restart.
 const BACK_AT: Duration = Duration::from_millis(2_300);
-/// Time in which endpoints that have started again are used.
-const USED_AGAIN: Duration = Duration::from_secs(1);
-/// Time after which endpoints are used again that no longer refuse, and had asked for no usable
-/// back-off.
-const RECOVERED: Duration = Duration::from_millis(1_500);
-/// All endpoints of a fleet.
-const ALL: usize = 12;
-/// Time after which all of the last back-offs are over, and the first requests have been served again.
-const LAST_BACKOFF: Duration = Duration::from_millis(2_400);
-/// Longest time for a refusal of a request that can't be served: it is not held.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// Time in which endpoints must get requests again after a restart.
+const REUSE_TIME: Duration = Duration::from_secs(1);
+/// Time after which endpoints must get requests again if they no longer refuse any and had asked
+/// for no valid back-off.
+const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
+/// Number of endpoints in a fleet.
+const ALL_ENDPOINTS: usize = 12;
+/// Time after which the last back-offs are over and the first requests have been served again.
+const LAST_RECOVERY_TIME: Duration = Duration::from_millis(2_400);
+/// Longest time until a request that can't be served is refused: it must not be queued.
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(500);
 
-fn play(telling: usize, tell: impl FnOnce(&[SignallingEndpoint], Instant)) -> SignalOutcome {
+fn play(
+    signalling_count: usize,
+    scenario: impl FnOnce(&[SignallingEndpoint], Instant),
+) -> SignalOutcome {
     let _place = take_place();
-    SignalFleet::start().play(telling, tell)
+    SignalFleet::start().play(signalling_count, scenario)
 }
 
-/// No back-off is broken, and under 2 in 100 of all requests are not served: eight endpoints have room.
+/// Checks that no back-off is broken and that fewer than 2 in 100 requests are not served, because
+/// eight endpoints have room.
 fn check(outcome: &SignalOutcome) {
     let (sent, not_served) = outcome.not_served();
     let (asked, broken) = outcome.backoffs();
@@ -64,7 +72,7 @@
         fn $name() {
             let outcome = play(TELLING, say_for_a_while($signal));
             check(&outcome);
-            expect_that!(outcome.arrivals_in(SAID_UNTIL + RECOVERED..LOAD_TIME), gt(0));
+            expect_that!(outcome.arrivals_in(SAID_UNTIL + RECOVERY_TIME..LOAD_TIME), gt(0));
         }
     )*};
 }
@@ -74,7 +82,7 @@
     backoff_with_a_fraction_is_kept: EndpointSignal::BacksOff("1.5");
     backoff_is_kept_where_the_request_may_have_run: EndpointSignal::BacksOffUnclear("2");
     backoff_that_is_no_number_loses_no_endpoint: EndpointSignal::BacksOff("soon");
-    backoff_beyond_belief_loses_no_endpoint: EndpointSignal::BacksOff("1e12");
+    implausibly_long_backoff_loses_no_endpoint: EndpointSignal::BacksOff("1e12");
     refusals_without_a_backoff_draw_no_requests: EndpointSignal::Refuses;
 }
 
@@ -89,12 +97,12 @@
         endpoints.iter().for_each(SignallingEndpoint::start_again);
     });
     check(&outcome);
-    expect_that!(outcome.arrivals_in(BACK_AT..BACK_AT + USED_AGAIN), gt(0));
+    expect_that!(outcome.arrivals_in(BACK_AT..BACK_AT + REUSE_TIME), gt(0));
 }
 
-/// How requests return when the endpoints no longer refuse: arrivals and what is served, by quarters of
-/// a second.
-fn print_return(outcome: &SignalOutcome) {
+/// Prints the arrivals and the served requests in each quarter of a second after the endpoints
+/// have stopped refusing.
+fn print_recovery(outcome: &SignalOutcome) {
     let quarter = Duration::from_millis(250);
     for number in 0..10 {
         let from = SAID_UNTIL + quarter * number;
@@ -106,23 +114,30 @@
 }
 
 #[googletest::test]
-fn clients_are_told_when_all_endpoints_back_off() {
-    let outcome = play(ALL, say_for_a_while(EndpointSignal::BacksOff("2")));
+fn clients_get_a_retry_after_when_all_endpoints_back_off() {
+    let outcome = play(ALL_ENDPOINTS, say_for_a_while(EndpointSignal::BacksOff("2")));
     let (asked, broken) = outcome.backoffs();
-    let resting = outcome.sent_in(SAID_FROM + AT_ONCE..SAID_UNTIL);
-    let told: Vec<f64> = resting.iter().filter_map(|request| request.retry_after).collect();
-    let mean = told.iter().sum::<f64>() / told.len() as f64;
-    println!("{asked} back-offs, {broken} broken; clients told {mean:.2} s, {} times", told.len());
+    let during_backoff = outcome.sent_in(SAID_FROM + MAX_REFUSAL_TIME..SAID_UNTIL);
+    let retry_after_s: Vec<f64> =
+        during_backoff.iter().filter_map(|request| request.retry_after).collect();
+    let mean = retry_after_s.iter().sum::<f64>() / retry_after_s.len() as f64;
+    println!(
+        "{asked} back-offs, {broken} broken; mean retry-after {mean:.2} s, {} times",
+        retry_after_s.len()
+    );
     expect_that!(broken, eq(0));
-    expect_false!(resting.iter().any(|request| request.is_served()));
-    expect_true!(resting.iter().all(|request| request.answered - request.sent < AT_ONCE));
-    expect_true!(resting.iter().all(|request| request.status == 503));
-    // What each is told is the time that is left, from 2 s to none, and a share of its own.
+    expect_false!(during_backoff.iter().any(|request| request.is_served()));
+    expect_true!(
+        during_backoff.iter().all(|request| request.answered - request.sent < MAX_REFUSAL_TIME)
+    );
+    expect_true!(during_backoff.iter().all(|request| request.status == 503));
+    // Each retry-after is the rest of the back-off, from 2 s to none, and a share that differs
+    // between clients.
     expect_that!(mean, ge(0.7));
-    let different: HashSet<u64> = told.iter().map(|seconds| seconds.to_bits()).collect();
-    expect_that!(different.len() * 2, gt(told.len()));
-    print_return(&outcome);
-    let last = outcome.sent_in(SAID_UNTIL + LAST_BACKOFF..LOAD_TIME);
+    let different: HashSet<u64> = retry_after_s.iter().map(|seconds| seconds.to_bits()).collect();
+    expect_that!(different.len() * 2, gt(retry_after_s.len()));
+    print_recovery(&outcome);
+    let last = outcome.sent_in(SAID_UNTIL + LAST_RECOVERY_TIME..LOAD_TIME);
     let served = last.iter().filter(|request| request.is_served()).count();
     println!("{served} of {} served afterwards", last.len());
     expect_that!(served * 10, gt(last.len() * 8));
--- a/tests/gateway/crash_signs.rs
+++ b/tests/gateway/crash_signs.rs
@@ -21,8 +21,8 @@
 /// Time in which a daemon finds out whether the endpoint of a broken run has crashed.
 const CRASH_CHECK_TIME: Duration = Duration::from_millis(300);
 
-/// Each case: a path, and how endpoints that keep running handle its requests. The request must not
-/// be quarantined: it is served as soon as the endpoints serve requests again.
+/// Each case: a path, and how endpoints that keep running handle its requests. The request must
+/// not be quarantined: it is served as soon as the endpoints serve requests again.
 macro_rules! is_no_crash {
     ($($name:ident: $path:expr, $manner:expr;)*) => {$(
         #[googletest::test]
@@ -52,8 +52,8 @@
     refusal_is_no_crash: PATH, EndpointManner::Full;
 }
 
-/// The daemon's log after an endpoint has ended during a request. With `is_draining`, the entries of
-/// all endpoints were marked as draining before that.
+/// The daemon's log after an endpoint has ended during a request. With `is_draining`, the entries
+/// of all endpoints were marked as draining before that.
 fn log_after_endpoint_end(is_draining: bool) -> String {
     let fleet = CrashFleet::start(1, 2);
     let clients = fleet.daemons[0].clients;
--- a/tests/gateway/crashing_endpoint.rs
+++ b/tests/gateway/crashing_endpoint.rs
@@ -1,6 +1,6 @@
 //! Stand-in for an endpoint that crashes when it runs a request with a certain body: all its
-//! connections close, its port refuses connections, and it restarts after some seconds with its old
-//! id or a new one.
+//! connections close, its port refuses connections, and it restarts after some seconds with its
+//! old id or a new one.
 
 use std::{
     io::{BufReader, Write},
--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -3,9 +3,9 @@
 //! Such a request was repeated with the same path, account and body at different daemons. Each
 //! daemon forwarded it as a new one, because a daemon forgot about a crash when the request ended.
 //! In one day, with nine daemons and 18 endpoints, three such requests crashed 46 to 52 endpoints
-//! each. After their third crash one of them reached endpoints 22 times more and another 25 times,
-//! and meanwhile up to 27 in 100 of all other requests were refused or failed. Two daemons sent the
-//! same request to endpoints within one second, with different ids, and logged:
+//! each. One of them arrived 22 times, another 25 times more after its third crash, and up to 27
+//! in 100 of all other requests were refused or failed meanwhile. Two daemons sent the same
+//! request to endpoints within one second, with different ids, and logged:
 //!
 //!     "outcome":"endpoint broke off" "steps":"i-315c... 200 Ran after 73;i-efd3... 200 Ran after 235;"
 //!
--- a/tests/gateway/draining_endpoints.rs
+++ b/tests/gateway/draining_endpoints.rs
@@ -1,14 +1,16 @@
-//! An endpoint said in its responses that it drains, and was sent requests by the same daemons all
-//! the same. The store was away, so that its list called the endpoint ready until 13 s later; two
-//! daemons had passed on responses that said it, and sent it requests 11.0 and 11.6 s afterwards
-//! (2 s are allowed). The header was read by nobody: the line of the response that said it, and
-//! that of the late request, both from one daemon:
+//! Daemons must stop sending requests to an endpoint whose responses say that it drains.
+//!
+//! Daemons ignored the response header that says so. The store was unreachable, so that the
+//! endpoint list showed a draining endpoint as ready until 13 s later. Two daemons had forwarded
+//! responses with the header, and sent the endpoint requests 11.0 and 11.6 s afterwards (2 s are
+//! allowed). One daemon logged these lines for the response with the header and for the late
+//! request:
 //!
 //!     7.768  "steps":"i-1bce... uncached 2130 of 2499 wait 60; 200 Ran after 73;"
 //!     19.467 "steps":"i-1bce... uncached 821 of 821 wait 21; 200 Ran after 53;"
 //!
-//! With nine daemons and twelve endpoints of which four say it, 1,140 of 1,406 requests reached them
-//! over 2 s later; where they also refuse, half of all requests were not served.
+//! With nine daemons and twelve endpoints of which four drain, 1,140 of 1,406 requests reached
+//! these four over 2 s later; if they also refused requests, half of all requests were not served.
 
 use std::time::{Duration, Instant};
 
@@ -20,21 +22,22 @@
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
 
-/// When entries are taken away, or the endpoints end.
+/// When the entries in the store are removed, or the endpoints end.
 const GONE_AT: Duration = Duration::from_secs(4);
-/// When they are back.
+/// When the entries are written again, or the endpoints restart.
 const BACK_AT: Duration = Duration::from_millis(5_500);
-/// Time in which endpoints that have started again are used.
-const USED_AGAIN: Duration = Duration::from_secs(1);
-/// Pause between two writes of an entry.
+/// Time in which endpoints must get requests again after a restart.
+const REUSE_TIME: Duration = Duration::from_secs(1);
+/// Pause between two writes of an entry in the store.
 const WRITE_PAUSE: Duration = Duration::from_millis(500);
 
-fn play(tell: impl FnOnce(&[SignallingEndpoint], Instant)) -> SignalOutcome {
+fn play(scenario: impl FnOnce(&[SignallingEndpoint], Instant)) -> SignalOutcome {
     let _place = take_place();
-    SignalFleet::start().play(TELLING, tell)
+    SignalFleet::start().play(TELLING, scenario)
 }
 
-/// No late arrivals, and under 2 in 100 of all requests not served: eight endpoints have room.
+/// Checks that no request arrives late and that fewer than 2 in 100 requests are not served,
+/// because eight endpoints have room. Responses to clients must not have the header either.
 fn check(outcome: &SignalOutcome) {
     let (sent, not_served) = outcome.not_served();
     let (arrivals, late) = (outcome.arrivals_in(SAID_FROM..LOAD_TIME), outcome.late_arrivals());
@@ -45,21 +48,21 @@
     expect_false!(judged.iter().any(|request| request.names_draining));
 }
 
-fn say(endpoints: &[SignallingEndpoint], began: Instant, signal: EndpointSignal) {
+fn set_signal(endpoints: &[SignallingEndpoint], began: Instant, signal: EndpointSignal) {
     sleep_until(began, SAID_FROM);
     endpoints.iter().for_each(|endpoint| endpoint.say(signal));
 }
 
-fn end_and_start_again(endpoints: &[SignallingEndpoint], began: Instant) {
-    say(endpoints, began, EndpointSignal::Drains);
+fn restart_endpoints(endpoints: &[SignallingEndpoint], began: Instant) {
+    set_signal(endpoints, began, EndpointSignal::Drains);
     sleep_until(began, GONE_AT);
     endpoints.iter().for_each(SignallingEndpoint::end);
     sleep_until(began, BACK_AT);
     endpoints.iter().for_each(SignallingEndpoint::start_again);
 }
 
-fn write_entries_again(endpoints: &[SignallingEndpoint], began: Instant) {
-    say(endpoints, began, EndpointSignal::Drains);
+fn rewrite_entries(endpoints: &[SignallingEndpoint], began: Instant) {
+    set_signal(endpoints, began, EndpointSignal::Drains);
     let mut at = SAID_FROM;
     while at < LOAD_TIME {
         endpoints.iter().for_each(SignallingEndpoint::register);
@@ -68,35 +71,35 @@
     }
 }
 
-fn take_entries_away_for_a_while(endpoints: &[SignallingEndpoint], began: Instant) {
-    say(endpoints, began, EndpointSignal::Drains);
+fn remove_entries_for_a_while(endpoints: &[SignallingEndpoint], began: Instant) {
+    set_signal(endpoints, began, EndpointSignal::Drains);
     sleep_until(began, GONE_AT);
     endpoints.iter().for_each(SignallingEndpoint::unregister);
     sleep_until(began, BACK_AT);
     endpoints.iter().for_each(SignallingEndpoint::register);
 }
 
-macro_rules! not_chosen_any_more {
-    ($($name:ident: $tell:expr;)*) => {$(
+macro_rules! is_no_longer_chosen {
+    ($($name:ident: $scenario:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            check(&play($tell));
+            check(&play($scenario));
         }
     )*};
 }
 
-not_chosen_any_more! {
-    draining_in_successes: |all, began| say(all, began, EndpointSignal::Drains);
-    draining_in_refusals: |all, began| say(all, began, EndpointSignal::DrainsRefusing);
-    draining_in_failures: |all, began| say(all, began, EndpointSignal::DrainsFailing);
-    draining_while_entries_are_written_as_ready: write_entries_again;
-    draining_while_entries_go_and_come_back: take_entries_away_for_a_while;
+is_no_longer_chosen! {
+    draining_in_successes: |all, began| set_signal(all, began, EndpointSignal::Drains);
+    draining_in_refusals: |all, began| set_signal(all, began, EndpointSignal::DrainsRefusing);
+    draining_in_failures: |all, began| set_signal(all, began, EndpointSignal::DrainsFailing);
+    draining_while_entries_are_written_as_ready: rewrite_entries;
+    draining_while_entries_are_removed_and_restored: remove_entries_for_a_while;
 }
 
 #[googletest::test]
 fn draining_is_over_when_an_endpoint_has_started_again() {
-    let outcome = play(end_and_start_again);
+    let outcome = play(restart_endpoints);
     check(&outcome);
-    let again = BACK_AT..BACK_AT + USED_AGAIN;
+    let again = BACK_AT..BACK_AT + REUSE_TIME;
     expect_that!(outcome.arrivals_in(again), gt(0));
 }
--- a/tests/gateway/limited_endpoints.rs
+++ b/tests/gateway/limited_endpoints.rs
@@ -1,14 +1,18 @@
-//! Two endpoints named in their responses how many requests a second they take from all daemons
-//! together, and got more. One that takes 1.5 a second got 15 within 4 s from daemons that it had
-//! told (14 allowed), one that takes 1.1 got 13 (12 allowed). Between 11 and 18 s the two got 20 and
-//! 8 requests, the fourteen others that were there all the time 16 to 30: they were chosen like any
-//! other.
+//! Daemons together must send an endpoint no more requests a second than the limit in its
+//! responses.
 //!
-//! Nobody read the header, and it could not have been kept by one daemon alone: the limit binds the sum
-//! of what all send. With nine daemons and twelve endpoints of which four take 1.6 requests a
-//! second, 322 of 378 requests came beyond the limit, 1,409 of 1,465 where the endpoints also fail.
-//! Every kind of response that names it had no effect. Within 1.2 s one of the two endpoints got these
-//! from four daemons, 6 s after it had first named 1.5 a second:
+//! Two endpoints returned a limit for the sum of the requests from all daemons, and got more. One
+//! with a limit of 1.5 a second got 15 requests within 4 s from daemons that knew the limit (14
+//! allowed), one with a limit of 1.1 got 13 (12 allowed). Between 11 and 18 s the two got 20 and 8
+//! requests, and the fourteen others that were present all the time 16 to 30: they were chosen
+//! like any other.
+//!
+//! Daemons ignored the header, and no daemon could have kept the limit alone, because it applies
+//! to the sum of what all daemons send. With nine daemons and twelve endpoints of which four have
+//! a limit of 1.6 requests a second, 322 of 378 requests exceeded the limit, and 1,409 of 1,465 if
+//! the endpoints also fail. The header had no effect in any kind of response. Within 1.2 s one of
+//! the two endpoints got these requests from four daemons, 6 s after its first response with a
+//! limit of 1.5:
 //!
 //!     14.223  d-2  "steps":"i-8edf... uncached 397 of 466 wait 12; 200 Ran after 50;"
 //!     14.713  b-2  "steps":"i-8edf... uncached 349 of 814 wait 16; 200 Ran after 51;"
@@ -16,7 +20,7 @@
 //!     14.989  b-2  "steps":"i-8edf... uncached 620 of 751 wait 19; 200 Ran after 51;"
 //!     15.251  d-1  "steps":"i-8edf... uncached 12909 of 15659 wait 250; 200 Ran after 274;"
 //!
-//! The limit is now divided among a few daemons, and every daemon is told of it.
+//! The limit is now divided among a few daemons, and all daemons are informed of it.
 
 use std::{
     ops::RangeInclusive,
@@ -32,63 +36,65 @@
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
 
-/// From when on the endpoints name their limits, until when, and when the clients end.
+/// When the endpoints start to return their limits, when they stop, and when the clients end.
 const NAMED_FROM: Duration = Duration::from_secs(1);
 const NAMED_UNTIL: Duration = Duration::from_secs(9);
 const LOAD_TIME: Duration = Duration::from_millis(11_500);
-/// Time from the first response that names a limit to when it is kept.
+/// Time after the first response with a limit from which the limit must be kept.
 const KEPT_AFTER: Duration = Duration::from_secs(3);
-/// When something else happens meanwhile.
+/// When a test changes something else while limits apply.
 const CHANGE_AT: Duration = Duration::from_millis(4_500);
-/// Pause between two writes of an entry.
+/// Pause between two writes of an entry in the store.
 const WRITE_PAUSE: Duration = Duration::from_millis(500);
 /// Time for which daemons are suspended.
-const FROZEN_TIME: Duration = Duration::from_millis(1_500);
-/// Time in which endpoints that end are down.
+const SUSPENSION_TIME: Duration = Duration::from_millis(1_500);
+/// Time from the end of an endpoint until it restarts.
 const DOWN_TIME: Duration = Duration::from_millis(300);
-/// Time in which endpoints are used again, once a request has found that they no longer name a limit.
-const USED_AGAIN: Duration = Duration::from_secs(1);
-/// Time in which a request finds that at the least rate at which endpoints are asked.
-const ASKED_WITHIN: Duration = Duration::from_secs(11);
-/// All endpoints of a fleet.
-const ALL: usize = 12;
-/// Share of what the limits allow that is served, where clients ask for more.
+/// Time in which endpoints must get requests as before, after a response without a limit has shown
+/// that the limit is over.
+const REUSE_TIME: Duration = Duration::from_secs(1);
+/// Time in which a request gets such a response at the lowest rate at which endpoints are probed.
+const PROBED_WITHIN: Duration = Duration::from_secs(11);
+/// Number of endpoints in a fleet.
+const ALL_ENDPOINTS: usize = 12;
+/// Share of the requests allowed by the limits that must be served if clients send more.
 const SERVED_SHARE: RangeInclusive<f64> = 0.7..=1.0;
-/// Longest time for a refusal of a request that can't be served: it is not held.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// Longest time until a request that can't be served is refused: it must not be queued.
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(500);
 
 fn play(
     load: ClientLoad,
-    telling: usize,
-    tell: impl FnOnce(&SignalFleet, &[SignallingEndpoint], Instant),
+    signalling_count: usize,
+    scenario: impl FnOnce(&SignalFleet, &[SignallingEndpoint], Instant),
 ) -> SignalOutcome {
     let _place = take_place();
     let fleet = SignalFleet::start();
-    fleet.play_load(load, telling, |endpoints, began| tell(&fleet, endpoints, began))
+    fleet.play_load(load, signalling_count, |endpoints, began| scenario(&fleet, endpoints, began))
 }
 
-fn say(endpoints: &[SignallingEndpoint], signal: EndpointSignal) {
+fn set_signal(endpoints: &[SignallingEndpoint], signal: EndpointSignal) {
     endpoints.iter().for_each(|endpoint| endpoint.say(signal));
 }
 
-/// Has the endpoints say `signal` for a while, and does something else meanwhile.
-fn say_while(
+/// Sets `signal` at the endpoints from `NAMED_FROM` to `NAMED_UNTIL`, and calls `meanwhile` at
+/// `CHANGE_AT`.
+fn set_signal_while(
     signal: EndpointSignal,
     meanwhile: impl FnOnce(&SignalFleet, &[SignallingEndpoint], Instant),
 ) -> impl FnOnce(&SignalFleet, &[SignallingEndpoint], Instant) {
     move |fleet, endpoints, began| {
         sleep_until(began, NAMED_FROM);
-        say(endpoints, signal);
+        set_signal(endpoints, signal);
         sleep_until(began, CHANGE_AT);
         meanwhile(fleet, endpoints, began);
         sleep_until(began, NAMED_UNTIL);
-        say(endpoints, EndpointSignal::None);
+        set_signal(endpoints, EndpointSignal::None);
     }
 }
 
-fn nothing_else(_: &SignalFleet, _: &[SignallingEndpoint], _: Instant) {}
+fn no_change(_: &SignalFleet, _: &[SignallingEndpoint], _: Instant) {}
 
-fn write_entries_again(_: &SignalFleet, endpoints: &[SignallingEndpoint], began: Instant) {
+fn rewrite_entries(_: &SignalFleet, endpoints: &[SignallingEndpoint], began: Instant) {
     let mut at = CHANGE_AT;
     while at < NAMED_UNTIL {
         endpoints.iter().for_each(SignallingEndpoint::register);
@@ -97,28 +103,28 @@
     }
 }
 
-fn take_entries_away_for_a_while(_: &SignalFleet, endpoints: &[SignallingEndpoint], _: Instant) {
+fn remove_entries_for_a_while(_: &SignalFleet, endpoints: &[SignallingEndpoint], _: Instant) {
     endpoints.iter().for_each(SignallingEndpoint::unregister);
     std::thread::sleep(WRITE_PAUSE);
     endpoints.iter().for_each(SignallingEndpoint::register);
 }
 
-fn freeze_daemons(fleet: &SignalFleet, _: &[SignallingEndpoint], _: Instant) {
-    fleet.freeze_every_other(FROZEN_TIME);
+fn suspend_daemons(fleet: &SignalFleet, _: &[SignallingEndpoint], _: Instant) {
+    fleet.freeze_every_other(SUSPENSION_TIME);
 }
 
-fn start_daemons_again(fleet: &SignalFleet, _: &[SignallingEndpoint], _: Instant) {
+fn restart_daemons(fleet: &SignalFleet, _: &[SignallingEndpoint], _: Instant) {
     fleet.restart_every_other();
 }
 
-/// Requests that were sent while limits were named and kept, and how many of them were not served.
+/// Number of requests sent while the endpoints returned limits, and how many were not served.
 fn not_served(outcome: &SignalOutcome) -> (usize, usize) {
     let sent = outcome.sent_in(NAMED_FROM..NAMED_UNTIL);
     (sent.len(), sent.iter().filter(|request| !request.is_served()).count())
 }
 
-/// No limit is exceeded, under 2 in 100 of all requests are not served (eight endpoints have room),
-/// and clients learn nothing of limits.
+/// Checks that no limit is exceeded, that fewer than 2 in 100 requests are not served (eight
+/// endpoints have room), and that responses to clients don't contain the limit.
 fn check(outcome: &SignalOutcome) {
     let limits = outcome.limits();
     let (sent, not_served) = not_served(outcome);
@@ -130,7 +136,7 @@
     expect_false!(judged.iter().any(|request| request.names_limit));
 }
 
-/// No request is refused while eight endpoints have room.
+/// Checks that no request is refused while eight endpoints have room.
 fn check_none_refused(outcome: &SignalOutcome) {
     let sent = outcome.sent_in(NAMED_FROM..NAMED_UNTIL);
     let refused = sent.iter().filter(|request| request.status == 503).count();
@@ -138,7 +144,7 @@
     expect_that!(refused, eq(0));
 }
 
-/// Limits are used as far as they go.
+/// Checks that the endpoints get most of the requests that their limits allow, and no more.
 fn check_used(outcome: &SignalOutcome, limit: f64) {
     let kept = NAMED_FROM + KEPT_AFTER..NAMED_UNTIL;
     let allowed = limit * TELLING as f64 * (kept.end - kept.start).as_secs_f64();
@@ -148,17 +154,18 @@
     expect_that!(arrivals, le(SERVED_SHARE.end() * allowed));
 }
 
-/// The endpoints are used as before when they no longer name limits and that has been found.
+/// Checks that the endpoints get about as many requests as before, once they return no limits and
+/// a request has shown this within `found_within`.
 fn check_used_again(outcome: &SignalOutcome, found_within: Duration) {
     let before = outcome.arrivals_in(Duration::ZERO..NAMED_FROM);
-    let from = NAMED_UNTIL + found_within + USED_AGAIN;
-    let again = outcome.arrivals_in(from..from + USED_AGAIN);
+    let from = NAMED_UNTIL + found_within + REUSE_TIME;
+    let again = outcome.arrivals_in(from..from + REUSE_TIME);
     println!("{before} arrivals before, {again} afterwards");
     let quarter = Duration::from_millis(250);
     let quarters = (0..10).map(|count| NAMED_UNTIL + found_within + quarter * count);
     let returned: Vec<usize> =
         quarters.map(|from| outcome.arrivals_in(from..from + quarter)).collect();
-    println!("arrivals in each quarter of a second from the end on: {returned:?}");
+    println!("arrivals in each quarter of a second after the end of the limit: {returned:?}");
     expect_that!(again * 2, gt(before));
 }
 
@@ -166,8 +173,8 @@
     ($($name:ident: $signal:expr, $meanwhile:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            let tell = say_while($signal, $meanwhile);
-            let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, tell);
+            let scenario = set_signal_while($signal, $meanwhile);
+            let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, scenario);
             check(&outcome);
             expect_that!(outcome.arrivals_in(NAMED_FROM + KEPT_AFTER..NAMED_UNTIL), gt(0));
             check_used_again(&outcome, Duration::ZERO);
@@ -176,20 +183,20 @@
 }
 
 limits_are_kept! {
-    limit_in_refusals: EndpointSignal::LimitsRefusing("1.6"), nothing_else;
-    limit_in_failures: EndpointSignal::LimitsFailing("1.6"), nothing_else;
-    limit_while_entries_are_written_anew: EndpointSignal::Limits("1.6"), write_entries_again;
-    limit_while_entries_go_and_come_back: EndpointSignal::Limits("1.6"), take_entries_away_for_a_while;
-    limit_while_daemons_start_again: EndpointSignal::Limits("1.6"), start_daemons_again;
-    limit_while_daemons_are_suspended: EndpointSignal::Limits("1.6"), freeze_daemons;
+    limit_in_refusals: EndpointSignal::LimitsRefusing("1.6"), no_change;
+    limit_in_failures: EndpointSignal::LimitsFailing("1.6"), no_change;
+    limit_while_entries_are_rewritten: EndpointSignal::Limits("1.6"), rewrite_entries;
+    limit_while_entries_are_removed_and_restored: EndpointSignal::Limits("1.6"), remove_entries_for_a_while;
+    limit_while_daemons_restart: EndpointSignal::Limits("1.6"), restart_daemons;
+    limit_while_daemons_are_suspended: EndpointSignal::Limits("1.6"), suspend_daemons;
 }
 
-macro_rules! limits_are_used_and_nobody_is_refused {
+macro_rules! limits_are_used_and_no_request_is_refused {
     ($($name:ident: $text:literal, $limit:expr, $found_within:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            let tell = say_while(EndpointSignal::Limits($text), nothing_else);
-            let outcome = play(ClientLoad::of(LOAD_TIME + $found_within), TELLING, tell);
+            let scenario = set_signal_while(EndpointSignal::Limits($text), no_change);
+            let outcome = play(ClientLoad::of(LOAD_TIME + $found_within), TELLING, scenario);
             check(&outcome);
             check_none_refused(&outcome);
             if $limit > 1.0 {
@@ -200,47 +207,47 @@
     )*};
 }
 
-limits_are_used_and_nobody_is_refused! {
+limits_are_used_and_no_request_is_refused! {
     limit_in_successes: "1.6", 1.6, Duration::ZERO;
     high_limit: "12", 12.0, Duration::ZERO;
-    // One request in 2.6 s shows that the limit is over.
+    // An endpoint gets one request in 2.6 s, whose response shows that the limit is over.
     low_limit: "0.4", 0.4, Duration::from_millis(2_700);
 }
 
 #[googletest::test]
-fn limit_that_falls() {
-    let falls = |_: &SignalFleet, endpoints: &[SignallingEndpoint], _: Instant| {
-        say(endpoints, EndpointSignal::Limits("0.4"));
+fn limit_that_is_lowered() {
+    let lower_limit = |_: &SignalFleet, endpoints: &[SignallingEndpoint], _: Instant| {
+        set_signal(endpoints, EndpointSignal::Limits("0.4"));
     };
-    // One request in 2.6 s shows that the limit is over.
+    // An endpoint gets one request in 2.6 s, whose response shows that the limit is over.
     let found_within = Duration::from_millis(2_700);
     let load = ClientLoad::of(LOAD_TIME + found_within);
-    let outcome = play(load, TELLING, say_while(EndpointSignal::Limits("6.4"), falls));
+    let outcome = play(load, TELLING, set_signal_while(EndpointSignal::Limits("6.4"), lower_limit));
     check(&outcome);
     expect_that!(outcome.arrivals_in(NAMED_FROM + KEPT_AFTER..NAMED_UNTIL), gt(0));
     check_used_again(&outcome, found_within);
 }
 
 #[googletest::test]
-fn limit_of_nothing() {
-    let load = ClientLoad::of(LOAD_TIME + ASKED_WITHIN);
-    let outcome = play(load, TELLING, say_while(EndpointSignal::Limits("0"), nothing_else));
+fn limit_of_zero() {
+    let load = ClientLoad::of(LOAD_TIME + PROBED_WITHIN);
+    let outcome = play(load, TELLING, set_signal_while(EndpointSignal::Limits("0"), no_change));
     check(&outcome);
-    check_used_again(&outcome, ASKED_WITHIN);
+    check_used_again(&outcome, PROBED_WITHIN);
 }
 
 #[googletest::test]
-fn limit_beside_a_backoff_is_kept_with_it() {
-    let tell = say_while(EndpointSignal::LimitsBackingOff("1.6"), nothing_else);
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, tell);
+fn limit_and_backoff_of_one_endpoint_are_both_kept() {
+    let scenario = set_signal_while(EndpointSignal::LimitsBackingOff("1.6"), no_change);
+    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, scenario);
     check(&outcome);
     expect_that!(outcome.backoffs().1, eq(0));
 }
 
 #[googletest::test]
-fn limit_beside_draining_brings_no_requests() {
-    let tell = say_while(EndpointSignal::LimitsDraining("1.6"), nothing_else);
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, tell);
+fn draining_endpoint_with_a_limit_gets_no_requests() {
+    let scenario = set_signal_while(EndpointSignal::LimitsDraining("1.6"), no_change);
+    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, scenario);
     check(&outcome);
     expect_that!(outcome.late_arrivals(), eq(0));
 }
@@ -249,7 +256,7 @@
 fn limit_is_over_when_an_endpoint_has_started_again() {
     let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, |_, endpoints, began| {
         sleep_until(began, NAMED_FROM);
-        say(endpoints, EndpointSignal::Limits("1.6"));
+        set_signal(endpoints, EndpointSignal::Limits("1.6"));
         sleep_until(began, CHANGE_AT);
         endpoints.iter().for_each(SignallingEndpoint::end);
         std::thread::sleep(DOWN_TIME);
@@ -257,12 +264,12 @@
     });
     check(&outcome);
     let before = outcome.arrivals_in(Duration::ZERO..NAMED_FROM);
-    let back = CHANGE_AT + DOWN_TIME + USED_AGAIN;
-    expect_that!(outcome.arrivals_in(back..back + USED_AGAIN) * 2, gt(before));
+    let back = CHANGE_AT + DOWN_TIME + REUSE_TIME;
+    expect_that!(outcome.arrivals_in(back..back + REUSE_TIME) * 2, gt(before));
 }
 
 #[googletest::test]
-fn limits_that_mean_nothing_change_nothing() {
+fn invalid_limits_are_ignored() {
     let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, |_, endpoints, began| {
         sleep_until(began, NAMED_FROM);
         for (endpoint, text) in endpoints.iter().zip(["-1", "NaN", "1e12", ""]) {
@@ -271,43 +278,44 @@
     });
     check(&outcome);
     let before = outcome.arrivals_in(Duration::ZERO..NAMED_FROM);
-    let later = outcome.arrivals_in(NAMED_UNTIL - USED_AGAIN..NAMED_UNTIL);
+    let later = outcome.arrivals_in(NAMED_UNTIL - REUSE_TIME..NAMED_UNTIL);
     expect_that!(later * 2, gt(before));
 }
 
-/// Clients ask for more than the limits of all endpoints allow: these are used, and who can't be
-/// served is told at once when to come back.
+/// For clients that send more than the limits of all endpoints allow: checks that the limits are
+/// used, and that the other requests are refused immediately, with a retry-after.
 fn check_all_limited(outcome: &SignalOutcome, limit: f64) {
     let limits = outcome.limits();
     let kept = NAMED_FROM + KEPT_AFTER..NAMED_UNTIL;
     let sent = outcome.sent_in(kept.clone());
     let served = sent.iter().filter(|request| request.is_served()).count();
-    let allowed = limit * ALL as f64 * (kept.end - kept.start).as_secs_f64();
+    let allowed = limit * ALL_ENDPOINTS as f64 * (kept.end - kept.start).as_secs_f64();
     let share = served as f64 / allowed;
     let refused: Vec<_> = sent.iter().filter(|request| !request.is_served()).collect();
-    let told: Vec<f64> = refused.iter().filter_map(|request| request.retry_after).collect();
-    let mean = told.iter().sum::<f64>() / told.len().max(1) as f64;
+    let retry_after_s: Vec<f64> =
+        refused.iter().filter_map(|request| request.retry_after).collect();
+    let mean = retry_after_s.iter().sum::<f64>() / retry_after_s.len().max(1) as f64;
     println!(
-        "{limits:?}; {served} of {} served, {share:.2} of what is allowed; told {mean:.2} s",
+        "{limits:?}; {served} of {} served, {share:.2} of allowed; retry-after {mean:.2} s",
         sent.len()
     );
     expect_that!(limits.beyond, eq(0));
     expect_true!(SERVED_SHARE.contains(&share), "{share:.2}");
     expect_true!(refused.iter().all(|request| request.status == 503));
-    expect_true!(refused.iter().all(|request| request.answered - request.sent < AT_ONCE));
-    expect_that!(told.len(), eq(refused.len()));
-    check_told_differently(&told);
+    expect_true!(refused.iter().all(|request| request.answered - request.sent < MAX_REFUSAL_TIME));
+    expect_that!(retry_after_s.len(), eq(refused.len()));
+    check_told_differently(&retry_after_s);
 }
 
 #[googletest::test]
 fn limits_of_all_endpoints_are_used() {
-    let tell = say_while(EndpointSignal::Limits("8"), nothing_else);
-    check_all_limited(&play(ClientLoad::of(LOAD_TIME), ALL, tell), 8.0);
+    let scenario = set_signal_while(EndpointSignal::Limits("8"), no_change);
+    check_all_limited(&play(ClientLoad::of(LOAD_TIME), ALL_ENDPOINTS, scenario), 8.0);
 }
 
 #[googletest::test]
 fn limits_of_all_endpoints_are_used_by_one_daemon() {
-    let tell = say_while(EndpointSignal::Limits("8"), nothing_else);
+    let scenario = set_signal_while(EndpointSignal::Limits("8"), no_change);
     let load = ClientLoad { time: LOAD_TIME, daemons: 1 };
-    check_all_limited(&play(load, ALL, tell), 8.0);
+    check_all_limited(&play(load, ALL_ENDPOINTS, scenario), 8.0);
 }
