--- a/src/gateway/policy/endpoint/endpoint_starts.rs
+++ b/src/gateway/policy/endpoint/endpoint_starts.rs
@@ -3,7 +3,7 @@
 //! An endpoint may restart under its id and then reports a later start time. Entries and lists
 //! arrive on several paths, so an entry of an earlier start may arrive after that of a later one;
 //! it is ignored. Daemons of the previous release send lists without start times; their entries are
-//! taken for the known start.
+//! treated as entries of the start that is already known.
 
 pub mod lost_entries;
 
--- a/src/gateway/policy/endpoint/service_demand.rs
+++ b/src/gateway/policy/endpoint/service_demand.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// Time over which demand is averaged. Reports of it are up to seconds old: with a shorter time,
-/// daemons whose demand rises suddenly would take shares that the others have not given up yet.
+/// daemons whose demand rises suddenly would use shares that the others are still using.
 const AVERAGING_TIME: Duration = Duration::from_secs(4);
 
 /// Demand of one daemon for one service.
--- a/src/gateway/policy/request/crash_ledger.rs
+++ b/src/gateway/policy/request/crash_ledger.rs
@@ -4,7 +4,7 @@
 //! that have a record, and the records of other daemons, which arrive by gossip within about a
 //! second. A request with enough evidence (`crash_record`) is quarantined: it is refused until a
 //! trial, a complete response or an operator clears it. If several requests were running during the
-//! same crashes, the one with the most evidence is taken for the cause. Without records from other
+//! same crashes, the one with the most evidence counts as the cause. Without records from other
 //! daemons, a daemon decides by its own runs alone.
 
 use std::{collections::BTreeMap, time::Duration};
--- a/src/gateway/policy/request/crash_record.rs
+++ b/src/gateway/policy/request/crash_record.rs
@@ -13,8 +13,8 @@
 /// Consecutive runs that have to crash their endpoints before a request is quarantined. With two,
 /// harmless requests would be quarantined whenever two endpoints end in a row.
 pub const RUNS_TO_QUARANTINE: usize = 3;
-/// Reports of crashes of one endpoint that are closer together than this are taken for the same
-/// crash, seen by several daemons or by requests that arrived after it. Longer than a message
+/// Reports of crashes of one endpoint that are closer together than this count as reports of the
+/// same crash, seen by several daemons or by requests that arrived after it. Longer than a message
 /// between daemons takes, shorter than the seconds that an endpoint takes to start.
 const SAME_CRASH: Duration = Duration::from_secs(1);
 /// A run that begins less than this before a crash counts as begun after it: a retry begins right
@@ -104,8 +104,8 @@
     /// Merges another daemon's record of the same request.
     ///
     /// Received times look younger by the message's transit time, and the other daemon gets them
-    /// back with the same error. A clearance that is only slightly newer than the own one is
-    /// therefore taken for the same one; otherwise its time would advance with each message.
+    /// back with the same error. A clearance that is only slightly newer than the own one therefore
+    /// counts as the same clearance; otherwise its time would advance with each message.
     pub fn merge(&mut self, received: &Self) {
         if let Some(at) = received.cleared_at.filter(|at| self.is_new_clearance(*at)) {
             self.clear(at);
--- a/src/gateway/request/connection_pool.rs
+++ b/src/gateway/request/connection_pool.rs
@@ -2,7 +2,7 @@
 //!
 //! An exchange is clean if its response was read to the end and belonged to the request. After an
 //! exchange that was not clean, all idle connections of the endpoint are closed, since a late
-//! response on one of them could be taken for the response to the next request.
+//! response on one of them could be read as the response to the next request.
 
 use std::{
     cell::{Cell, RefCell},
--- a/src/gateway/request/relay/upstream.rs
+++ b/src/gateway/request/relay/upstream.rs
@@ -92,7 +92,7 @@
         match timeout_at(true_time::timer_at(until), self.body.frame()).await {
             Err(_) => BodyPiece::Silent, // Out of time.
             Ok(None) => BodyPiece::End,
-            // The error's details don't matter: this endpoint is given up in any case.
+            // The error's details don't matter: nothing more is read from this endpoint anyway.
             Ok(Some(Err(_))) => BodyPiece::Broken,
             // Trailers are not passed on.
             Ok(Some(Ok(frame))) => BodyPiece::Bytes(frame.into_data().unwrap_or_default()),
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -29,8 +29,8 @@
 
 /// Longest wait in the queue for an endpoint: leaves most of the client's 45 s for the run itself.
 const QUEUE_WAIT: Duration = Duration::from_secs(10);
-/// Refusals by endpoints after which a request is given up: a few endpoints are tried, then the
-/// client decides.
+/// Refusals by endpoints after which a request ends as not run: a few endpoints are tried, then the
+/// client decides whether to send it again.
 const REFUSAL_LIMIT: usize = 4;
 
 /// One run of a ticket at its holder.
--- a/src/platform/ingress/endpoint_signals.rs
+++ b/src/platform/ingress/endpoint_signals.rs
@@ -62,6 +62,8 @@
 fn values<'a>(headers: &'a HeaderMap, name: &HeaderName) -> impl Iterator<Item = Option<&'a str>> {
     let fields = headers.get_all(name).iter();
     fields.flat_map(|field| {
+        // The error's details don't matter: a field with other bytes than visible ASCII counts like
+        // a value that can't be parsed.
         let text = field.to_str().ok();
         let parts = text.map(|text| text.split(',').map(str::trim));
         let is_unreadable = text.is_none();
