--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -153,13 +153,9 @@
     }
 
     /// Writes the lease with this daemon as its holder, unless the object has changed since it was read
-    /// as `lease_object`. The former holder's required endpoints and report are carried over.
-    async fn acquire(
-        &mut self,
-        fence: u64,
-        lease_object: LeaseObject,
-    ) -> Result<AcquireResult, StepError> {
-        let (condition, former) = match lease_object {
+    /// as `old`. The former holder's required endpoints and report are carried over.
+    async fn acquire(&mut self, fence: u64, old: LeaseObject) -> Result<AcquireResult, StepError> {
+        let (condition, former) = match old {
             LeaseObject::Present(seen) => (seen.condition, Some(seen.record)),
             LeaseObject::Corrupt(corrupt) => (WriteCondition::At(corrupt.position), None),
             LeaseObject::Absent(era) => (WriteCondition::Absent(era), None),
--- a/src/native/serve/run/attempt.rs
+++ b/src/native/serve/run/attempt.rs
@@ -212,7 +212,7 @@
                 }
             };
             for event in events {
-                if let Some(end) = self.handle_event(&event, tokens).await {
+                if let Some(end) = self.on_event(&event, tokens).await {
                     return end;
                 }
             }
@@ -239,11 +239,7 @@
     }
 
     /// Handles one event of the stream; `Some` if it ends the attempt.
-    async fn handle_event(
-        &self,
-        event: &str,
-        tokens: &mut Vec<ResponseToken>,
-    ) -> Option<AttemptEnd> {
+    async fn on_event(&self, event: &str, tokens: &mut Vec<ResponseToken>) -> Option<AttemptEnd> {
         let step = "read stream";
         if event == STREAM_END {
             return Some(AttemptEnd::Answered(FinalResponse::Streamed));
--- a/src/native/serve/run/once/run.rs
+++ b/src/native/serve/run/once/run.rs
@@ -149,17 +149,14 @@
         }
     }
 
-    /// Dispatches the call once. Returns the call only if the endpoint did not start it.
+    /// Dispatches the call once, to the endpoint of `to`. Returns the call only if the endpoint did
+    /// not start it.
     async fn dispatch(
         &mut self,
         stage: UndispatchedCall,
-        slot: &EndpointSlot,
+        to: &EndpointSlot,
     ) -> Result<FinalResponse, UndispatchedCall> {
-        self.context.record_event(
-            EventKind::Dispatched,
-            &self.name,
-            format!("VM {}", slot.pick.id),
-        );
+        self.context.record_event(EventKind::Dispatched, &self.name, format!("VM {}", to.pick.id));
         let call = self.call.clone();
         let dispatched = stage.begin();
         let task = AttemptTask {
@@ -168,8 +165,8 @@
             takeovers: 0,
             call: &call,
             priority: self.priority,
-            attempt: slot.attempt(),
-            slot,
+            attempt: to.attempt(),
+            slot: to,
         };
         let end = match &call.content {
             CallContent::Plain(plain) => task.plain(plain).await,
@@ -178,7 +175,7 @@
         match end {
             AttemptEnd::Answered(response) => Ok(response),
             AttemptEnd::NotStarted(evidence, error) => {
-                self.refused_by.push(slot.pick.id.clone());
+                self.refused_by.push(to.pick.id.clone());
                 self.context.record_event(EventKind::AttemptFailed, &self.name, error.to_string());
                 match dispatched.not_started(evidence) {
                     CallStage::Undispatched(undispatched) => Err(undispatched),
