--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -142,7 +142,7 @@
     /// Chooses an endpoint. The running time does not depend on the number of endpoints of the
     /// service, since a daemon uses only its window of them.
     pub fn pick(&self, query: RouteQuery<'_>, now: Instant, rng: &mut impl Rng) -> RouteChoice {
-        let Some(routes) = self.services.get(query.service) else { return RouteChoice::Nowhere };
+        let Some(routes) = self.services.get(query.service) else { return RouteChoice::NoEndpoint };
         let usable = |route: &&EndpointRoute| {
             !self.leaving.contains(&route.info.id) && !query.exclude.contains(&route.info.id)
         };
@@ -178,7 +178,7 @@
                 cached_blocks: route.cache.overlap(query.chain),
             }),
             None if busy => RouteChoice::Busy,
-            None => RouteChoice::Nowhere,
+            None => RouteChoice::NoEndpoint,
         }
     }
 
--- a/src/native/decide/routing/query.rs
+++ b/src/native/decide/routing/query.rs
@@ -39,7 +39,7 @@
     /// All endpoints have as many requests as the service's row allows.
     Busy,
     /// There is no endpoint that may be used.
-    Nowhere,
+    NoEndpoint,
 }
 
 /// A request for which an endpoint is to be chosen.
--- a/src/native/serve/services/router/picks.rs
+++ b/src/native/serve/services/router/picks.rs
@@ -75,7 +75,7 @@
                 None
             }
             RouteChoice::Busy => Some(pending),
-            RouteChoice::Nowhere => {
+            RouteChoice::NoEndpoint => {
                 send_reply(pending.reply, PickReply::NoEndpoint);
                 None
             }
--- a/tests/native/decisions/routing.rs
+++ b/tests/native/decisions/routing.rs
@@ -47,7 +47,7 @@
 fn picked(choice: RouteChoice) -> Option<String> {
     match choice {
         RouteChoice::Endpoint(pick) => Some(pick.id.to_string()),
-        RouteChoice::Busy | RouteChoice::Nowhere => None,
+        RouteChoice::Busy | RouteChoice::NoEndpoint => None,
     }
 }
 
@@ -65,7 +65,7 @@
     let mut routes = routes(2, 1.0);
     routes.mark_leaving(&"vm-0".into());
     expect_that!(picked(pick(&routes, &[], &[])), some(eq("vm-1")));
-    expect_that!(pick(&routes, &[], &["vm-1".into()]), eq(&RouteChoice::Nowhere));
+    expect_that!(pick(&routes, &[], &["vm-1".into()]), eq(&RouteChoice::NoEndpoint));
     // The address returns as another VM, which is not leaving.
     let mut returned = endpoint(0);
     returned.id = "vm-9".into();
