--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -233,8 +233,8 @@
         let size = window_size(daemons, replicas);
         let mut routes = RouteTable::new("zone-0".into());
         let infos = window(daemons / 2, daemons, replicas).map(endpoint).collect();
-        let sharing = (size * daemons) as f64 / replicas as f64;
-        routes.set_endpoints(&"model".into(), infos, 64, sharing);
+        let daemons_per_endpoint = (size * daemons) as f64 / replicas as f64;
+        routes.set_endpoints(&"model".into(), infos, 64, daemons_per_endpoint);
         let chain = prefix_chain(&"word ".repeat(800));
         let mut rng = SmallRng::seed_from_u64(1);
         let picked = us_per_call(20_000, |_| {
@@ -248,7 +248,7 @@
         });
         println!(
             "{daemons:>5} daemons, {replicas:>6} replicas: window {size:>3} (each replica has \
-             {sharing:.1} daemons), placement of copies {placed:6.1} us, choice of endpoint {picked:5.1} us"
+             {daemons_per_endpoint:.1} daemons), placement of copies {placed:6.1} us, choice of endpoint {picked:5.1} us"
         );
     }
 }
--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -50,7 +50,7 @@
     endpoints: BTreeMap<SharedName, EndpointRoute>,
     concurrency: u32,
     /// Number of daemons that share each endpoint.
-    sharing: f64,
+    daemons_per_endpoint: f64,
     probe_at: Option<Instant>,
 }
 
@@ -74,11 +74,11 @@
         service: &SharedName,
         infos: Vec<EndpointInfo>,
         concurrency: u32,
-        sharing: f64,
+        daemons_per_endpoint: f64,
     ) {
         let routes = self.services.entry(service.clone()).or_default();
         routes.concurrency = concurrency;
-        routes.sharing = sharing.max(1.0);
+        routes.daemons_per_endpoint = daemons_per_endpoint.max(1.0);
         let mut previous = std::mem::take(&mut routes.endpoints);
         for info in infos {
             let known = previous.remove(&info.id).filter(|route| route.info == info);
@@ -154,11 +154,11 @@
         // Whatever the reported load of all daemons is, a daemon may always use an equal share
         // and, until the next report, as many slots as it used at the last one. Otherwise it could
         // not reuse the slots of its own ended requests until the next report.
-        let own_part = (concurrency / routes.sharing).floor().max(1.0);
+        let own_part = (concurrency / routes.daemons_per_endpoint).floor().max(1.0);
         let mut best: Option<(f64, &EndpointRoute)> = None;
         let mut busy = false;
         for route in admitted {
-            let load = route.load(routes.sharing);
+            let load = route.load(routes.daemons_per_endpoint);
             if load >= concurrency
                 && f64::from(route.in_flight) >= (route.allowance * open).max(own_part)
             {
@@ -166,7 +166,8 @@
                 continue;
             }
             let wait = route.expected_wait(&self.zone, load, concurrency, query.chain)
-                + route.noise(routes.sharing, concurrency) * rng.random_range(0.0..1.0);
+                + route.noise(routes.daemons_per_endpoint, concurrency)
+                    * rng.random_range(0.0..1.0);
             if best.is_none_or(|(shortest, _)| wait < shortest) {
                 best = Some((wait, route));
             }
--- a/src/native/decide/routing/endpoint_route.rs
+++ b/src/native/decide/routing/endpoint_route.rs
@@ -85,16 +85,16 @@
 
     /// Estimated load by all daemons: the reported load, plus this daemon's `net_starts` multiplied
     /// by the number of daemons that share the endpoint.
-    pub fn load(&self, sharing: f64) -> f64 {
-        let corrected = f64::from(self.reported) + self.net_starts as f64 * sharing;
+    pub fn load(&self, daemons_per_endpoint: f64) -> f64 {
+        let corrected = f64::from(self.reported) + self.net_starts as f64 * daemons_per_endpoint;
         corrected.max(f64::from(self.in_flight))
     }
 
     /// Uncertainty of the load estimate, in milliseconds of wait: the other daemons may have
     /// started attempts that are not in the last report.
-    pub fn noise(&self, sharing: f64, concurrency: f64) -> f64 {
-        let unseen =
-            (sharing - 1.0).max(0.0) * (self.net_starts.unsigned_abs() as f64 + 1.0).sqrt();
+    pub fn noise(&self, daemons_per_endpoint: f64, concurrency: f64) -> f64 {
+        let unseen = (daemons_per_endpoint - 1.0).max(0.0)
+            * (self.net_starts.unsigned_abs() as f64 + 1.0).sqrt();
         unseen / concurrency * BATCH_MS
     }
 
--- a/tests/native/decisions/routing.rs
+++ b/tests/native/decisions/routing.rs
@@ -28,9 +28,14 @@
     }
 }
 
-fn routes(count: usize, sharing: f64) -> RouteTable {
+fn routes(count: usize, daemons_per_endpoint: f64) -> RouteTable {
     let mut routes = RouteTable::new("z0".into());
-    routes.set_endpoints(&"model".into(), (0..count).map(endpoint).collect(), 8, sharing);
+    routes.set_endpoints(
+        &"model".into(),
+        (0..count).map(endpoint).collect(),
+        8,
+        daemons_per_endpoint,
+    );
     routes
 }
 
