--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -248,7 +248,8 @@
         });
         println!(
             "{daemons:>5} daemons, {replicas:>6} replicas: window {size:>3} (each replica has \
-             {daemons_per_endpoint:.1} daemons), placement of copies {placed:6.1} us, choice of endpoint {picked:5.1} us"
+             {daemons_per_endpoint:.1} daemons), placement of copies {placed:6.1} us, choice of \
+             endpoint {picked:5.1} us"
         );
     }
 }
--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -150,24 +150,22 @@
         let may_probe = routes.probe_at.is_none_or(|at| now >= at);
         let admitted = admit_by_health(&present, may_probe, now);
         let open = usable_fraction(query.priority);
-        let concurrency = f64::from(routes.concurrency) * open;
+        let slots = f64::from(routes.concurrency) * open;
         // Whatever the reported load of all daemons is, a daemon may always use an equal share
         // and, until the next report, as many slots as it used at the last one. Otherwise it could
         // not reuse the slots of its own ended requests until the next report.
-        let own_part = (concurrency / routes.daemons_per_endpoint).floor().max(1.0);
+        let own_part = (slots / routes.daemons_per_endpoint).floor().max(1.0);
         let mut best: Option<(f64, &EndpointRoute)> = None;
         let mut busy = false;
         for route in admitted {
             let load = route.load(routes.daemons_per_endpoint);
-            if load >= concurrency
-                && f64::from(route.in_flight) >= (route.allowance * open).max(own_part)
+            if load >= slots && f64::from(route.in_flight) >= (route.allowance * open).max(own_part)
             {
                 busy = true;
                 continue;
             }
-            let wait = route.expected_wait(&self.zone, load, concurrency, query.chain)
-                + route.noise(routes.daemons_per_endpoint, concurrency)
-                    * rng.random_range(0.0..1.0);
+            let wait = route.expected_wait(&self.zone, load, slots, query.chain)
+                + route.noise(routes.daemons_per_endpoint, slots) * rng.random_range(0.0..1.0);
             if best.is_none_or(|(shortest, _)| wait < shortest) {
                 best = Some((wait, route));
             }
