--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -86,8 +86,8 @@
 
 impl LeaderLease {
     /// Whether this daemon may act as the leader now.
-    pub fn may_act(&self, lease: Duration, now: Instant) -> bool {
-        let active = lease.mul_f64(ACTIVE_FRACTION);
+    pub fn may_act(&self, lease_duration: Duration, now: Instant) -> bool {
+        let active = lease_duration.mul_f64(ACTIVE_FRACTION);
         let is_active = |at: Instant| now.saturating_duration_since(at) < active;
         self.own && self.renewed_at.is_some_and(is_active)
     }
@@ -138,8 +138,8 @@
     }
 
     /// Whether the store has to be read, because no renewal was reported for a whole lease.
-    pub fn is_renewal_overdue(&self, lease: Duration, now: Instant) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < lease;
+    pub fn is_renewal_overdue(&self, lease_duration: Duration, now: Instant) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < lease_duration;
         !self.renewed_at.is_some_and(is_recent)
     }
 }
@@ -199,7 +199,7 @@
 /// is known to have existed.
 pub fn decide_acquire(
     observed: Option<ObservedLease>,
-    lease: Duration,
+    lease_duration: Duration,
     era: StoreEra,
 ) -> AcquireDecision {
     let Some(observed) = observed else {
@@ -209,7 +209,7 @@
         return AcquireDecision::Acquire { fence: observed.fence };
     }
     let has_ended = observed.released || observed.owner == LeaseOwner::EarlierProcess;
-    let wait = if has_ended { Duration::ZERO } else { lease + ACQUIRE_MARGIN };
+    let wait = if has_ended { Duration::ZERO } else { lease_duration + ACQUIRE_MARGIN };
     match observed.unchanged_for < wait {
         true => AcquireDecision::Wait(wait - observed.unchanged_for),
         false => {
@@ -233,15 +233,15 @@
 }
 
 /// Decides what the holder does with a lease that it renewed `age` ago.
-pub fn decide_hold(age: Duration, lease: Duration, is_leaving: bool) -> HoldDecision {
-    if age > lease {
+pub fn decide_hold(age: Duration, lease_duration: Duration, is_leaving: bool) -> HoldDecision {
+    if age > lease_duration {
         // Another daemon may hold it by now.
         return HoldDecision::Lose(LossReason::NotRenewed);
     }
     if is_leaving {
         return HoldDecision::Release;
     }
-    match age > lease.mul_f64(RENEW_FRACTION) {
+    match age > lease_duration.mul_f64(RENEW_FRACTION) {
         true => HoldDecision::Renew,
         false => HoldDecision::Keep,
     }
