--- a/src/gateway/leader/lease_acquire.rs
+++ b/src/gateway/leader/lease_acquire.rs
@@ -83,7 +83,7 @@
             LeaseObject::Present(seen) if self.may_be_superseded(&seen.record) => {
                 let fence = self.context.lease.borrow().fence.max(seen.record.fence);
                 let since = self.own_last_renewal().unwrap_or(seen.unchanged_since);
-                Some(ObservedLease::of_lost_record(fence, unchanged_for(since)))
+                Some(ObservedLease::without_valid_record(fence, unchanged_for(since)))
             }
             LeaseObject::Present(seen) => Some(ObservedLease {
                 fence: seen.record.fence,
@@ -94,14 +94,17 @@
             LeaseObject::Corrupt(corrupt) => {
                 let known = self.context.lease.borrow().fence;
                 let fence = highest_possible_fence(known, corrupt.position);
-                Some(ObservedLease::of_lost_record(fence, unchanged_for(corrupt.unchanged_since)))
+                Some(ObservedLease::without_valid_record(
+                    fence,
+                    unchanged_for(corrupt.unchanged_since),
+                ))
             }
             LeaseObject::Absent(_) => {
                 let lease = self.context.lease.borrow();
                 let renewed_at = lease.renewed_at?;
                 let era_began = self.era.and_then(|era| era.began_at).unwrap_or(renewed_at);
                 let since = self.own_last_renewal().unwrap_or(renewed_at.max(era_began));
-                Some(ObservedLease::of_lost_record(lease.fence, unchanged_for(since)))
+                Some(ObservedLease::without_valid_record(lease.fence, unchanged_for(since)))
             }
         }
     }
--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -172,7 +172,7 @@
 impl ObservedLease {
     /// A lease whose record is corrupt or missing. Its holder can't renew it any more, and acts
     /// until its last renewal is too old.
-    pub fn of_lost_record(fence: u64, unchanged_for: Duration) -> Self {
+    pub fn without_valid_record(fence: u64, unchanged_for: Duration) -> Self {
         Self { fence, owner: LeaseOwner::Other, released: false, unchanged_for }
     }
 }
