--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -170,8 +170,8 @@
 }
 
 impl ObservedLease {
-    /// A lease whose record is corrupt or missing. Its holder can't renew it any more, and acts
-    /// until its last renewal is too old.
+    /// A lease whose record is corrupt, missing or from before a renewal that the store has lost. The
+    /// last holder may act until its last renewal is too old.
     pub fn without_valid_record(fence: u64, unchanged_for: Duration) -> Self {
         Self { fence, owner: LeaseOwner::Other, released: false, unchanged_for }
     }
--- a/tests/gateway/foreign_lease.rs
+++ b/tests/gateway/foreign_lease.rs
@@ -1,7 +1,7 @@
-//! Another writer spoils the lease record, or removes it. No daemon could read it, so that none
-//! ever acquired the lease again: every write was made for a lease that did not exist yet, and
-//! found an object there. Usage reports and orders ended for good. The line that settled it, of each
-//! daemon, again and again:
+//! Another writer corrupts the lease record or removes it. Daemons that could not decode the record
+//! treated the lease as absent: each write was conditional on no object and failed, since there was
+//! one. So no daemon ever acquired the lease again, and usage reports and orders ended for good. Each
+//! daemon logged repeatedly:
 //!
 //!     lease record not decoded: missing field `holder`
 
@@ -36,7 +36,7 @@
     daemons
 }
 
-fn check(spoil: impl Fn(&PlatformStandin)) {
+fn check(corrupt: impl Fn(&PlatformStandin)) {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
     let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
@@ -44,7 +44,7 @@
     let _daemons = start_daemons(&platform);
     wait_for("a report", || reports(&platform).len() > 1);
     let former = fence(&platform).expect("a lease");
-    spoil(&platform);
+    corrupt(&platform);
     wait_for("another lease", || fence(&platform).is_some_and(|fence| fence > former));
     let sent = reports(&platform).len();
     wait_for("further reports", || reports(&platform).len() > sent + 1);
@@ -53,26 +53,26 @@
     expect_that!(all.last().expect("a report").fence, gt(former));
 }
 
-fn spoilt_by(record: Value) -> impl Fn(&PlatformStandin) {
+fn corrupt_with(record: Value) -> impl Fn(&PlatformStandin) {
     move |platform| {
         platform.put(KIND, NAME, record.clone());
     }
 }
 
 macro_rules! replaced {
-    ($($name:ident: $spoil:expr;)*) => {$(
+    ($($name:ident: $corrupt:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            check($spoil);
+            check($corrupt);
         }
     )*};
 }
 
 replaced! {
-    lease_that_is_empty: spoilt_by(json!({}));
-    lease_that_is_no_object: spoilt_by(json!("released"));
-    lease_with_fields_of_other_types: spoilt_by(json!({"holder": 5, "fence": "7"}));
-    lease_with_a_fence_out_of_range: spoilt_by(json!({
+    lease_that_is_empty: corrupt_with(json!({}));
+    lease_that_is_no_object: corrupt_with(json!("released"));
+    lease_with_fields_of_other_types: corrupt_with(json!({"holder": 5, "fence": "7"}));
+    lease_with_a_fence_out_of_range: corrupt_with(json!({
         "holder": "edge-9", "incarnation": 1, "fence": 1e30, "renewals": 0, "report": null,
     }));
     lease_that_was_removed: |platform: &PlatformStandin| platform.remove(KIND, NAME);
--- a/tests/gateway/serving.rs
+++ b/tests/gateway/serving.rs
@@ -97,8 +97,8 @@
 
 #[googletest::test]
 fn surplus_answer_goes_to_no_request() {
-    // Two endpoints: a surplus response that arrives after the next request was sent spoils that
-    // attempt, and the request has to be served by the other one.
+    // Two endpoints: a surplus response that arrives after the next request was sent makes that
+    // attempt fail, and the request has to be served by the other one.
     for manner in [EndpointManner::Surplus, EndpointManner::LateSurplus] {
         let site = Site::start(&[manner; 2]);
         for number in 0..4 {
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -89,7 +89,7 @@
     EndpointLink(usize, LinkState),
     EndpointConnectionsSilent(usize),
     Manner(usize, EndpointManner),
-    /// Another writer spoils the endpoint's entry.
+    /// Another writer replaces the endpoint's entry with one that no endpoint writes.
     ForeignEntry(usize, usize),
     NewConfigurations(u64),
 }
@@ -245,8 +245,8 @@
                 self.endpoints[place].set(EndpointManner::Serve);
             }
             Fault::ForeignEntry(place, entry) => {
-                let spoilt = serde_json::from_str(FOREIGN_ENTRIES[entry]).expect("JSON");
-                self.platform.put("servers", &self.endpoints[place].id, spoilt);
+                let foreign = serde_json::from_str(FOREIGN_ENTRIES[entry]).expect("JSON");
+                self.platform.put("servers", &self.endpoints[place].id, foreign);
                 thread::sleep(time);
                 self.write_entry(place);
             }
