--- a/src/gateway/policy/request/retry_after.rs
+++ b/src/gateway/policy/request/retry_after.rs
@@ -32,7 +32,7 @@
 /// Shortest time over which the retries of clients that wait for backed-off endpoints are spread.
 /// An endpoint gets a single request at first, and with 32 slots is fully used after five times its
 /// response time.
-const MIN_SPREAD: Duration = Duration::from_millis(500);
+const MIN_JITTER_RANGE: Duration = Duration::from_millis(500);
 
 /// Retry-after when no endpoint accepted a request. The retries of clients that wait for backed-off
 /// endpoints are spread over time, so that they don't all reach the first endpoint that is
@@ -47,8 +47,8 @@
         RoomForecast::Now => AT_ONCE,
         RoomForecast::Unknown => all_full(target),
         RoomForecast::Later { first, last } => {
-            let spread = last.saturating_duration_since(first).max(MIN_SPREAD);
-            first.saturating_duration_since(now) + spread.mul_f64(rng.random_range(0.0..1.0))
+            let jitter_range = last.saturating_duration_since(first).max(MIN_JITTER_RANGE);
+            first.saturating_duration_since(now) + jitter_range.mul_f64(rng.random_range(0.0..1.0))
         }
     }
 }
