--- a/src/gateway/policy/endpoint/endpoint_choice.rs
+++ b/src/gateway/policy/endpoint/endpoint_choice.rs
@@ -248,8 +248,8 @@
 }
 
 /// Candidates without a limit that don't fail more often than others, or all candidates if there
-/// are none. An affinity endpoint should be able to take all requests with its shared parts: one
-/// that it can't take, or fails, has to be prefilled again at another endpoint.
+/// are none. An affinity endpoint should be able to take all requests with its shared parts: a
+/// request that it can't take, or fails, has to be prefilled again at another endpoint.
 fn unrestricted<'a>(candidates: &[&'a EndpointStatus], now: Instant) -> Vec<&'a EndpointStatus> {
     let is_unrestricted =
         |status: &&&EndpointStatus| status.limit.is_none() && !status.failures.is_outlier(now);
--- a/src/gateway/policy/endpoint/endpoint_load.rs
+++ b/src/gateway/policy/endpoint/endpoint_load.rs
@@ -59,8 +59,8 @@
     }
 
     /// Estimates what a load reported `age` ago is now, at an endpoint that prefills `prefill_rate`
-    /// tokens per millisecond. Only the uncached tokens decrease: runs last longer than reports
-    /// count.
+    /// tokens per millisecond. Only the uncached tokens decrease: runs last longer than a report
+    /// is used.
     pub fn after(&self, age: Duration, prefill_rate: f64) -> Self {
         let read = (age.as_secs_f64() * MS_PER_S * prefill_rate) as u64;
         Self { uncached_tokens: self.uncached_tokens.saturating_sub(read), ..*self }
--- a/src/gateway/policy/endpoint/endpoint_pause.rs
+++ b/src/gateway/policy/endpoint/endpoint_pause.rs
@@ -7,7 +7,7 @@
 //! | refusal by a busy endpoint | short | as before |
 //! | refusal by an endpoint that seemed to have room | short, doubled each time | slow start |
 //! | failure, if it fails more often than others | the same, unless no other endpoint has room | slow start |
-//! | refusal or failure reported by another daemon | none, but one that began here starts again | slow start |
+//! | refusal or failure reported by another daemon | none, but a pause of this daemon starts again | slow start |
 //!
 //! Slow start: at first one request at a time is sent; the number doubles with each one that the
 //! endpoint has run, until it reaches the endpoint's slots. Without this, an endpoint that refuses
@@ -111,7 +111,7 @@
         pause
     }
 
-    /// The endpoint has refused a request.
+    /// Records that the endpoint has refused a request.
     pub fn refused(&mut self, kind: RefusalKind, now: Instant) {
         let span = match kind {
             RefusalKind::BackOff(backoff) => {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The endpoint has failed a request, and fails more often than others.
+    /// Records that the endpoint, which fails more often than others, has failed a request.
     pub fn failed(&mut self, now: Instant) {
         let span = self.next_pause(now);
         self.not_served_at = Some(now);
@@ -136,10 +136,10 @@
         self.begin_probe(ProbeCause::Failed, now);
     }
 
-    /// Another daemon reports that the endpoint refused or failed a request at `at`. If this daemon
-    /// has seen the same, its pause starts again at `at` and lasts `stretch` times as long (1 to 2,
-    /// random at each daemon). One daemon's request thus shows all others that the endpoint still
-    /// refuses.
+    /// Applies another daemon's report that the endpoint refused or failed a request at `at`. If it
+    /// also refused requests of this daemon without a known reason, or failed them, the pause here
+    /// starts again at `at` and lasts longer by `stretch`, a random factor of each daemon that at
+    /// most doubles it. One daemon's request thus shows all others that the endpoint still refuses.
     pub fn not_served_elsewhere(&mut self, at: Instant, stretch: f64) {
         if self.consecutive_failures > 0 {
             let again = Some(at + self.pause_length().mul_f64(stretch));
@@ -247,7 +247,7 @@
         Some(ProbePermit { window: self.newest_window })
     }
 
-    /// The endpoint, which has `slots` slots, has run a request.
+    /// Records that the endpoint, which has `slots` slots, has run a request.
     pub fn ran(&mut self, permit: Option<ProbePermit>, slots: u32, now: Instant) {
         self.ran_at = Some(now);
         let Some(probe) = self.window_of(permit) else { return };
@@ -260,7 +260,7 @@
         }
     }
 
-    /// A request has ended, and whether the endpoint took it is not known.
+    /// Records that a request has ended and that it is not known whether the endpoint took it.
     pub fn ended(&mut self, permit: Option<ProbePermit>) {
         if let Some(probe) = self.window_of(permit) {
             probe.waiting = probe.waiting.saturating_sub(1);
--- a/src/gateway/policy/endpoint/endpoint_table.rs
+++ b/src/gateway/policy/endpoint/endpoint_table.rs
@@ -147,7 +147,7 @@
         known.is_some_and(|status| status.record.is_same_start(endpoint))
     }
 
-    /// Whether an endpoint has reported when it started; once it has, all its entries do.
+    /// Whether the start time of an endpoint is known; once it has reported it, all its entries do.
     pub fn reports_start(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|status| status.record.born != 0)
     }
--- a/src/gateway/policy/endpoint/failure_rate.rs
+++ b/src/gateway/policy/endpoint/failure_rate.rs
@@ -37,14 +37,14 @@
 }
 
 impl FailureRate {
-    /// A request has succeeded.
+    /// Records that a request has succeeded.
     pub fn succeeded(&mut self, now: Instant) {
         self.decay(now);
         self.successes += 1.0;
     }
 
-    /// A request has failed; `others` are the failure fractions of the other endpoints of the
-    /// service.
+    /// Records that a request has failed; `others` are the failure fractions of the other endpoints
+    /// of the service.
     pub fn failed(&mut self, others: Vec<f64>, now: Instant) {
         self.decay(now);
         self.failures += 1.0;
--- a/src/gateway/policy/endpoint/load_reports.rs
+++ b/src/gateway/policy/endpoint/load_reports.rs
@@ -18,7 +18,7 @@
 /// Age above which loads of other daemons are ignored, since they have changed by then.
 const LOAD_KEPT: Duration = Duration::from_secs(2);
 /// Age at which a report is dropped with its totals of tokens sent: much longer than `LOAD_KEPT`,
-/// since the sum of the totals falls then.
+/// since the sum of all totals falls when one is dropped.
 const REPORT_KEPT: Duration = Duration::from_secs(20);
 
 /// The newest report of each source.
--- a/src/gateway/policy/endpoint/service_demand.rs
+++ b/src/gateway/policy/endpoint/service_demand.rs
@@ -16,7 +16,7 @@
 }
 
 impl DemandRate {
-    /// Updates the rate with the number of requests count until `now`.
+    /// Updates the rate with the number of requests counted until `now`.
     pub fn observe(&mut self, requests: u64, now: Instant) {
         let before = self.last_count.replace((requests, now));
         let Some((count, at)) = before else { return };
--- a/src/gateway/policy/endpoint/signal_ledger/active_signals.rs
+++ b/src/gateway/policy/endpoint/signal_ledger/active_signals.rs
@@ -7,8 +7,8 @@
 
 /// Reports of different daemons whose times differ by less may be about the same response: times
 /// are sent as ages, which are too small by the duration of the message, at most a gossip call's
-/// timeout. Without this tolerance, a daemon that gets its own report of a refusal back from a peer would
-/// treat it as a later refusal and report it again, without end.
+/// timeout. Without this tolerance, a daemon that gets its own report of a refusal back from a peer
+/// would treat it as a later refusal and report it again, without end.
 const REPORT_SKEW: Duration = Duration::from_millis(400);
 
 /// Limit in a response of an endpoint, or its absence.
--- a/src/gateway/policy/leader/endpoint_orders.rs
+++ b/src/gateway/policy/leader/endpoint_orders.rs
@@ -29,11 +29,11 @@
 /// Time in addition to the endpoints' start time after which an accepted order is sent again if the
 /// list still has another number: entries of new endpoints appear within about a heartbeat.
 const RESEND_DELAY: Duration = Duration::from_millis(2_500);
-/// Time for which fewer reclaimable endpoints must be planned before they are ordered: they are
-/// cheap, and a dip may be short.
+/// How long the plan has to hold fewer reclaimable endpoints before the lower number is ordered:
+/// they are cheap, and a dip may be short.
 const FEWER_RECLAIMABLE_AFTER: Duration = Duration::from_secs(4);
-/// Time for which fewer on-demand endpoints must be planned before they are ordered: they are
-/// expensive.
+/// How long the plan has to hold fewer on-demand endpoints before the lower number is ordered: they
+/// are expensive.
 const FEWER_ON_DEMAND_AFTER: Duration = Duration::from_millis(500);
 /// Weight of the newest observation in the averaged load: half of a change shows after about 1 s.
 const NEWEST_LOAD_WEIGHT: f64 = 0.3;
--- a/src/gateway/policy/leader/leader_lease.rs
+++ b/src/gateway/policy/leader/leader_lease.rs
@@ -3,12 +3,13 @@
 //! (`native::serve::planning::planner`), without a fence: its plans do no harm if two daemons hold
 //! it.
 //!
-//! The lease is an object in the store, written only at the revision that was read; its fence rises
-//! with every new holder. Clocks of daemons are never compared: each daemon measures with its own
-//! monotonic clock from the start of its call to the store, which is before the store's response.
-//! The holder acts for `ACTIVE_FRACTION` of the lease after a renewal, and its calls to the cloud
-//! time out after a second. Others acquire the lease only after they have seen the object unchanged
-//! for a whole lease and [`ACQUIRE_MARGIN`], so two holders can't act at the same time.
+//! The lease is an object in the store, written only at the revision that was read; its fence
+//! (fencing token) rises with every new holder. Clocks of daemons are never compared: each daemon
+//! measures with its own monotonic clock from the start of its call to the store, which is before
+//! the store's response. The holder acts for `ACTIVE_FRACTION` of the lease duration after a
+//! renewal, and its calls to the cloud time out after a second. Others acquire the lease only after
+//! they have seen the object unchanged for the lease duration and [`ACQUIRE_MARGIN`], so two
+//! holders can't act at the same time.
 //!
 //! A record that another writer has corrupted or removed is replaced like one that is no longer
 //! renewed, with a fence above all former ones. The fence of a removed record is known by gossip
@@ -16,10 +17,10 @@
 //!
 //! A store that was restored from a copy may have the record of a former holder, an older renewal,
 //! or no record. The last holder may still act, so such a record counts as lost, whatever its
-//! content: others wait the whole time from when they first see it. Each era of the store has its
-//! own range of fences, above those of all earlier eras, so that a lost fence is never used again,
-//! even if no daemon remembers it. The holder itself continues and overwrites the restored record,
-//! if its lease has not run out.
+//! content: others wait the lease duration and the margin from when they first see it. Each era of
+//! the store has its own range of fences, above those of all earlier eras, so that a lost fence is
+//! never used again, even if no daemon remembers it. The holder itself continues and overwrites the
+//! restored record, if its lease has not run out.
 //!
 //! Renewals are also reported by gossip, so that daemons other than the holder read the store only
 //! when these reports stop. If the object then still has the renewal that was reported last, it has
@@ -35,14 +36,14 @@
     store_position::{StoreEra, StorePosition},
 };
 
-/// Time that others wait in addition to the lease before they acquire it: the holder's last call
-/// has ended by then.
+/// Time that others wait in addition to the lease duration before they acquire it: the holder's
+/// last call has ended by then.
 pub const ACQUIRE_MARGIN: Duration = Duration::from_millis(400);
-/// Fraction of the lease after which its holder no longer acts without a renewal: leaves a second
-/// for the holder's last call.
+/// Fraction of the lease duration after which its holder no longer acts without a renewal: leaves a
+/// second for the holder's last call.
 const ACTIVE_FRACTION: f64 = 0.7;
-/// Fraction of the lease after which the holder renews it: leaves time for a second attempt while
-/// the holder may still act.
+/// Fraction of the lease duration after which the holder renews it: leaves time for a second
+/// attempt while the holder may still act.
 const RENEW_FRACTION: f64 = 0.35;
 /// Fence of the first holder: 0 means in gossip messages that no lease is known.
 const FIRST_FENCE: u64 = 1;
@@ -137,7 +138,7 @@
         self.renewed_at.filter(|_| is_newest)
     }
 
-    /// Whether the store has to be read, because no renewal was reported for a whole lease.
+    /// Whether the store has to be read, because no renewal was reported for the lease duration.
     pub fn is_renewal_overdue(&self, lease_duration: Duration, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < lease_duration;
         !self.renewed_at.is_some_and(is_recent)
@@ -170,8 +171,8 @@
 }
 
 impl ObservedLease {
-    /// A lease whose record is corrupt, missing or from before a renewal that the store has lost. The
-    /// last holder may act until its last renewal is too old.
+    /// A lease whose record is corrupt, missing or older than a renewal that the store has lost.
+    /// Its last holder may act until its last renewal is too old.
     pub fn without_valid_record(fence: u64, unchanged_for: Duration) -> Self {
         Self { fence, owner: LeaseOwner::Other, released: false, unchanged_for }
     }
--- a/src/gateway/policy/leader/reclaim_wave.rs
+++ b/src/gateway/policy/leader/reclaim_wave.rs
@@ -1,8 +1,8 @@
 //! Detects that the cloud reclaims all endpoints of a zone, which puts the other zones at risk.
 //!
-//! Reclaims come in waves, one zone after another within seconds, and replacements need the start
-//! time before they serve. Waiting for the next zone's notice would therefore be too late: after
-//! the first zone, reclaimable endpoints of all zones count as at risk for a while.
+//! Reclaims come in waves, one zone after another within seconds, and replacements serve only
+//! after the endpoints' start time. Waiting for the next zone's notice would therefore be too late:
+//! after the first zone, reclaimable endpoints of all zones count as at risk for a while.
 //!
 //! Inputs are the endpoints held in each zone whenever their list changes, up to a second old. All
 //! daemons observe them, so that a leader that takes over during a wave knows of it. The first
--- a/src/gateway/policy/leader/usage_reports.rs
+++ b/src/gateway/policy/leader/usage_reports.rs
@@ -18,13 +18,13 @@
 /// daemons' reports, since only they have the counts of the windows before its start: time for one
 /// report of every daemon, and another one.
 const REPORT_AGES_TO_WAIT: u32 = 2;
-/// Least time for which it reports none: ten gossip intervals, since it has to find the other
-/// daemons first.
+/// Shortest time after its start in which a daemon reports no usage: ten gossip intervals, since it
+/// has to find the other daemons first.
 const MIN_REPORT_AGE: Duration = Duration::from_secs(1);
 
-/// Ages at which a daemon requests the usage that others received before it started. At the lower
-/// bound it knows the members of its group; a fleet of one group has responded by `MIN_REPORT_AGE`,
-/// a large fleet by the upper bound.
+/// Times since its start between which a daemon requests the usage that others received before. At
+/// the lower bound it knows the members of its group; a fleet of one group has responded by
+/// `MIN_REPORT_AGE`, a large fleet by the upper bound.
 const FORMER_USAGE_AGES: Range<Duration> = Duration::from_millis(500)..Duration::from_millis(3_500);
 
 /// Number of the window to report at `now_ms` (milliseconds since 1970), if one is due.
@@ -43,13 +43,14 @@
     (window <= newest).then_some(window)
 }
 
-/// Whether a daemon of this age has received the counts of all others, if their reports may be
-/// `report_age` old.
+/// Whether a daemon that has run for `age` has received the counts of all others, if their reports
+/// may be `report_age` old.
 pub fn has_received_counts(age: Duration, report_age: Duration) -> bool {
     age >= (report_age * REPORT_AGES_TO_WAIT).max(MIN_REPORT_AGE)
 }
 
-/// Whether a daemon of this age requests the usage that others received before it started.
+/// Whether a daemon that has run for `age` requests the usage that others received before its
+/// start.
 pub fn requests_former_usage(age: Duration) -> bool {
     FORMER_USAGE_AGES.contains(&age)
 }
--- a/src/native/serve/listeners/admin.rs
+++ b/src/native/serve/listeners/admin.rs
@@ -63,7 +63,7 @@
     pub incarnation: IncarnationId,
     /// Availability zone.
     pub zone: SharedName,
-    /// Life phase.
+    /// Phase of its life, such as running or draining.
     pub phase: String,
     /// Requests in progress.
     pub active: usize,
@@ -75,7 +75,7 @@
     pub rows: Vec<(SharedName, u64)>,
     /// Members known to this daemon.
     pub members: Vec<MemberLine>,
-    /// Router.
+    /// State of the router.
     pub router: RouterStatus,
 }
 
--- a/src/native/serve/listeners/response.rs
+++ b/src/native/serve/listeners/response.rs
@@ -96,7 +96,7 @@
     }
     let watchers =
         context.requests.ask(|reply| RequestMessage::Watchers { name: name.clone(), reply });
-    // One watcher is the request's own driver.
+    // The task that runs the request (its driver) is one of the watchers.
     if watchers.await.is_ok_and(|watchers| watchers <= 1) {
         context.metrics.count("requests_cancelled", 1);
         // If the store is overloaded, the request runs to its end without a client.
--- a/src/native/serve/planning/planner.rs
+++ b/src/native/serve/planning/planner.rs
@@ -45,7 +45,7 @@
 pub const NAME: &str = "planner";
 const LEASE_KIND: &str = "leases";
 const PLAN_KIND: &str = "plans";
-/// Time between rounds.
+/// Time between two rounds of planning.
 const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between the planner's notice to a VM and its release: longer than a response with the most
 /// tokens usually takes.
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Gives notice to a VM on the planner's own decision. Its streams move off, and it is released
-    /// when the notice has expired.
+    /// Gives notice to a VM on the planner's own decision. Its streams leave it or finish there,
+    /// and it is released when the notice has expired.
     fn give_notice(&self, id: &SharedName) {
         let gone_at_ms = crate::wall_clock_ms() + RELEASE_NOTICE_MS;
         let notice = ReclaimNotice { sequence: 0, vm: id.clone(), gone_at_ms };
--- a/src/native/serve/planning/platform_watch.rs
+++ b/src/native/serve/planning/platform_watch.rs
@@ -31,10 +31,11 @@
 pub const NAME: &str = "platform-watch";
 /// Kind of the objects that hold the table's rows.
 pub const ROW_KIND: &str = "rows";
-/// Number of daemons of each availability zone that poll the platform: one may be lost.
+/// Number of daemons of each availability zone that poll the platform: with two, one may be
+/// lost.
 const WATCHERS: usize = 2;
-/// Time between checks whether this daemon is to poll: short compared with the time until a lost
-/// watcher is removed (5 s).
+/// Time between checks whether this daemon is to poll: short compared with the time until a daemon
+/// that polled and was lost is removed from the members (5 s).
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between reads of the VM list.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(2);
--- a/tests/gateway/foreign_lease.rs
+++ b/tests/gateway/foreign_lease.rs
@@ -1,7 +1,7 @@
 //! Another writer corrupts the lease record or removes it. Daemons that could not decode the record
 //! treated the lease as absent: each write was conditional on no object and failed, since there was
-//! one. So no daemon ever acquired the lease again, and usage reports and orders ended for good. Each
-//! daemon logged repeatedly:
+//! one. So no daemon ever acquired the lease again, and usage reports and orders ended for good.
+//! Each daemon logged repeatedly:
 //!
 //!     lease record not decoded: missing field `holder`
 
