--- a/src/gateway/policy/endpoint/service_demand.rs
+++ b/src/gateway/policy/endpoint/service_demand.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// Time over which demand is averaged. Reports of it are up to seconds old: with a shorter time,
-/// daemons whose demand rises suddenly would take shares that the others have not given up yet.
+/// daemons whose demand rises suddenly would use shares that the others are still using.
 const AVERAGING_TIME: Duration = Duration::from_secs(4);
 
 /// Demand of one daemon for one service.
@@ -16,7 +16,7 @@
 }
 
 impl DemandRate {
-    /// Updates the rate with the number of requests count until `now`.
+    /// Updates the rate with the number of requests counted until `now`.
     pub fn observe(&mut self, requests: u64, now: Instant) {
         let before = self.last_count.replace((requests, now));
         let Some((count, at)) = before else { return };
--- a/src/native/decide/routing.rs
+++ b/src/native/decide/routing.rs
@@ -50,7 +50,7 @@
     endpoints: BTreeMap<SharedName, EndpointRoute>,
     concurrency: u32,
     /// Number of daemons that share each endpoint.
-    sharing: f64,
+    daemons_per_endpoint: f64,
     probe_at: Option<Instant>,
 }
 
@@ -74,11 +74,11 @@
         service: &SharedName,
         infos: Vec<EndpointInfo>,
         concurrency: u32,
-        sharing: f64,
+        daemons_per_endpoint: f64,
     ) {
         let routes = self.services.entry(service.clone()).or_default();
         routes.concurrency = concurrency;
-        routes.sharing = sharing.max(1.0);
+        routes.daemons_per_endpoint = daemons_per_endpoint.max(1.0);
         let mut previous = std::mem::take(&mut routes.endpoints);
         for info in infos {
             let known = previous.remove(&info.id).filter(|route| route.info == info);
@@ -142,7 +142,7 @@
     /// Chooses an endpoint. The running time does not depend on the number of endpoints of the
     /// service, since a daemon uses only its window of them.
     pub fn pick(&self, query: RouteQuery<'_>, now: Instant, rng: &mut impl Rng) -> RouteChoice {
-        let Some(routes) = self.services.get(query.service) else { return RouteChoice::Nowhere };
+        let Some(routes) = self.services.get(query.service) else { return RouteChoice::NoEndpoint };
         let usable = |route: &&EndpointRoute| {
             !self.leaving.contains(&route.info.id) && !query.exclude.contains(&route.info.id)
         };
@@ -150,23 +150,22 @@
         let may_probe = routes.probe_at.is_none_or(|at| now >= at);
         let admitted = admit_by_health(&present, may_probe, now);
         let open = usable_fraction(query.priority);
-        let concurrency = f64::from(routes.concurrency) * open;
+        let slots = f64::from(routes.concurrency) * open;
         // Whatever the reported load of all daemons is, a daemon may always use an equal share
         // and, until the next report, as many slots as it used at the last one. Otherwise it could
         // not reuse the slots of its own ended requests until the next report.
-        let own_part = (concurrency / routes.sharing).floor().max(1.0);
+        let own_part = (slots / routes.daemons_per_endpoint).floor().max(1.0);
         let mut best: Option<(f64, &EndpointRoute)> = None;
         let mut busy = false;
         for route in admitted {
-            let load = route.load(routes.sharing);
-            if load >= concurrency
-                && f64::from(route.in_flight) >= (route.allowance * open).max(own_part)
+            let load = route.load(routes.daemons_per_endpoint);
+            if load >= slots && f64::from(route.in_flight) >= (route.allowance * open).max(own_part)
             {
                 busy = true;
                 continue;
             }
-            let wait = route.expected_wait(&self.zone, load, concurrency, query.chain)
-                + route.noise(routes.sharing, concurrency) * rng.random_range(0.0..1.0);
+            let wait = route.expected_wait(&self.zone, load, slots, query.chain)
+                + route.noise(routes.daemons_per_endpoint, slots) * rng.random_range(0.0..1.0);
             if best.is_none_or(|(shortest, _)| wait < shortest) {
                 best = Some((wait, route));
             }
@@ -178,7 +177,7 @@
                 cached_blocks: route.cache.overlap(query.chain),
             }),
             None if busy => RouteChoice::Busy,
-            None => RouteChoice::Nowhere,
+            None => RouteChoice::NoEndpoint,
         }
     }
 
--- a/tests/native/decisions/routing.rs
+++ b/tests/native/decisions/routing.rs
@@ -28,9 +28,14 @@
     }
 }
 
-fn routes(count: usize, sharing: f64) -> RouteTable {
+fn routes(count: usize, daemons_per_endpoint: f64) -> RouteTable {
     let mut routes = RouteTable::new("z0".into());
-    routes.set_endpoints(&"model".into(), (0..count).map(endpoint).collect(), 8, sharing);
+    routes.set_endpoints(
+        &"model".into(),
+        (0..count).map(endpoint).collect(),
+        8,
+        daemons_per_endpoint,
+    );
     routes
 }
 
@@ -47,7 +52,7 @@
 fn picked(choice: RouteChoice) -> Option<String> {
     match choice {
         RouteChoice::Endpoint(pick) => Some(pick.id.to_string()),
-        RouteChoice::Busy | RouteChoice::Nowhere => None,
+        RouteChoice::Busy | RouteChoice::NoEndpoint => None,
     }
 }
 
@@ -65,7 +70,7 @@
     let mut routes = routes(2, 1.0);
     routes.mark_leaving(&"vm-0".into());
     expect_that!(picked(pick(&routes, &[], &[])), some(eq("vm-1")));
-    expect_that!(pick(&routes, &[], &["vm-1".into()]), eq(&RouteChoice::Nowhere));
+    expect_that!(pick(&routes, &[], &["vm-1".into()]), eq(&RouteChoice::NoEndpoint));
     // The address returns as another VM, which is not leaving.
     let mut returned = endpoint(0);
     returned.id = "vm-9".into();
