--- a/tests/native/decisions.rs
+++ b/tests/native/decisions.rs
@@ -1,4 +1,5 @@
-//! The rules of the native path against naive or exhaustive versions, on the clock of numbers.
+//! Decision functions of the native path, checked without processes or network: against
+//! naive or exhaustive implementations where there are any, with instants passed in.
 
 mod fair_queue;
 mod fleet_size;
--- a/tests/native/decisions/fleet_size.rs
+++ b/tests/native/decisions/fleet_size.rs
@@ -1,4 +1,4 @@
-//! Numbers of VMs by availability zone and price class, and the planner's rounds.
+//! Numbers of VMs per availability zone and price class, and the actions of the planner.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -29,14 +29,15 @@
     FleetWeights { shortage, zone_loss, replace_hours: 1.0, reclaim }
 }
 
-fn count_of(counts: &BTreeMap<FleetPlace, usize>, class: PriceClass) -> usize {
+fn class_count(counts: &BTreeMap<FleetPlace, usize>, class: PriceClass) -> usize {
     counts.iter().filter(|(place, _)| place.class == class).map(|(_, count)| *count).sum()
 }
 
 proptest! {
-    /// Adding the best VM one by one, against all fleets there are.
+    /// The greedy choice, which adds the best VM one at a time, costs at most 2% more than the
+    /// best of all fleets of up to 5 VMs per zone and price class.
     #[test]
-    fn fleet_choice_is_near_the_best(
+    fn greedy_fleet_costs_at_most_2_percent_above_the_optimum(
         need in 0.5_f64..4.0,
         first in 0.1_f64..0.9,
         second in 0.1_f64..0.9,
@@ -59,25 +60,26 @@
             }
             best = best.min(expected_cost(need, &counts, &prices, &weights));
         }
-        prop_assert!(cost <= best * 1.02 + 1e-9, "{cost} {best} {chosen:?}");
+        prop_assert!(cost <= best * 1.02 + 1e-9, "cost {cost}, optimum {best}, chosen {chosen:?}");
     }
 }
 
-/// The weights are settings, and they change the decision: where recomputed tokens weigh
-/// much, VMs that stay are worth their price; where cost weighs more, they are not.
+/// Guards against a recompute weight without effect: with a high weight of recomputed
+/// tokens, on-demand VMs are worth their price; with a low one, reclaimable VMs are cheaper.
 #[googletest::test]
 fn recompute_weight_changes_the_fleet() {
     let prices = prices(1.0, [0.3, 0.3]);
     let held = HashMap::new();
     let light = choose_counts(6.0, &prices, &held, &fleet_weights(20.0, 0.05, 0.5), 100);
     let heavy = choose_counts(6.0, &prices, &held, &fleet_weights(20.0, 0.05, 30.0), 100);
-    expect_that!(count_of(&light, PriceClass::OnDemand), eq(0));
-    expect_that!(count_of(&heavy, PriceClass::Reclaimable), eq(0));
-    expect_that!(count_of(&heavy, PriceClass::OnDemand), ge(6));
+    expect_that!(class_count(&light, PriceClass::OnDemand), eq(0));
+    expect_that!(class_count(&heavy, PriceClass::Reclaimable), eq(0));
+    expect_that!(class_count(&heavy, PriceClass::OnDemand), ge(6));
 }
 
+/// Guards against VMs that move between zones at each small change of price.
 #[googletest::test]
-fn small_change_of_price_moves_nothing() {
+fn small_price_change_keeps_the_fleet() {
     let weights = fleet_weights(20.0, 0.05, 0.5);
     let before = choose_counts(6.0, &prices(1.0, [0.30, 0.31]), &HashMap::new(), &weights, 100);
     let held: HashMap<FleetPlace, usize> = before.clone().into_iter().collect();
@@ -101,9 +103,11 @@
     }
 }
 
-/// In a wave nothing is released, and refused starts are tried in other places.
+/// During a wave of reclaims no VM is released, and starts that the cloud has refused are
+/// tried in other zones or price classes. Guards against a fleet that shrinks while capacity
+/// is short, or that repeats starts which were just refused.
 #[googletest::test]
-fn wave_holds_capacity_and_tries_other_places() {
+fn wave_of_reclaims_keeps_vms_and_starts_go_to_other_places() {
     let mut planner = FleetPlanner::default();
     let prices = prices(1.0, [0.3, 0.3]);
     let now = Instant::now();
@@ -125,23 +129,23 @@
         let FleetAction::Start { place, .. } = action else { continue };
         expect_false!(places.contains(place));
     }
-    // Demand falls at once: what is held stays, for the wave and for some time after.
-    let quiet = service_fleet(0.1, (1..6).map(|number| held_vm(number, "b", false)).collect());
-    expect_that!(planner.decide(&quiet, &prices, now + millis(400_000)), is_empty());
-    planner.decide(&quiet, &prices, now + millis(700_000));
-    let released = planner.decide(&quiet, &prices, now + millis(1_100_000));
+    // Demand drops at once: the VMs are kept during the wave and for some time after it.
+    let low_demand = service_fleet(0.1, (1..6).map(|number| held_vm(number, "b", false)).collect());
+    expect_that!(planner.decide(&low_demand, &prices, now + millis(400_000)), is_empty());
+    planner.decide(&low_demand, &prices, now + millis(700_000));
+    let released = planner.decide(&low_demand, &prices, now + millis(1_100_000));
     expect_that!(released, elements_are![pat!(FleetAction::Release { id: anything() })]);
 }
 
-/// Two planners that do not know of each other ask for the same names, so that the cloud
-/// starts each VM once.
+/// Two planners with the same data and without contact to each other choose the same VM
+/// names, so that the cloud starts each VM once.
 #[googletest::test]
 fn two_planners_choose_the_same_names() {
     let prices = prices(1.0, [0.3, 0.4]);
     let now = Instant::now();
-    let view = || service_fleet(5.0, vec![held_vm(1, "b", false)]);
-    let first = FleetPlanner::default().decide(&view(), &prices, now);
-    let second = FleetPlanner::default().decide(&view(), &prices, now);
+    let fleet = || service_fleet(5.0, vec![held_vm(1, "b", false)]);
+    let first = FleetPlanner::default().decide(&fleet(), &prices, now);
+    let second = FleetPlanner::default().decide(&fleet(), &prices, now);
     expect_that!(first.len(), ge(3));
     expect_that!(second, eq(&first));
 }
--- a/tests/native/decisions/limits.rs
+++ b/tests/native/decisions/limits.rs
@@ -1,4 +1,4 @@
-//! Quotas of client accounts over several daemons, and priorities.
+//! Rate limits of client accounts across several daemons, and request priorities.
 
 use std::rc::Rc;
 
@@ -12,9 +12,8 @@
 
 use super::millis;
 
-/// Several limiters that exchange averages as the daemons do; returns the tokens a
-/// second admitted in the last part of the run.
-struct LimitPlay {
+/// Simulation of several limiters that exchange averages as the daemons do.
+struct LimitSimulation {
     limiters: Vec<AccountLimiter>,
     averagings: Vec<DemandAveraging>,
     order: Rc<AccountOrder>,
@@ -23,7 +22,7 @@
     rng: SmallRng,
 }
 
-impl LimitPlay {
+impl LimitSimulation {
     fn new(daemons: usize) -> Self {
         Self {
             limiters: (0..daemons).map(|_| AccountLimiter::default()).collect(),
@@ -60,10 +59,11 @@
         }
     }
 
-    /// Runs for a time; `offered` tells the tokens a second each daemon is asked for.
+    /// Runs for `length_ms` and returns the tokens per second that all daemons together
+    /// admitted; `offered` gives the tokens per second requested from each daemon.
     fn run(&mut self, length_ms: u64, limit: f64, offered: impl Fn(usize) -> f64) -> f64 {
         const REQUEST: f64 = 10.0;
-        let mut owed = vec![0.0; self.limiters.len()];
+        let mut outstanding = vec![0.0; self.limiters.len()];
         let mut admitted = 0.0;
         let until = self.now_ms + length_ms;
         while self.now_ms < until {
@@ -73,9 +73,9 @@
             }
             let now = self.now();
             for (index, limiter) in self.limiters.iter_mut().enumerate() {
-                owed[index] += offered(index) / 100.0;
-                while owed[index] >= REQUEST {
-                    owed[index] -= REQUEST;
+                outstanding[index] += offered(index) / 100.0;
+                while outstanding[index] >= REQUEST {
+                    outstanding[index] -= REQUEST;
                     let verdict = limiter.admit(&"reader".into(), 1.0, REQUEST, limit, now);
                     if matches!(verdict, LimitVerdict::Admitted(_)) {
                         admitted += REQUEST;
@@ -87,37 +87,43 @@
     }
 }
 
+/// Guards against a limit that is exceeded or not reached because daemons get unequal load.
 #[googletest::test]
-fn limit_holds_over_uneven_daemons() {
-    let mut play = LimitPlay::new(8);
-    // Half of the load comes to one daemon.
+fn limit_holds_when_load_is_uneven_across_daemons() {
+    let mut simulation = LimitSimulation::new(8);
+    // One of the daemons gets half of the load.
     let offered = |index: usize| if index == 0 { 4_000.0 } else { 4_000.0 / 7.0 };
-    play.run(8_000, 1_000.0, offered);
-    let rate = play.run(10_000, 1_000.0, offered);
+    simulation.run(8_000, 1_000.0, offered);
+    let rate = simulation.run(10_000, 1_000.0, offered);
     expect_that!(rate, all!(gt(950.0), lt(1_050.0)));
 }
 
+/// Guards against daemons that keep to the old limit after an edit under load: 4 s after
+/// the edit the new one holds.
 #[googletest::test]
-fn limit_edited_in_a_burst_holds_soon() {
-    let mut play = LimitPlay::new(8);
+fn limit_edited_under_load_holds_after_4_seconds() {
+    let mut simulation = LimitSimulation::new(8);
     let offered = |index: usize| if index < 2 { 3_000.0 } else { 100.0 };
-    play.run(10_000, 1_000.0, offered);
-    play.run(4_000, 2_000.0, offered);
-    let rate = play.run(10_000, 2_000.0, offered);
+    simulation.run(10_000, 1_000.0, offered);
+    simulation.run(4_000, 2_000.0, offered);
+    let rate = simulation.run(10_000, 2_000.0, offered);
     expect_that!(rate, all!(gt(1_900.0), lt(2_100.0)));
 }
 
+/// Guards against fixed equal shares, under which a daemon with all the load could use only
+/// an eighth of the limit.
 #[googletest::test]
-fn unused_share_is_lent() {
-    let mut play = LimitPlay::new(8);
+fn unused_share_of_a_daemon_goes_to_the_others() {
+    let mut simulation = LimitSimulation::new(8);
     let offered = |index: usize| if index == 0 { 900.0 } else { 0.0 };
-    play.run(8_000, 1_000.0, offered);
-    // One daemon gets nearly the whole limit, since the others want nothing.
-    expect_that!(play.run(10_000, 1_000.0, offered), gt(870.0));
+    simulation.run(8_000, 1_000.0, offered);
+    // One daemon gets nearly the whole limit, since the others have no demand.
+    expect_that!(simulation.run(10_000, 1_000.0, offered), gt(870.0));
 }
 
+/// Guards against a `retry-after` that is too short, so that the client is refused again.
 #[googletest::test]
-fn refused_caller_is_told_a_time_after_which_there_is_room() {
+fn request_is_admitted_after_the_returned_wait() {
     let mut limiter = AccountLimiter::default();
     let now = Instant::now();
     let account = "reader".into();
@@ -131,20 +137,22 @@
     expect_that!(verdict, pat!(LimitVerdict::Admitted(anything())));
 }
 
+/// Guards against a burst of one account that gets the same priority as accounts within
+/// their share.
 #[googletest::test]
-fn account_over_its_share_waits_for_the_others() {
+fn account_over_its_share_gets_low_priority() {
     let mut limiter = AccountLimiter::default();
     let now = Instant::now();
-    let mut ask = |account: &str, weight: f64, tokens: f64| {
+    let mut admit = |account: &str, weight: f64, tokens: f64| {
         limiter.admit(&account.into(), weight, tokens, 1e9, now)
     };
-    let alone = ask("press", 1.0, 500.0);
+    let alone = admit("press", 1.0, 500.0);
     expect_that!(alone, eq(LimitVerdict::Admitted(RequestPriority::Normal)));
-    let quiet = ask("reader", 1.0, 100.0);
+    let quiet = admit("reader", 1.0, 100.0);
     expect_that!(quiet, eq(LimitVerdict::Admitted(RequestPriority::Normal)));
-    let burst = ask("press", 1.0, 500.0);
+    let burst = admit("press", 1.0, 500.0);
     expect_that!(burst, eq(LimitVerdict::Admitted(RequestPriority::Low)));
     // The same demand is within the share of an account of more weight.
-    let heavy = ask("press", 20.0, 500.0);
+    let heavy = admit("press", 20.0, 500.0);
     expect_that!(heavy, eq(LimitVerdict::Admitted(RequestPriority::Normal)));
 }
--- a/tests/native/decisions/reclaim.rs
+++ b/tests/native/decisions/reclaim.rs
@@ -1,4 +1,5 @@
-//! Plans for the streams of a VM that is reclaimed.
+//! Plans that decide for each stream of a reclaimed VM whether it finishes there, moves or
+//! resumes elsewhere.
 
 use proptest::{collection::vec, prelude::*};
 use willowarch::{
@@ -19,7 +20,7 @@
     }
 }
 
-/// Cost of a plan by the rules, or `None` if it does not fit into the notice.
+/// Cost of a plan by the cost model, or `None` if it takes longer than the notice allows.
 fn plan_cost(streams: &[LeavingStream], ways: &[ReclaimWay], notice_ms: f64) -> Option<f64> {
     let usable_ms = notice_ms * 0.85;
     let mut link_ms = 0.0;
@@ -59,9 +60,10 @@
 }
 
 proptest! {
-    /// Against all plans there are: close to the best, and never worse than resuming all.
+    /// Compared with all possible plans: the cost is within one stream of the optimum and never
+    /// above that of resuming all streams.
     #[test]
-    fn reclaim_plan_is_near_the_best(
+    fn reclaim_plan_is_within_one_stream_of_the_optimum(
         shapes in vec((50_usize..3_000, 0_usize..500, 1_usize..400), 1..7),
         notice_ms in 200.0_f64..3_000.0,
     ) {
@@ -74,10 +76,11 @@
             .collect();
         let ways: Vec<ReclaimWay> =
             plan_reclaim(&streams, notice_ms, &WEIGHTS).into_iter().map(|(_, way)| way).collect();
-        let cost = plan_cost(&streams, &ways, notice_ms).expect("the plan fits the notice");
+        let cost = plan_cost(&streams, &ways, notice_ms).expect("the plan fits into the notice");
         let resume_all = plan_cost(&streams, &vec![ReclaimWay::Resume; ways.len()], notice_ms);
-        prop_assert!(cost <= resume_all.expect("resuming always fits"));
-        // Filling the link by density may leave a gap as large as one stream.
+        prop_assert!(cost <= resume_all.expect("resuming all streams always fits into the notice"));
+        // Choosing streams by saved cost per link time may leave link time unused that is as
+        // long as one stream takes.
         let largest = streams.iter().map(|stream| stream.prompt_tokens + stream.produced).max();
         let gap = largest.unwrap_or(0) as f64 * (WEIGHTS.recompute + WEIGHTS.prefill_ms);
         prop_assert!(cost <= best_cost(&streams, notice_ms) + gap);
--- a/tests/native/decisions/retries.rs
+++ b/tests/native/decisions/retries.rs
@@ -1,12 +1,13 @@
-//! Retry budget.
+//! Budget that limits retries to a share of first attempts.
 
 use proptest::{collection::vec, prelude::*};
 use willowarch::native::decide::retries::RetryBucket;
 
 proptest! {
-    /// Retries stay a tenth of first attempts, beyond the reserve.
+    /// Guards against retry storms: retries are at most a tenth of first attempts plus the
+    /// reserve of 10.
     #[test]
-    fn retry_budget_is_a_share(events in vec(any::<bool>(), 1..400)) {
+    fn retries_are_at_most_a_tenth_of_first_attempts_plus_reserve(events in vec(any::<bool>(), 1..400)) {
         let mut budget = RetryBucket::default();
         let (mut firsts, mut retries) = (0.0, 0.0);
         for is_first in events {
--- a/tests/native/decisions/routing.rs
+++ b/tests/native/decisions/routing.rs
@@ -1,4 +1,5 @@
-//! Choice of endpoints: prompts' prefixes, load, health, and the window of a daemon.
+//! Choice of endpoints by cached prompt prefix, load and health, and each daemon's window
+//! (its subset of the endpoints).
 
 use googletest::prelude::*;
 use proptest::{collection::vec, prelude::*};
@@ -51,8 +52,10 @@
     }
 }
 
+/// Guards against prompts that are computed again because a request goes to an engine that
+/// does not have their prefix cached.
 #[googletest::test]
-fn prefix_draws_a_request_to_its_engine() {
+fn request_goes_to_the_engine_with_its_prefix_cached() {
     let mut routes = routes(4, 1.0);
     let chain = prefix_chain(&"word ".repeat(400));
     routes.started("model", "vm-2", &chain, Instant::now());
@@ -66,15 +69,15 @@
     routes.mark_leaving(&"vm-0".into());
     expect_that!(picked(pick(&routes, &[], &[])), some(eq("vm-1")));
     expect_that!(pick(&routes, &[], &["vm-1".into()]), eq(&RouteChoice::Nowhere));
-    // The address returns as another VM, which is not leaving.
-    let mut returned = endpoint(0);
-    returned.id = "vm-9".into();
-    routes.set_endpoints(&"model".into(), vec![returned], 8, 1.0);
+    // Another VM, which is not leaving, now has the same address.
+    let mut successor = endpoint(0);
+    successor.id = "vm-9".into();
+    routes.set_endpoints(&"model".into(), vec![successor], 8, 1.0);
     expect_that!(picked(pick(&routes, &[], &[])), some(eq("vm-9")));
 }
 
 #[googletest::test]
-fn full_endpoints_are_busy() {
+fn endpoint_without_free_slots_is_busy() {
     let mut routes = routes(1, 1.0);
     for _ in 0..8 {
         routes.started("model", "vm-0", &[], Instant::now());
@@ -100,9 +103,10 @@
     expect_that!(health.state(later), eq(HealthState::Healthy));
 }
 
-/// Not more than half are ejected: all failing at once says more about the load.
+/// At most half of the endpoints are ejected: if more fail at once, the cause is probably
+/// the load and not the endpoints.
 #[googletest::test]
-fn ejection_has_a_floor() {
+fn at_most_half_of_the_endpoints_are_ejected() {
     let mut routes = routes(4, 1.0);
     for vm in ["vm-0", "vm-1", "vm-2"] {
         for _ in 0..3 {
@@ -115,9 +119,10 @@
 }
 
 proptest! {
-    /// Each endpoint is covered evenly, whatever the numbers.
+    /// Every endpoint is in the window of at least one daemon, and no endpoint is in many more
+    /// windows than the mean, for all numbers of daemons and endpoints.
     #[test]
-    fn windows_cover_evenly(daemons in 1_usize..200, endpoints in 1_usize..400) {
+    fn windows_cover_endpoints_evenly(daemons in 1_usize..200, endpoints in 1_usize..400) {
         let mut covered = vec![0_usize; endpoints];
         for rank in 0..daemons {
             let indexes: Vec<usize> = window(rank, daemons, endpoints).collect();
@@ -128,12 +133,12 @@
         }
         let (least, most) = (covered.iter().min().unwrap(), covered.iter().max().unwrap());
         let mean = window_size(daemons, endpoints) * daemons / endpoints;
-        prop_assert!(*least >= 1 && *most <= mean + mean / 2 + 2, "{least} {most} {mean}");
+        prop_assert!(*least >= 1 && *most <= mean + mean / 2 + 2, "windows per endpoint: least {least}, most {most}, mean {mean}");
     }
 
-    /// The cache never holds more than it may, and knows what was just inserted.
+    /// The cache never exceeds its capacity, and finds the chain that was inserted last.
     #[test]
-    fn prefix_cache_is_bounded(chains in vec(vec(0_u64..500, 1..30), 1..50)) {
+    fn prefix_cache_stays_within_its_capacity(chains in vec(vec(0_u64..500, 1..30), 1..50)) {
         let mut cache = PrefixCache::new(64);
         for chain in chains {
             cache.insert(&chain);
