--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -104,10 +104,10 @@
 }
 
 fn measure_partition(fleet: &mut InMemoryFleet, version: u64) -> f64 {
-    fleet.cut_zone = Some(1);
+    fleet.partitioned_zone = Some(1);
     fleet.inject(0, account_row(version));
     fleet.run_until(fleet.now() + Duration::from_secs(10));
-    fleet.cut_zone = None;
+    fleet.partitioned_zone = None;
     let from = fleet.now();
     let until = from + Duration::from_secs(120);
     let found = fleet.run_until_holds(until, |fleet| all_nodes_hold(fleet, version));
@@ -123,7 +123,7 @@
             let mut fleet = InMemoryFleet::new(size, ZONES, seed as u64);
             fleet.introduce_all();
             fleet.run_until(Duration::from_secs(3));
-            fleet.freeze(size / 2, Duration::from_secs(seconds));
+            fleet.suspend(size / 2, Duration::from_secs(seconds));
             fleet.run_until(Duration::from_secs(20));
             removed += usize::from(fleet.removals() > 0);
         }
--- a/tests/native/cluster_model.rs
+++ b/tests/native/cluster_model.rs
@@ -70,7 +70,7 @@
     let mut fleet = InMemoryFleet::new(16, 4, seed);
     fleet.introduce_all();
     fleet.run_until(seconds(3));
-    fleet.freeze(5, Duration::from_millis(millis));
+    fleet.suspend(5, Duration::from_millis(millis));
     fleet.run_until(seconds(20));
     expect_that!(fleet.removals(), eq(0));
     expect_true!(fleet.agrees());
@@ -86,7 +86,7 @@
     let mut fleet = InMemoryFleet::new(16, 4, 3);
     fleet.introduce_all();
     fleet.run_until(seconds(3));
-    fleet.freeze(5, seconds(20));
+    fleet.suspend(5, seconds(20));
     fleet.run_until(seconds(15));
     let frozen = fleet.nodes[5].core.own();
     let present = fleet.nodes[0].core.members().get(frozen).is_some_and(|view| view.is_present());
@@ -127,14 +127,14 @@
     fleet.introduce_all();
     fleet.inject(0, row("reader", 1.0, 5));
     fleet.run_until(seconds(3));
-    fleet.cut_zone = Some(1);
+    fleet.partitioned_zone = Some(1);
     fleet.inject(0, row("reader", 2.0, 7));
     fleet.inject(1, row("press", 3.0, 6));
     fleet.run_until(seconds(3 + cut_seconds));
     expect_that!(version_at(&fleet, 1, "reader"), some(eq(5)));
     expect_that!(version_at(&fleet, 2, "reader"), some(eq(7)));
     expect_that!(version_at(&fleet, 5, "press"), some(eq(6)));
-    fleet.cut_zone = None;
+    fleet.partitioned_zone = None;
     let until = fleet.now() + seconds(60);
     let healed = fleet.run_until_holds(until, |fleet| {
         fleet.agrees() && in_force(fleet, "reader", 7) && in_force(fleet, "press", 6)
--- a/tests/native/in_memory_fleet.rs
+++ b/tests/native/in_memory_fleet.rs
@@ -53,7 +53,7 @@
     pub traffic: NodeTraffic,
     address: SharedName,
     up: bool,
-    frozen_until: Duration,
+    suspended_until: Duration,
 }
 
 #[derive(Debug)]
@@ -73,7 +73,7 @@
     /// Share of messages that are lost.
     pub loss: f64,
     /// Zone that is cut off from the others.
-    pub cut_zone: Option<usize>,
+    pub partitioned_zone: Option<usize>,
     by_address: HashMap<SharedName, usize>,
     queue: BinaryHeap<Reverse<QueueEntry>>,
     events: HashMap<u64, NodeEvent>,
@@ -89,7 +89,7 @@
             now: Duration::ZERO,
             nodes: Vec::new(),
             loss: 0.0,
-            cut_zone: None,
+            partitioned_zone: None,
             by_address: HashMap::new(),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
@@ -109,8 +109,8 @@
         let core = self.new_core(zone, &address);
         self.by_address.insert(address.clone(), index);
         let traffic = NodeTraffic::default();
-        let frozen_until = Duration::ZERO;
-        self.nodes.push(FleetNode { core, zone, traffic, address, up: true, frozen_until });
+        let suspended_until = Duration::ZERO;
+        self.nodes.push(FleetNode { core, zone, traffic, address, up: true, suspended_until });
         let jitter = Duration::from_micros(self.rng.random_range(0..50_000));
         self.schedule(self.now + jitter, index, NodeEvent::Tick);
         index
@@ -180,8 +180,8 @@
     }
 
     /// Freezes a node for a time.
-    pub fn freeze(&mut self, index: usize, length: Duration) {
-        self.nodes[index].frozen_until = self.now + length;
+    pub fn suspend(&mut self, index: usize, length: Duration) {
+        self.nodes[index].suspended_until = self.now + length;
     }
 
     /// Has a node learn an item from outside.
@@ -229,8 +229,8 @@
         if !node.up {
             return;
         }
-        if node.frozen_until > self.now {
-            let thawed_at = node.frozen_until;
+        if node.suspended_until > self.now {
+            let thawed_at = node.suspended_until;
             self.schedule(thawed_at, index, event);
             return;
         }
@@ -254,7 +254,7 @@
 
     fn reaches(&mut self, from: usize, to: usize) -> bool {
         let cut = self
-            .cut_zone
+            .partitioned_zone
             .is_some_and(|zone| (self.nodes[from].zone == zone) != (self.nodes[to].zone == zone));
         let lost = self.loss > 0.0 && self.rng.random_range(0.0..1.0) < self.loss;
         self.nodes[to].up && !cut && !lost
@@ -286,7 +286,7 @@
 
     fn greet(&mut self, from: usize, address: &SharedName) {
         let Some(to) = self.by_address.get(address).copied() else { return };
-        if !self.reaches(from, to) || self.nodes[to].frozen_until > self.now {
+        if !self.reaches(from, to) || self.nodes[to].suspended_until > self.now {
             return;
         }
         self.count(from, to, 100);
@@ -307,7 +307,7 @@
         let Some((to, same)) = self.find(target) else { return };
         let refused = !self.nodes[to].up;
         self.count(from, to, 16);
-        let answers = self.reaches(from, to) && self.nodes[to].frozen_until <= self.now;
+        let answers = self.reaches(from, to) && self.nodes[to].suspended_until <= self.now;
         let incarnation = target.incarnation;
         let (wait, event) = if !answers {
             let wait = if refused { self.delay() } else { PROBE_LIMIT };
@@ -326,10 +326,11 @@
         for helper in helpers {
             let Some((helper, _)) = self.find(helper) else { continue };
             self.count(from, helper, 40);
-            let there = self.reaches(from, helper) && self.nodes[helper].frozen_until <= self.now;
+            let there =
+                self.reaches(from, helper) && self.nodes[helper].suspended_until <= self.now;
             if there {
                 self.count(helper, to, 16);
-                let frozen = self.nodes[to].frozen_until > self.now;
+                let frozen = self.nodes[to].suspended_until > self.now;
                 alive |= self.reaches(helper, to) && !frozen && same;
             }
         }
@@ -357,7 +358,7 @@
     fn synchronize(&mut self, from: usize, target: &PeerTarget) {
         let Some((to, same)) = self.find(target) else { return };
         self.count(from, to, BUCKETS as u64 * 8);
-        if !same || !self.reaches(from, to) || self.nodes[to].frozen_until > self.now {
+        if !same || !self.reaches(from, to) || self.nodes[to].suspended_until > self.now {
             return;
         }
         let (own, their) = (self.nodes[from].core.items(), self.nodes[to].core.items());
