--- a/tests/native/bad_input.rs
+++ b/tests/native/bad_input.rs
@@ -107,7 +107,7 @@
 fn key_reused_with_another_body_is_refused() {
     let deployment = Deployment::start(Layout::default());
     let first = stream(deployment.caller(0), "k-same", &completion("one", 3), 0, |_| {});
-    expect_true!(first.whole);
+    expect_true!(first.complete);
     for daemon in 0..3 {
         let other = stream(deployment.caller(daemon), "k-same", &completion("two", 3), 0, |_| {});
         expect_that!(other.status, eq(422), "daemon {daemon}");
@@ -131,7 +131,7 @@
         let _ = socket.read_to_end(&mut answer);
     }
     let after = stream(deployment.caller(0), "k-after", &completion("still", 3), 0, |_| {});
-    expect_true!(after.whole);
+    expect_true!(after.complete);
 }
 
 cases!(garbage_leaves_the_port_working:
--- a/tests/native/fleet_planning.rs
+++ b/tests/native/fleet_planning.rs
@@ -50,7 +50,8 @@
         // Two patiences: the old lease has to be seen unchanged first.
         if listed(&deployment, "model") < 4 {
             let started = std::time::Instant::now();
-            while listed(&deployment, "model") < 4 && started.elapsed() < crate::harness::PATIENCE {
+            while listed(&deployment, "model") < 4 && started.elapsed() < crate::harness::WAIT_LIMIT
+            {
                 std::thread::sleep(std::time::Duration::from_millis(100));
             }
         }
@@ -77,7 +78,7 @@
     let set = deployment.control(&["table", "set", "service.model", "min_vms=2", "max_vms=2"]);
     expect_that!(set.0, eq(0), "{}", set.1);
     // The answer of a write of the planner is lost on the way.
-    deployment.fault(deployment.platform_address(), json!({ "lose_answers": 1 }));
+    deployment.set_faults(deployment.platform_address(), json!({ "lose_answers": 1 }));
     let order = json!({ "vm": "vm-0", "seconds": 30.0 });
     crate::harness::post(deployment.platform_address(), "/reclaim", &[], &order.to_string());
     eventually("a VM takes its place", || (listed(&deployment, "model") == 2).then_some(()));
--- a/tests/native/harness.rs
+++ b/tests/native/harness.rs
@@ -23,7 +23,7 @@
     http_client::{
         Answer, Stream, completion, expected, get_text, post, stream, try_get, try_post,
     },
-    test_process::{PATIENCE, TestProcess, eventually},
+    test_process::{TestProcess, WAIT_LIMIT, eventually},
 };
 
 static NEXT_BLOCK: AtomicU8 = AtomicU8::new(1);
@@ -234,7 +234,7 @@
     }
 
     /// Throws fault switches at a stand-in.
-    pub fn fault(&self, address: SocketAddr, switches: Value) {
+    pub fn set_faults(&self, address: SocketAddr, switches: Value) {
         post(address, "/faults", &[], &switches.to_string());
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// What all plain endpoints have run, by request id; the most runs of any one.
-    pub fn most_runs(&self) -> u32 {
+    pub fn max_runs_per_request(&self) -> u32 {
         let plain = self.layout.engines..self.layout.engines + self.layout.plain;
         let mut runs = std::collections::HashMap::<String, u32>::new();
         for index in plain {
--- a/tests/native/harness/http_client.rs
+++ b/tests/native/harness/http_client.rs
@@ -7,12 +7,12 @@
 
 use serde_json::{Value, json};
 
-use super::PATIENCE;
+use super::WAIT_LIMIT;
 
 fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE * 3))
+        .timeout_global(Some(WAIT_LIMIT * 3))
         .build();
     config.into()
 }
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 pub struct Stream {
     pub tokens: Vec<String>,
-    pub whole: bool,
+    pub complete: bool,
     pub status: u16,
 }
 
@@ -90,7 +90,7 @@
         let Ok(line) = line else { return stream };
         let Some(data) = line.strip_prefix("data: ") else { continue };
         if data == "[DONE]" {
-            stream.whole = true;
+            stream.complete = true;
             return stream;
         }
         let value: Value = serde_json::from_str(data).unwrap_or_default();
--- a/tests/native/harness/test_process.rs
+++ b/tests/native/harness/test_process.rs
@@ -8,7 +8,7 @@
 use super::process_usage;
 
 /// Longest wait for something that takes a moment.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
 /// One process, killed when dropped.
 pub struct TestProcess {
@@ -67,7 +67,7 @@
         if let Some(found) = look() {
             return found;
         }
-        assert!(started_at.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(started_at.elapsed() < WAIT_LIMIT, "not in time: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/tests/native/promises.rs
+++ b/tests/native/promises.rs
@@ -39,20 +39,20 @@
 ) -> Stream {
     let body = completion("moon over the mill", tokens);
     for round in 0..100 {
-        if taken.whole {
+        if taken.complete {
             return taken;
         }
         let daemon = daemons[round % daemons.len()];
         let more = stream(daemon, key, &body, taken.tokens.len(), |_| {});
         taken.tokens.extend(more.tokens);
-        taken.whole = more.whole;
+        taken.complete = more.complete;
         std::thread::sleep(Duration::from_millis(50));
     }
     taken
 }
 
 #[derive(Clone, Copy)]
-pub(super) enum Blow {
+pub(super) enum DaemonFault {
     Kill,
-    Freeze,
+    Suspend,
 }
--- a/tests/native/promises/edits.rs
+++ b/tests/native/promises/edits.rs
@@ -23,7 +23,7 @@
 #[googletest::test]
 fn edit_is_in_force_everywhere_and_stays() {
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
-    deployment.fault(deployment.platform_address(), json!({ "lose_answers": 1 }));
+    deployment.set_faults(deployment.platform_address(), json!({ "lose_answers": 1 }));
     let edit = deployment.control(&["--json", "table", "set", "account.reader", "weight=3"]);
     expect_that!(edit.0, eq(0), "{}", edit.1);
     let version = edited_version(&edit);
@@ -35,7 +35,7 @@
     }
     expect_that!(edited_at.elapsed(), lt(Duration::from_secs(7)));
     let outage = json!({ "outage": true });
-    deployment.fault(deployment.platform_address(), outage);
+    deployment.set_faults(deployment.platform_address(), outage);
     for daemon in 0..4 {
         deployment.daemons[daemon].kill();
         deployment.daemons[daemon] = deployment.spawn_daemon(daemon);
@@ -110,7 +110,7 @@
     ]);
     let file = deployment.folder.join("more.json");
     std::fs::write(&file, created.to_string()).expect("a declaration");
-    deployment.fault(deployment.platform_address(), json!({ "delay_ms": 300 }));
+    deployment.set_faults(deployment.platform_address(), json!({ "delay_ms": 300 }));
     let applied = deployment.control(&["apply", &file.display().to_string()]);
     expect_that!(applied.0, eq(0), "{}", applied.1);
     let versions = |daemon| {
@@ -122,10 +122,10 @@
         (everywhere && first[1].is_some()).then_some(first)
     });
     // An outage makes the watchers list anew; what they are shown is old.
-    deployment.fault(deployment.platform_address(), json!({ "outage": true }));
+    deployment.set_faults(deployment.platform_address(), json!({ "outage": true }));
     std::thread::sleep(Duration::from_millis(800));
     let stale = json!({ "outage": false, "delay_ms": 0, "stale_reads": 12, "stale_by": 3 });
-    deployment.fault(deployment.platform_address(), stale);
+    deployment.set_faults(deployment.platform_address(), stale);
     eventually("the watchers have listed what is old", || {
         let faults = post(deployment.platform_address(), "/faults", &[], "{}").body;
         (faults["stale_reads"].as_u64() < Some(10)).then_some(())
--- a/tests/native/promises/once.rs
+++ b/tests/native/promises/once.rs
@@ -14,7 +14,7 @@
     harness::{Answer, Deployment, Layout, completion, eventually, expected, post, try_post},
 };
 
-use super::{Blow, PRESS, READER};
+use super::{DaemonFault, PRESS, READER};
 
 /// Promise 2: two accounts use the same key at once, at different daemons.
 #[googletest::test]
@@ -45,7 +45,7 @@
     for answer in &answers {
         expect_that!(answer.status, eq(200), "{}", answer.text);
     }
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
     let begun: u64 = (3..5).map(|index| deployment.counts(index).begun).sum();
     expect_that!(begun, eq(1));
 }
@@ -74,10 +74,10 @@
 
 /// Promise 4: the holder is killed or frozen while the endpoint works; callers ask the
 /// others meanwhile, and the thawed holder afterwards. The endpoint counts one run.
-fn holder_lost_while_running_runs_once(blow: Blow) {
+fn holder_lost_while_running_runs_once(fault: DaemonFault) {
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
     for index in 3..5 {
-        deployment.fault(deployment.endpoint(index), json!({ "answer_ms": 600 }));
+        deployment.set_faults(deployment.endpoint(index), json!({ "answer_ms": 600 }));
     }
     let ticket = take_ticket(&deployment, 0);
     let (daemon, key) = (deployment.caller(0), ticket.clone());
@@ -86,9 +86,9 @@
         let begun: u64 = (3..5).map(|index| deployment.counts(index).begun).sum();
         (begun == 1).then_some(())
     });
-    match blow {
-        Blow::Kill => deployment.daemons[0].kill(),
-        Blow::Freeze => deployment.daemons[0].signal("STOP"),
+    match fault {
+        DaemonFault::Kill => deployment.daemons[0].kill(),
+        DaemonFault::Suspend => deployment.daemons[0].signal("STOP"),
     }
     let answers = ask_everywhere(&deployment, &[1, 2, 3], &ticket);
     expect_that!(answers.len(), eq(3));
@@ -96,17 +96,17 @@
         let outcome = &answer.body["outcome"];
         expect_that!(outcome, eq(&json!("unknown")), "{}", answer.text);
     }
-    if matches!(blow, Blow::Freeze) {
+    if matches!(fault, DaemonFault::Suspend) {
         deployment.daemons[0].signal("CONT");
         let late = first.join().expect("the caller ends").expect("an answer");
         expect_that!(late.status, eq(200), "{}", late.text);
     }
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
 cases!(holder_lost_while_running_runs_once:
-    holder_killed_while_running_runs_once(Blow::Kill),
-    holder_frozen_while_running_runs_once(Blow::Freeze),
+    holder_killed_while_running_runs_once(DaemonFault::Kill),
+    holder_frozen_while_running_runs_once(DaemonFault::Suspend),
 );
 
 /// Promises 3 and 4: the holder is killed before the request reaches it. The witness
@@ -119,7 +119,7 @@
     let answer = ask_once(deployment.caller(1), &ticket).expect("an answer");
     expect_that!(answer.body["outcome"], eq(&json!("not-run")), "{}", answer.text);
     expect_that!(answer.retry_after, some(eq("0")));
-    expect_that!(deployment.most_runs(), eq(0));
+    expect_that!(deployment.max_runs_per_request(), eq(0));
 }
 
 /// Promises 3 and 4: the holder is frozen before the request; the others say "not run";
@@ -141,7 +141,7 @@
     deployment.daemons[0].signal("CONT");
     let late = waiting.join().expect("the caller ends").expect("an answer");
     expect_that!(late.body["outcome"], eq(&json!("not-run")), "{}", late.text);
-    expect_that!(deployment.most_runs(), eq(0));
+    expect_that!(deployment.max_runs_per_request(), eq(0));
 }
 
 /// Promise 4: a daemon replaced at the same address does not take the old one's ticket.
@@ -159,7 +159,7 @@
     let again = ask_once(deployment.caller(0), &ticket).expect("an answer");
     // Its witness was told the answer and gives it out.
     expect_that!(again.status, eq(200), "{}", again.text);
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
 /// Promise 4: a caller's own key costs one conditional create; the write's answer is
@@ -167,12 +167,12 @@
 #[googletest::test]
 fn own_key_runs_once_though_the_claims_answer_is_lost() {
     let deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
-    deployment.fault(deployment.platform_address(), json!({ "lose_answers": 1 }));
+    deployment.set_faults(deployment.platform_address(), json!({ "lose_answers": 1 }));
     let answers = ask_everywhere(&deployment, &[0, 1, 2, 3], "own-key-1");
     for answer in &answers {
         expect_that!(answer.status, eq(200), "{}", answer.text);
     }
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
     let begun: u64 = (3..5).map(|index| deployment.counts(index).begun).sum();
     expect_that!(begun, eq(1));
 }
@@ -182,18 +182,18 @@
 #[googletest::test]
 fn own_key_during_outage_is_not_run_at_once() {
     let deployment = Deployment::start(Layout::default());
-    deployment.fault(deployment.platform_address(), json!({ "outage": true }));
+    deployment.set_faults(deployment.platform_address(), json!({ "outage": true }));
     let asked_at = Instant::now();
     let answer = ask_once(deployment.caller(0), "own-key-2").expect("an answer");
     expect_that!(asked_at.elapsed(), lt(Duration::from_secs(5)));
     expect_that!(answer.status, eq(503));
     expect_that!(answer.body["outcome"], eq(&json!("not-run")));
     expect_that!(answer.retry_after, some(anything()));
-    expect_that!(deployment.most_runs(), eq(0));
-    deployment.fault(deployment.platform_address(), json!({ "outage": false }));
+    expect_that!(deployment.max_runs_per_request(), eq(0));
+    deployment.set_faults(deployment.platform_address(), json!({ "outage": false }));
     let again = ask_once(deployment.caller(1), "own-key-2").expect("an answer");
     expect_that!(again.status, eq(200), "{}", again.text);
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
 /// Promises 3 and 4: the endpoint's answer is lost after it ran: "unknown", and asking
@@ -201,13 +201,13 @@
 #[googletest::test]
 fn lost_endpoint_answer_is_unknown_and_not_repeated() {
     let deployment = Deployment::start(Layout { plain: 1, ..Layout::default() });
-    deployment.fault(deployment.endpoint(3), json!({ "lose_answers": 1 }));
+    deployment.set_faults(deployment.endpoint(3), json!({ "lose_answers": 1 }));
     let ticket = take_ticket(&deployment, 0);
     for daemon in 0..3 {
         let answer = ask_once(deployment.caller(daemon), &ticket).expect("an answer");
         expect_that!(answer.body["outcome"], eq(&json!("unknown")), "{}", answer.text);
     }
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
 /// Promise 3: endpoints that refuse before starting leave the request not run.
@@ -215,12 +215,12 @@
 fn endpoints_that_refuse_leave_it_not_run() {
     let deployment = Deployment::start(Layout::default());
     for index in 3..5 {
-        deployment.fault(deployment.endpoint(index), json!({ "refuse": true }));
+        deployment.set_faults(deployment.endpoint(index), json!({ "refuse": true }));
     }
     let answer = ask_once(deployment.caller(0), &take_ticket(&deployment, 0)).expect("an answer");
     expect_that!(answer.status, eq(503));
     expect_that!(answer.body["outcome"], eq(&json!("not-run")));
-    expect_that!(deployment.most_runs(), eq(0));
+    expect_that!(deployment.max_runs_per_request(), eq(0));
 }
 
 /// A ticket of another account neither runs nor reveals anything.
--- a/tests/native/promises/stops.rs
+++ b/tests/native/promises/stops.rs
@@ -21,7 +21,7 @@
         (health.as_deref() != Some("ready\n")).then_some(())
     });
     let taken = caller.join().expect("the caller ends");
-    expect_true!(taken.whole);
+    expect_true!(taken.complete);
     expect_that!(taken.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     expect_that!(deployment.daemons[0].wait(), some(eq(0)));
 }
@@ -72,7 +72,7 @@
     }
     let report = callers.join().expect("the callers end");
     expect_that!(report.answered, eq(report.requests), "{report:?}");
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
 /// Promises 1, 2 and 4 together: daemons are killed and frozen one after another under
@@ -95,7 +95,7 @@
     expect_that!(report.not_run, eq(0), "{report:?}");
     expect_that!(report.failed, eq(0), "{report:?}");
     expect_that!(report.answered + report.unknown, eq(report.requests), "{report:?}");
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
 /// Promise 6: the daemon that stops only follows the request, which another one holds.
@@ -116,7 +116,7 @@
     receiver.recv().expect("twenty tokens arrive");
     deployment.daemons[1].signal("TERM");
     for taken in [follower, caller].map(|caller| caller.join().expect("the caller ends")) {
-        expect_true!(taken.whole);
+        expect_true!(taken.complete);
         expect_that!(taken.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     }
     expect_that!(deployment.daemons[1].wait(), some(eq(0)));
--- a/tests/native/promises/streams.rs
+++ b/tests/native/promises/streams.rs
@@ -12,45 +12,45 @@
     },
 };
 
-use super::{Blow, resume, start_caller};
+use super::{DaemonFault, resume, start_caller};
 
 /// Promises 1 and 2: the daemon of a stream is lost without notice; the caller comes
 /// back elsewhere and gets the rest, no token twice or missing.
-fn stream_survives_its_daemon(blow: Blow, both_ask_elsewhere: bool) {
+fn stream_survives_its_daemon(fault: DaemonFault, both_ask_elsewhere: bool) {
     const TOKENS: usize = 150;
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
     let caller = start_caller(deployment.caller(0), "k-lost", TOKENS);
-    match blow {
-        Blow::Kill => deployment.daemons[0].kill(),
-        Blow::Freeze => deployment.daemons[0].signal("STOP"),
+    match fault {
+        DaemonFault::Kill => deployment.daemons[0].kill(),
+        DaemonFault::Suspend => deployment.daemons[0].signal("STOP"),
     }
     let others: Vec<SocketAddr> = (1..4).map(|index| deployment.caller(index)).collect();
-    let taken = match blow {
-        Blow::Kill => caller.join().expect("the caller ends"),
+    let taken = match fault {
+        DaemonFault::Kill => caller.join().expect("the caller ends"),
         // A caller of a frozen daemon gives up by itself and asks from the beginning.
-        Blow::Freeze => Stream::default(),
+        DaemonFault::Suspend => Stream::default(),
     };
     let second = both_ask_elsewhere.then(|| {
         let other = others[1];
         std::thread::spawn(move || resume(&[other], "k-lost", TOKENS, Stream::default()))
     });
     let whole = resume(&others, "k-lost", TOKENS, taken);
-    expect_true!(whole.whole);
+    expect_true!(whole.complete);
     expect_that!(whole.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     if let Some(second) = second {
         let second = second.join().expect("the second caller ends");
         expect_that!(second.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     }
-    if matches!(blow, Blow::Freeze) {
+    if matches!(fault, DaemonFault::Suspend) {
         deployment.daemons[0].signal("CONT");
     }
 }
 
 cases!(stream_survives_its_daemon:
-    stream_survives_killed_daemon(Blow::Kill, false),
-    stream_survives_killed_daemon_with_two_callers(Blow::Kill, true),
-    stream_survives_frozen_daemon(Blow::Freeze, false),
-    stream_survives_frozen_daemon_with_two_callers(Blow::Freeze, true),
+    stream_survives_killed_daemon(DaemonFault::Kill, false),
+    stream_survives_killed_daemon_with_two_callers(DaemonFault::Kill, true),
+    stream_survives_frozen_daemon(DaemonFault::Suspend, false),
+    stream_survives_frozen_daemon_with_two_callers(DaemonFault::Suspend, true),
 );
 
 /// Promise 1: tokens already copied are not computed again after a take-over.
@@ -64,7 +64,7 @@
     let before = taken.tokens.len();
     let others: Vec<SocketAddr> = (1..4).map(|index| deployment.caller(index)).collect();
     let whole = resume(&others, "k-goes-on", 150, taken);
-    expect_true!(whole.whole);
+    expect_true!(whole.complete);
     let generated: u64 = (0..3).map(|index| deployment.counts(index).generated_tokens).sum();
     // Copies lag by a few tokens; those, and those in flight, are made twice.
     expect_that!(generated, lt(150 + before as u64 / 2 + 15));
@@ -112,11 +112,11 @@
             running.join().expect("the caller ends")
         };
         taken.tokens.extend(more.tokens);
-        taken.whole = more.whole;
+        taken.complete = more.complete;
     }
     let others: Vec<SocketAddr> = [2, 3, 6, 7].map(|index| deployment.caller(index)).to_vec();
     let whole = resume(&others, "k-zones", TOKENS, taken);
-    expect_true!(whole.whole);
+    expect_true!(whole.complete);
     expect_that!(whole.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
 }
 
@@ -126,7 +126,7 @@
     const TOKENS: usize = 600;
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
     let caller = start_caller(deployment.caller(0), "k-reclaim", TOKENS);
-    deployment.fault(deployment.platform_address(), json!({ "outage": true }));
+    deployment.set_faults(deployment.platform_address(), json!({ "outage": true }));
     let notice = json!({
         "sequence": 1, "vm": "entry-0", "gone_at_ms": willowarch::wall_clock_ms() + 2_500,
     });
@@ -134,10 +134,10 @@
     expect_that!(post(deployment.admin(2), "/notices", &[], &notice.to_string()).status, eq(200));
     expect_that!(deployment.daemons[0].wait(), some(eq(0)));
     let taken = caller.join().expect("the caller ends");
-    expect_false!(taken.whole);
+    expect_false!(taken.complete);
     let others: Vec<SocketAddr> = (1..4).map(|index| deployment.caller(index)).collect();
     let whole = resume(&others, "k-reclaim", TOKENS, taken);
-    expect_true!(whole.whole);
+    expect_true!(whole.complete);
     expect_that!(whole.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
 }
 
@@ -147,7 +147,7 @@
 fn leaving_endpoint_gets_nothing_new() {
     let deployment = Deployment::start(Layout { daemons: 4, engines: 3, ..Layout::default() });
     let faults = json!({ "outage": true, "list_lag_ms": 30_000 });
-    deployment.fault(deployment.platform_address(), faults);
+    deployment.set_faults(deployment.platform_address(), faults);
     let notice = json!({
         "sequence": 1, "vm": "vm-1", "gone_at_ms": willowarch::wall_clock_ms() + 60_000,
     });
@@ -158,7 +158,7 @@
         let daemon = deployment.caller(number % 4);
         let key = format!("k-leaving-{number}");
         let answer = stream(daemon, &key, &completion("quiet", 2), 0, |_| {});
-        expect_true!(answer.whole);
+        expect_true!(answer.complete);
     }
     expect_that!(deployment.counts(1).begun, eq(before));
 }
@@ -179,7 +179,7 @@
     std::thread::sleep(Duration::from_millis(1_500));
     deployment.endpoints[busy].kill();
     let taken = caller.join().expect("the caller ends");
-    expect_true!(taken.whole);
+    expect_true!(taken.complete);
     expect_that!(taken.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
 }
 
@@ -213,7 +213,7 @@
         }
     }
     for _ in 0..KEYS * 3 {
-        let text = receiver.recv_timeout(crate::harness::PATIENCE);
+        let text = receiver.recv_timeout(crate::harness::WAIT_LIMIT);
         expect_that!(text, ok(eq(&expected("moon over the mill", TOKENS))));
         if text.is_err() {
             break;
--- a/tests/native/refusing_engines.rs
+++ b/tests/native/refusing_engines.rs
@@ -21,7 +21,7 @@
 fn refusing_engines_cost_few_requests_while_others_have_room() {
     let deployment = Deployment::start(Layout { engines: ENGINES, ..Layout::default() });
     for index in 0..REFUSING {
-        deployment.fault(deployment.endpoint(index), json!({ "refuse": true }));
+        deployment.set_faults(deployment.endpoint(index), json!({ "refuse": true }));
     }
     let (sent, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let until = Instant::now() + PLAY_TIME;
--- a/tests/native/whole_path.rs
+++ b/tests/native/whole_path.rs
@@ -13,7 +13,7 @@
     let daemon = deployment.caller(0);
 
     let streamed = stream(daemon, "k-stream", &completion("two words", 12), 0, |_| {});
-    expect_true!(streamed.whole);
+    expect_true!(streamed.complete);
     expect_that!(streamed.tokens.concat(), eq(&expected("two words", 12)));
 
     let mut whole = completion("two words", 5);
@@ -33,14 +33,14 @@
     let tagging = post(daemon, "/services/tagging/tags", &[READER], "{\"panel\":1}");
     expect_that!(tagging.status, eq(200));
     expect_that!(tagging.body["path"], eq(&json!("/tags")));
-    expect_that!(deployment.most_runs(), eq(1));
+    expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
 #[googletest::test]
 fn time_line_has_one_terminal_event_per_request() {
     let deployment = Deployment::start(Layout::default());
     let streamed = stream(deployment.caller(1), "k-line", &completion("a b c", 4), 0, |_| {});
-    expect_true!(streamed.whole);
+    expect_true!(streamed.complete);
     let daemons: Vec<String> = (0..3).map(|index| deployment.admin(index).to_string()).collect();
     let mut arguments = vec!["--json", "timeline"];
     arguments.extend(daemons.iter().map(String::as_str));
@@ -56,10 +56,10 @@
 fn broken_stream_goes_on_at_another_engine() {
     let deployment = Deployment::start(Layout::default());
     for index in 0..2 {
-        deployment.fault(deployment.endpoint(index), json!({ "cut_after": 5 }));
+        deployment.set_faults(deployment.endpoint(index), json!({ "cut_after": 5 }));
     }
     let streamed = stream(deployment.caller(0), "k-cut", &completion("p q r", 40), 0, |_| {});
-    expect_true!(streamed.whole);
+    expect_true!(streamed.complete);
     expect_that!(streamed.tokens.concat(), eq(&expected("p q r", 40)));
 }
 
@@ -83,6 +83,6 @@
     });
     deployment.endpoints[busy.expect("one engine is busy")].kill();
     let streamed = caller.join().expect("the caller ends");
-    expect_true!(streamed.whole);
+    expect_true!(streamed.complete);
     expect_that!(streamed.tokens.concat(), eq(&expected("x y z", 120)));
 }
