--- a/tests/native/harness.rs
+++ b/tests/native/harness.rs
@@ -1,4 +1,6 @@
-//! Deployments of stand-ins and daemons as processes, each on addresses of its own.
+//! Test deployments on loopback: daemons and stand-ins (simulated endpoints and platform) as
+//! separate processes. Each deployment has an address block of its own, so that tests can run
+//! in parallel.
 
 #[path = "harness/http_client.rs"]
 mod http_client;
@@ -26,20 +28,24 @@
     test_process::{TestProcess, WAIT_LIMIT, eventually},
 };
 
+/// Second variable byte of the addresses of the next deployment in this process.
 static NEXT_BLOCK: AtomicU8 = AtomicU8::new(1);
 
-/// Zones of the test deployments.
+/// Availability zones of the test deployments.
 pub const ZONES: [&str; 4] = ["zone-a", "zone-b", "zone-c", "zone-d"];
 
-/// How a test deployment is laid out.
+/// Numbers of processes in a test deployment, and their settings.
 #[derive(Clone)]
 pub struct Layout {
     pub daemons: usize,
     pub engines: usize,
+    /// Number of endpoints of the plain service `tagging`.
     pub plain: usize,
-    /// How many of the engines (the last ones) are not held at first but can be started.
+    /// How many of the engines (the last ones) are not used by the service at first, but can be
+    /// started as new VMs.
     pub spare: usize,
     pub step_ms: f64,
+    /// Daemon settings that replace the defaults.
     pub settings: Value,
 }
 
@@ -49,8 +55,9 @@
     }
 }
 
-/// A whole deployment on loopback.
+/// Platform, endpoints and daemons of one test, on loopback.
 pub struct Deployment {
+    /// Second and third byte of all addresses, `127.x.y.host`.
     block: (u8, u8),
     pub folder: PathBuf,
     pub layout: Layout,
@@ -60,7 +67,7 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until each daemon has the table and its endpoints.
+    /// Starts all processes and waits until each daemon is ready (see `wait_ready`).
     pub fn start(layout: Layout) -> Self {
         let mut deployment = Self::prepare(layout);
         for index in 0..deployment.layout.daemons {
@@ -73,12 +80,12 @@
         deployment
     }
 
-    /// Starts the stand-ins only, with the table in place.
+    /// Starts the stand-ins without daemons, and writes the table to the platform.
     pub fn prepare(layout: Layout) -> Self {
         let process = (std::process::id() % 200) as u8 + 40;
         let block = (process, NEXT_BLOCK.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(format!("willowarch-{}-{}", block.0, block.1));
-        fs::create_dir_all(&folder).expect("a folder for settings");
+        fs::create_dir_all(&folder).expect("cannot create the folder for settings");
         let mut deployment = Self {
             block,
             folder,
@@ -94,7 +101,7 @@
 
     fn start_stand_ins(&mut self) {
         let vms = self.folder.join("vms.json");
-        fs::write(&vms, self.vm_list().to_string()).expect("the VM list is written");
+        fs::write(&vms, self.vm_list().to_string()).expect("cannot write the VM list");
         let arguments = ["platform", "--listen", &self.platform_address().to_string(), "--vms"];
         let mut arguments: Vec<String> = arguments.map(String::from).to_vec();
         arguments.push(vms.display().to_string());
@@ -105,13 +112,13 @@
         }
         for index in 0..self.layout.engines + self.layout.plain {
             let address = self.endpoint(index);
-            eventually("an endpoint answers", || try_get(address, "/runs"));
+            eventually("an endpoint responds", || try_get(address, "/runs"));
         }
         let platform = self.platform_address();
-        eventually("the platform answers", || try_get(platform, "/stats"));
+        eventually("the platform responds", || try_get(platform, "/stats"));
     }
 
-    /// Starts the endpoint at `index` (again).
+    /// Starts or restarts the endpoint at `index`.
     pub fn spawn_endpoint(&self, index: usize) -> TestProcess {
         let address = self.endpoint(index).to_string();
         let arguments = if index < self.layout.engines {
@@ -153,18 +160,18 @@
             { "kind": "service", "name": "tagging", "service_type": "plain", "repeatable": false },
         ]);
         let file = self.folder.join("table.json");
-        fs::write(&file, rows.to_string()).expect("the table is written");
+        fs::write(&file, rows.to_string()).expect("cannot write the table file");
         let status = self.control(&["apply", &file.display().to_string()]);
-        assert_eq!(status.0, 0, "{}", status.1);
+        assert_eq!(status.0, 0, "willowctl apply: {}", status.1);
     }
 
-    /// Runs `willowctl` against this deployment's platform; its exit code and output.
+    /// Runs `willowctl` against this deployment's platform; returns its exit code and output.
     pub fn control(&self, arguments: &[&str]) -> (i32, String) {
         let output = Command::new(env!("CARGO_BIN_EXE_willowctl"))
             .args(["--api", &self.platform_address().to_string()])
             .args(arguments)
             .output()
-            .expect("willowctl runs");
+            .expect("cannot run willowctl");
         let text = String::from_utf8_lossy(&output.stdout).into_owned()
             + &String::from_utf8_lossy(&output.stderr);
         (output.status.code().unwrap_or(-1), text)
@@ -179,23 +186,27 @@
         self.address(1, 9000)
     }
 
+    /// Address of the endpoint at `index`: engines first, then plain endpoints.
     pub fn endpoint(&self, index: usize) -> SocketAddr {
         self.address(100 + index as u8, 9100)
     }
 
+    /// Address at which the daemon at `index` serves clients.
     pub fn caller(&self, index: usize) -> SocketAddr {
         self.address(10 + index as u8, 8080)
     }
 
+    /// Address of the admin listener of the daemon at `index`.
     pub fn admin(&self, index: usize) -> SocketAddr {
         self.address(10 + index as u8, 8081)
     }
 
+    /// Address at which the daemon at `index` serves other daemons.
     pub fn peer(&self, index: usize) -> SocketAddr {
         self.address(10 + index as u8, 8082)
     }
 
-    /// Starts the daemon at `index` (again).
+    /// Starts or restarts the daemon at `index`.
     pub fn spawn_daemon(&self, index: usize) -> TestProcess {
         let mut settings = json!({
             "deployment": "test",
@@ -212,7 +223,7 @@
             settings[key] = value.clone();
         }
         let file = self.folder.join(format!("daemon-{index}.json"));
-        fs::write(&file, settings.to_string()).expect("settings are written");
+        fs::write(&file, settings.to_string()).expect("cannot write the settings");
         let arguments = ["--settings".to_owned(), file.display().to_string()];
         TestProcess::start(env!("CARGO_BIN_EXE_willowarchd"), &arguments)
     }
@@ -233,19 +244,19 @@
         });
     }
 
-    /// Throws fault switches at a stand-in.
+    /// Sets the faults that a stand-in injects.
     pub fn set_faults(&self, address: SocketAddr, switches: Value) {
         post(address, "/faults", &[], &switches.to_string());
     }
 
-    /// Value of one metric of a daemon.
+    /// Value of one metric of a daemon; 0 if it can't be read.
     pub fn metric(&self, index: usize, name: &str) -> f64 {
         let text = get_text(self.admin(index), "/metrics").unwrap_or_default();
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("willowarch_{name} ")));
         line.and_then(|value| value.parse().ok()).unwrap_or(0.0)
     }
 
-    /// What all plain endpoints have run, by request id; the most runs of any one.
+    /// Highest number of runs of any one request id, added up over all plain endpoints.
     pub fn max_runs_per_request(&self) -> u32 {
         let plain = self.layout.engines..self.layout.engines + self.layout.plain;
         let mut runs = std::collections::HashMap::<String, u32>::new();
@@ -257,11 +268,11 @@
         runs.values().copied().max().unwrap_or(0)
     }
 
-    /// What an endpoint has done.
+    /// Counts of the work that an endpoint has done.
     pub fn counts(&self, index: usize) -> WorkCounts {
         let address = self.endpoint(index);
-        let value = eventually("an endpoint tells its counts", || try_get(address, "/runs"));
-        serde_json::from_value(value).expect("counts")
+        let value = eventually("an endpoint reports its counts", || try_get(address, "/runs"));
+        serde_json::from_value(value).expect("malformed work counts of an endpoint")
     }
 }
 
--- a/tests/native/harness/http_client.rs
+++ b/tests/native/harness/http_client.rs
@@ -1,4 +1,4 @@
-//! A client as stock HTTP libraries make it, and the streams that it takes.
+//! HTTP client built on a common library (`ureq`), and the streams that it receives.
 
 use std::{
     io::{BufRead, BufReader},
@@ -26,7 +26,7 @@
     serde_json::from_str(&get_text(address, path)?).ok()
 }
 
-/// An answer as a stock client sees it.
+/// A response as an ordinary HTTP client sees it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -35,7 +35,7 @@
     pub text: String,
 }
 
-/// Posts with headers; `None` if no answer came.
+/// Sends a POST request with headers; `None` if no complete response arrived.
 pub fn try_post(
     address: SocketAddr,
     path: &str,
@@ -55,10 +55,10 @@
 }
 
 pub fn post(address: SocketAddr, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
-    try_post(address, path, headers, body).expect("an answer")
+    try_post(address, path, headers, body).expect("no response")
 }
 
-/// A stream as a caller takes it: what has arrived so far, and whether it is whole.
+/// A stream as the client received it: the tokens so far, and whether the end marker arrived.
 #[derive(Debug, Default)]
 pub struct Stream {
     pub tokens: Vec<String>,
@@ -66,12 +66,13 @@
     pub status: u16,
 }
 
-/// Opens a stream and hands each token to `on_token` until the end or a break.
+/// Opens a stream, after the `received` tokens that the client already has, and reads it until
+/// it ends or the connection breaks. Calls `on_token` with the number of tokens after each one.
 pub fn stream(
     address: SocketAddr,
     key: &str,
     body: &Value,
-    have: usize,
+    received: usize,
     mut on_token: impl FnMut(usize),
 ) -> Stream {
     let mut request = agent()
@@ -79,8 +80,8 @@
         .header("authorization", "Bearer key-reader")
         .header("content-type", "application/json")
         .header("idempotency-key", key);
-    if have > 0 {
-        request = request.header("last-event-id", (have - 1).to_string());
+    if received > 0 {
+        request = request.header("last-event-id", (received - 1).to_string());
     }
     let mut stream = Stream::default();
     let Ok(mut answer) = request.send(body.to_string()) else { return stream };
@@ -97,18 +98,18 @@
         let choice = &value["choices"][0];
         if choice["finish_reason"].is_null() && choice["text"].is_string() {
             stream.tokens.push(choice["text"].as_str().unwrap_or_default().to_owned());
-            on_token(have + stream.tokens.len());
+            on_token(received + stream.tokens.len());
         }
     }
     stream
 }
 
-/// Body of a streamed completion.
+/// Body of a request for a streamed completion.
 pub fn completion(prompt: &str, tokens: usize) -> Value {
     json!({ "model": "model", "prompt": prompt, "max_tokens": tokens, "seed": 7, "stream": true })
 }
 
-/// The answer that `completion` must get, byte for byte.
+/// Text that the response to `completion` must have, byte for byte.
 pub fn expected(prompt: &str, tokens: usize) -> String {
     willowarch::standin::engine_model::expected_completion(prompt, 7, tokens)
 }
--- a/tests/native/harness/test_process.rs
+++ b/tests/native/harness/test_process.rs
@@ -1,4 +1,4 @@
-//! One process of a test deployment, and waiting for what it does.
+//! A process of a test deployment, and a helper that waits for a condition.
 
 use std::{
     process::{Child, Command, Stdio},
@@ -7,49 +7,49 @@
 
 use super::process_usage;
 
-/// Longest wait for something that takes a moment.
+/// Longest time that `eventually` waits for a condition.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// One process, killed when dropped.
+/// A process that is killed when dropped.
 pub struct TestProcess {
     child: Child,
 }
 
 impl TestProcess {
-    /// Starts `program` without input, its errors unseen.
+    /// Starts `program` with standard input and standard error redirected to `/dev/null`.
     pub fn start(program: &str, arguments: &[String]) -> Self {
         let child = Command::new(program)
             .args(arguments)
             .stdin(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the program starts");
+            .expect("cannot start the program");
         Self { child }
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// CPU seconds so far and resident kilobytes.
+    /// CPU seconds used so far, and resident memory in kilobytes.
     #[allow(dead_code, reason = "the benches use it")]
     pub fn cpu_and_rss(&self) -> (f64, f64) {
         process_usage::cpu_and_rss(&self.child.id().to_string())
     }
 
-    /// Sends it a signal by name.
+    /// Sends the process the signal `name`, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let status =
             Command::new("kill").args([format!("-{name}"), self.child.id().to_string()]).status();
-        assert!(status.is_ok_and(|status| status.success()), "kill -{name}");
+        assert!(status.is_ok_and(|status| status.success()), "kill -{name} failed");
     }
 
-    /// Waits for it to end by itself; its exit code.
+    /// Waits until the process exits by itself, and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
-        let found = eventually("the process ends", || self.child.try_wait().ok().flatten());
-        found.code()
+        let status = eventually("the process ends", || self.child.try_wait().ok().flatten());
+        status.code()
     }
 }
 
@@ -60,14 +60,14 @@
     }
 }
 
-/// Waits until `look` finds something.
-pub fn eventually<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Calls `check` until it returns a value; panics after `WAIT_LIMIT`.
+pub fn eventually<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let started_at = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(started_at.elapsed() < WAIT_LIMIT, "not in time: {what}");
+        assert!(started_at.elapsed() < WAIT_LIMIT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/tests/native/process_usage.rs
+++ b/tests/native/process_usage.rs
@@ -1,8 +1,9 @@
-//! CPU and memory of a process, as the system counts them; benches use it too.
+//! CPU time and memory of a process, read from `/proc`; benches use it too.
 
 use std::{fs, path::Path};
 
-/// CPU seconds so far and resident kilobytes of the process `id` (`self` for this one).
+/// CPU seconds used so far, and resident memory in kilobytes, of the process `id` (`self` for
+/// the calling process).
 pub fn cpu_and_rss(id: &str) -> (f64, f64) {
     const TICKS_PER_S: f64 = 100.0;
     let folder = Path::new("/proc").join(id);
--- a/tests/native/promises.rs
+++ b/tests/native/promises.rs
@@ -1,4 +1,14 @@
-//! What must always hold, under failure, with real processes.
+//! Guarantees of a deployment, checked with real processes under failures. The heads of the tests
+//! name them by number:
+//!
+//! 1. A stream survives the loss of daemons, endpoints and availability zones.
+//! 2. A client that sends a request again with the same key gets the same response, with no token
+//!    missing or repeated; the same key of another account is another request.
+//! 3. "not run" is reported only for requests that did not run.
+//! 4. A request that may not be repeated runs at most once.
+//! 5. A VM with a reclaim notice gets no new requests.
+//! 6. Planned stops and replacements of daemons break no request.
+//! 7. An edit of the table takes effect on all daemons and is never reverted.
 
 mod edits;
 mod once;
@@ -12,7 +22,7 @@
 pub(super) const READER: (&str, &str) = ("authorization", "Bearer key-reader");
 pub(super) const PRESS: (&str, &str) = ("authorization", "Bearer key-press");
 
-/// Starts a caller in a thread and waits until it has some tokens.
+/// Starts a client in a thread and waits until it has received 10 tokens.
 pub(super) fn start_caller(
     daemon: SocketAddr,
     key: &'static str,
@@ -22,35 +32,37 @@
     let caller = std::thread::spawn(move || {
         stream(daemon, key, &completion("moon over the mill", tokens), 0, |count| {
             if count == 10 {
-                sender.send(()).expect("the test waits");
+                sender.send(()).expect("the test no longer waits for tokens");
             }
         })
     });
-    receiver.recv().expect("ten tokens arrive");
+    receiver.recv().expect("the stream ended before its tenth token");
     caller
 }
 
-/// Goes on with a stream at other daemons until it is whole, as the protocol says.
+/// Resumes a stream at `daemons`, one after another, until it is complete. Each time the client
+/// sends the number of its last token, as the protocol requires.
 pub(super) fn resume(
     daemons: &[SocketAddr],
     key: &str,
     tokens: usize,
-    mut taken: Stream,
+    mut received: Stream,
 ) -> Stream {
     let body = completion("moon over the mill", tokens);
     for round in 0..100 {
-        if taken.complete {
-            return taken;
+        if received.complete {
+            return received;
         }
         let daemon = daemons[round % daemons.len()];
-        let more = stream(daemon, key, &body, taken.tokens.len(), |_| {});
-        taken.tokens.extend(more.tokens);
-        taken.complete = more.complete;
+        let more = stream(daemon, key, &body, received.tokens.len(), |_| {});
+        received.tokens.extend(more.tokens);
+        received.complete = more.complete;
         std::thread::sleep(Duration::from_millis(50));
     }
-    taken
+    received
 }
 
+/// How a daemon is lost: its process is killed, or suspended by `SIGSTOP`.
 #[derive(Clone, Copy)]
 pub(super) enum DaemonFault {
     Kill,
--- a/tests/native/promises/edits.rs
+++ b/tests/native/promises/edits.rs
@@ -1,4 +1,4 @@
-//! Edits of the table: in force everywhere, never reverted.
+//! Edits of the table take effect on all daemons and are never reverted.
 
 use std::time::{Duration, Instant};
 
@@ -18,10 +18,10 @@
     value["version"].as_u64().expect("a version")
 }
 
-/// Promise 7: an edit is in force everywhere within seconds, also when its answer was
-/// lost, and a daemon that starts during an outage has it from its peers.
+/// Promise 7: an edit takes effect on all daemons within seconds even if the platform's response
+/// to the write is lost, and a daemon that starts while the platform is down gets it from peers.
 #[googletest::test]
-fn edit_is_in_force_everywhere_and_stays() {
+fn edit_takes_effect_on_all_daemons_and_survives_restarts() {
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
     deployment.set_faults(deployment.platform_address(), json!({ "lose_answers": 1 }));
     let edit = deployment.control(&["--json", "table", "set", "account.reader", "weight=3"]);
@@ -29,7 +29,7 @@
     let version = edited_version(&edit);
     let edited_at = Instant::now();
     for daemon in 0..4 {
-        eventually("the edit is in force", || {
+        eventually("the edit takes effect", || {
             (row_version(&deployment, daemon, "account.reader") == Some(version)).then_some(())
         });
     }
@@ -44,7 +44,8 @@
     }
 }
 
-/// Promise 7: two operators edit the same row; exactly one wins, the other is shown both.
+/// Promise 7: two operators edit the same row. Guards against a lost update: the later edit is
+/// refused and its author is shown both rows.
 #[googletest::test]
 fn concurrent_edits_have_one_winner() {
     let deployment = Deployment::start(Layout::default());
@@ -60,7 +61,7 @@
     expect_that!(late.0, eq(3), "{}", late.1);
     expect_that!(late.1, contains_substring("\"weight\":9.0"));
     expect_that!(late.1, contains_substring("\"weight\":5"));
-    // The declaration does not overwrite it either.
+    // `apply` of an older declaration does not overwrite the edit either.
     let declaration = deployment.folder.join("table.json").display().to_string();
     let applied = deployment.control(&["apply", &declaration]);
     expect_that!(applied.0, eq(3), "{}", applied.1);
@@ -68,10 +69,10 @@
     expect_that!(row.1, contains_substring("\"weight\":5"));
 }
 
-/// Promise 7: two writes over the same version: the object API lets one through, and the
-/// other is shown both rows.
+/// Promise 7: four concurrent writes are based on the same version. The object API accepts one;
+/// the others fail with a conflict that contains both rows.
 #[googletest::test]
-fn racing_writes_over_one_version_have_one_winner() {
+fn concurrent_writes_based_on_one_version_have_one_winner() {
     use willowarch::control::table::{EditError, TableClient};
     let deployment = Deployment::prepare(Layout { engines: 1, plain: 1, ..Layout::default() });
     let table = TableClient::new(deployment.platform_address());
@@ -81,25 +82,28 @@
         row["weight"] = json!(weight);
         row
     };
-    let racing: Vec<_> = (1..=4)
+    let writers: Vec<_> = (1..=4)
         .map(|weight| {
             let (table, row) = (table.clone(), row(f64::from(weight) + 1.0));
             let version = entry.version;
             std::thread::spawn(move || table.write(&row, version, &json!({})))
         })
         .collect();
-    let results: Vec<_> =
-        racing.into_iter().map(|racing| racing.join().expect("it ends")).collect();
+    let results: Vec<_> = writers
+        .into_iter()
+        .map(|writer| writer.join().expect("the writing thread panicked"))
+        .collect();
     expect_that!(results.iter().filter(|result| result.is_ok()).count(), eq(1));
     for result in results.into_iter().filter_map(std::result::Result::err) {
         expect_that!(result, pat!(EditError::Conflict(anything())));
     }
 }
 
-/// Promise 7: the platform answers slowly, then shows its objects as they were before the
-/// edits, to daemons that list them anew. Nothing goes back, and nothing vanishes.
+/// Promise 7: the platform responds slowly, and after an outage it returns objects as they were
+/// before the edits. Guards against daemons that list the objects again and then revert or drop
+/// rows.
 #[googletest::test]
-fn stale_lists_of_a_slow_platform_revert_nothing() {
+fn stale_lists_of_a_slow_platform_do_not_revert_rows() {
     let deployment = Deployment::start(Layout::default());
     let created = json!([
         { "kind": "account", "name": "reader", "api_key": "key-reader", "weight": 4.0 },
@@ -116,26 +120,26 @@
     let versions = |daemon| {
         ["account.reader", "account.kiosks"].map(|row| row_version(&deployment, daemon, row))
     };
-    let newest = eventually("the rows are in force", || {
+    let newest = eventually("the rows take effect", || {
         let first = versions(0);
         let everywhere = (0..3).all(|daemon| versions(daemon) == first);
         (everywhere && first[1].is_some()).then_some(first)
     });
-    // An outage makes the watchers list anew; what they are shown is old.
+    // An outage makes the watchers list the objects again; the lists that they get are stale.
     deployment.set_faults(deployment.platform_address(), json!({ "outage": true }));
     std::thread::sleep(Duration::from_millis(800));
     let stale = json!({ "outage": false, "delay_ms": 0, "stale_reads": 12, "stale_by": 3 });
     deployment.set_faults(deployment.platform_address(), stale);
-    eventually("the watchers have listed what is old", || {
+    eventually("the watchers have read stale lists", || {
         let faults = post(deployment.platform_address(), "/faults", &[], "{}").body;
         (faults["stale_reads"].as_u64() < Some(10)).then_some(())
     });
     std::thread::sleep(Duration::from_secs(2));
     for daemon in 0..3 {
         expect_that!(versions(daemon), eq(newest));
-        // The time line shows that nothing went back in between either.
+        // The timeline shows that no version was reverted in between either.
         let events = try_get(deployment.admin(daemon), "/timeline?subject=account.reader");
-        let events = events.expect("a time line").as_array().cloned().unwrap_or_default();
+        let events = events.expect("no timeline").as_array().cloned().unwrap_or_default();
         let in_force: Vec<u64> = events
             .iter()
             .filter_map(|event| event["detail"].as_str()?.strip_prefix("version ")?.parse().ok())
@@ -145,10 +149,11 @@
     }
 }
 
-/// Promise 7: the object API is restored from a copy, and its versions are lower than those that
-/// daemons hold. Edits made since were never in force.
+/// Promise 7: the object API is restored from a backup, so that its versions are lower than those
+/// that the daemons hold. Guards against daemons that ignore all later edits as outdated, so that
+/// these never take effect.
 #[googletest::test]
-fn edits_are_in_force_after_the_object_api_is_back_from_a_copy() {
+fn edits_take_effect_after_the_object_api_is_restored_from_a_backup() {
     let deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
     let platform = deployment.platform_address();
     let edit = |weight: u32| {
@@ -163,9 +168,9 @@
     post(platform, "/copy", &[], "");
     let versions: Vec<u64> = (3..12).map(edit).collect();
     let newest = *versions.last().expect("a version");
-    eventually("the edits are in force", || in_force_everywhere(newest).then_some(()));
+    eventually("the edits take effect", || in_force_everywhere(newest).then_some(()));
     post(platform, "/restore", &[], "");
     let version = edit(20);
     expect_that!(version, lt(newest));
-    eventually("the edit is in force", || in_force_everywhere(version).then_some(()));
+    eventually("the edit takes effect", || in_force_everywhere(version).then_some(()));
 }
--- a/tests/native/promises/stops.rs
+++ b/tests/native/promises/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops and replacements, under load.
+//! Planned stops and replacements of daemons under load.
 
 use std::{net::SocketAddr, sync::mpsc, thread::JoinHandle, time::Duration};
 
@@ -9,25 +9,26 @@
 
 use super::start_caller;
 
-/// Promise 6: a planned stop waits for what it has; new callers are sent elsewhere.
+/// Promise 6: a daemon that is stopped finishes its streams before it exits, and its health check
+/// fails meanwhile, so that the load balancer sends new clients elsewhere.
 #[googletest::test]
 fn planned_stop_cuts_nothing_off() {
     const TOKENS: usize = 200;
     let mut deployment = Deployment::start(Layout::default());
     let caller = start_caller(deployment.caller(0), "k-stop", TOKENS);
     deployment.daemons[0].signal("TERM");
-    eventually("the balancer is told", || {
+    eventually("the health check of the stopping daemon fails", || {
         let health = crate::harness::get_text(deployment.caller(0), "/healthz");
         (health.as_deref() != Some("ready\n")).then_some(())
     });
-    let taken = caller.join().expect("the caller ends");
-    expect_true!(taken.complete);
-    expect_that!(taken.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
+    let received = caller.join().expect("the client thread panicked");
+    expect_true!(received.complete);
+    expect_that!(received.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     expect_that!(deployment.daemons[0].wait(), some(eq(0)));
 }
 
-/// A mix of streams and tickets, as the callers' stand-in plays it.
-fn mix(pace: f64) -> willowarch::standin::clients::RequestMix {
+/// Request mix of streams and tickets for the client stand-in.
+fn request_mix(requests_per_s: f64) -> willowarch::standin::clients::RequestMix {
     let entry = |name: &str, kind: &str, service: &str, account: &str| {
         json!({
             "name": name, "weight": 1.0, "kind": kind, "service": service, "path": "tags",
@@ -39,11 +40,12 @@
         entry("stream", "completion", "model", "reader"),
         entry("tag", "once", "tagging", "press"),
     ];
-    serde_json::from_value(json!({ "requests_per_s": pace, "entries": entries })).expect("a mix")
+    serde_json::from_value(json!({ "requests_per_s": requests_per_s, "entries": entries }))
+        .expect("malformed request mix")
 }
 
-/// Plays the mix in a thread of its own.
-fn play(
+/// Sends the request mix to all daemons from a thread of its own.
+fn start_clients(
     deployment: &Deployment,
     seconds: u64,
 ) -> JoinHandle<willowarch::standin::clients::ClientReport> {
@@ -51,18 +53,18 @@
         (0..deployment.layout.daemons).map(|index| deployment.caller(index)).collect();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let player = willowarch::standin::clients::ClientPlayer::new(daemons, mix(20.0));
-        let playing = player.play(Duration::from_secs(seconds), 3);
-        tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), playing)
+        let clients = willowarch::standin::clients::ClientPlayer::new(daemons, request_mix(20.0));
+        let run = clients.play(Duration::from_secs(seconds), 3);
+        tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), run)
     })
 }
 
-/// Promise 6: all daemons are replaced one after another under load. A caller that
-/// follows the protocol sees every request answered, and nothing runs twice.
+/// Promise 6: all daemons are replaced one after another under load. Clients that follow the
+/// protocol get a response to every request, and no request runs twice.
 #[googletest::test]
 fn rolling_replacement_fails_no_request() {
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
-    let callers = play(&deployment, 14);
+    let callers = start_clients(&deployment, 14);
     for index in 0..4 {
         std::thread::sleep(Duration::from_millis(1_000));
         deployment.daemons[index].signal("TERM");
@@ -70,18 +72,18 @@
         deployment.daemons[index] = deployment.spawn_daemon(index);
         deployment.wait_ready(index);
     }
-    let report = callers.join().expect("the callers end");
+    let report = callers.join().expect("the client threads panicked");
     expect_that!(report.answered, eq(report.requests), "{report:?}");
     expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
-/// Promises 1, 2 and 4 together: daemons are killed and frozen one after another under
-/// load. Streams are all answered, whole; what may not be repeated runs at most once, and
+/// Promises 1, 2 and 4 together: daemons are killed and suspended one after another under load.
+/// Every stream is complete and correct, requests that may not be repeated run at most once, and
 /// each request has an outcome.
 #[googletest::test]
-fn kills_and_freezes_under_load_lose_no_stream() {
+fn kills_and_suspensions_under_load_lose_no_stream() {
     let mut deployment = Deployment::start(Layout { daemons: 5, ..Layout::default() });
-    let callers = play(&deployment, 12);
+    let callers = start_clients(&deployment, 12);
     for index in [1, 3] {
         std::thread::sleep(Duration::from_millis(1_500));
         deployment.daemons[index].kill();
@@ -90,7 +92,7 @@
         deployment.daemons[index + 1].signal("CONT");
         deployment.daemons[index] = deployment.spawn_daemon(index);
     }
-    let report = callers.join().expect("the callers end");
+    let report = callers.join().expect("the client threads panicked");
     expect_that!(report.wrong, eq(0), "{report:?}");
     expect_that!(report.not_run, eq(0), "{report:?}");
     expect_that!(report.failed, eq(0), "{report:?}");
@@ -98,9 +100,10 @@
     expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
-/// Promise 6: the daemon that stops only follows the request, which another one holds.
+/// Promise 6: a daemon that relays a stream held by another daemon is stopped. Both clients, that
+/// of the holder and that of the stopped daemon, get the complete stream.
 #[googletest::test]
-fn planned_stop_of_a_follower_cuts_nothing_off() {
+fn planned_stop_of_a_following_daemon_breaks_no_stream() {
     const TOKENS: usize = 250;
     let mut deployment = Deployment::start(Layout::default());
     let caller = start_caller(deployment.caller(0), "k-follow", TOKENS);
@@ -109,15 +112,17 @@
     let follower = std::thread::spawn(move || {
         stream(daemon, "k-follow", &completion("moon over the mill", TOKENS), 0, |count| {
             if count == 20 {
-                sender.send(()).expect("the test waits");
+                sender.send(()).expect("the test no longer waits for tokens");
             }
         })
     });
-    receiver.recv().expect("twenty tokens arrive");
+    receiver.recv().expect("the stream ended before its twentieth token");
     deployment.daemons[1].signal("TERM");
-    for taken in [follower, caller].map(|caller| caller.join().expect("the caller ends")) {
-        expect_true!(taken.complete);
-        expect_that!(taken.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
+    for received in
+        [follower, caller].map(|caller| caller.join().expect("the client thread panicked"))
+    {
+        expect_true!(received.complete);
+        expect_that!(received.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     }
     expect_that!(deployment.daemons[1].wait(), some(eq(0)));
 }
--- a/tests/native/promises/streams.rs
+++ b/tests/native/promises/streams.rs
@@ -1,4 +1,4 @@
-//! Streams survive daemons, zones and engines that go.
+//! Streams survive the loss of daemons, availability zones and engines.
 
 use std::{net::SocketAddr, sync::mpsc, time::Duration};
 
@@ -14,9 +14,9 @@
 
 use super::{DaemonFault, resume, start_caller};
 
-/// Promises 1 and 2: the daemon of a stream is lost without notice; the caller comes
-/// back elsewhere and gets the rest, no token twice or missing.
-fn stream_survives_its_daemon(fault: DaemonFault, both_ask_elsewhere: bool) {
+/// Promises 1 and 2: the daemon of a stream is killed or suspended without notice. The client
+/// resumes at another daemon and gets the rest, with no token repeated or missing.
+fn stream_survives_loss_of_its_daemon(fault: DaemonFault, two_clients: bool) {
     const TOKENS: usize = 150;
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
     let caller = start_caller(deployment.caller(0), "k-lost", TOKENS);
@@ -25,20 +25,21 @@
         DaemonFault::Suspend => deployment.daemons[0].signal("STOP"),
     }
     let others: Vec<SocketAddr> = (1..4).map(|index| deployment.caller(index)).collect();
-    let taken = match fault {
-        DaemonFault::Kill => caller.join().expect("the caller ends"),
-        // A caller of a frozen daemon gives up by itself and asks from the beginning.
+    let received = match fault {
+        DaemonFault::Kill => caller.join().expect("the client thread panicked"),
+        // The client of a suspended daemon gives up by itself and starts again from the first
+        // token.
         DaemonFault::Suspend => Stream::default(),
     };
-    let second = both_ask_elsewhere.then(|| {
+    let second = two_clients.then(|| {
         let other = others[1];
         std::thread::spawn(move || resume(&[other], "k-lost", TOKENS, Stream::default()))
     });
-    let whole = resume(&others, "k-lost", TOKENS, taken);
-    expect_true!(whole.complete);
-    expect_that!(whole.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
+    let complete = resume(&others, "k-lost", TOKENS, received);
+    expect_true!(complete.complete);
+    expect_that!(complete.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     if let Some(second) = second {
-        let second = second.join().expect("the second caller ends");
+        let second = second.join().expect("the second client thread panicked");
         expect_that!(second.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
     }
     if matches!(fault, DaemonFault::Suspend) {
@@ -46,38 +47,40 @@
     }
 }
 
-cases!(stream_survives_its_daemon:
+cases!(stream_survives_loss_of_its_daemon:
     stream_survives_killed_daemon(DaemonFault::Kill, false),
     stream_survives_killed_daemon_with_two_callers(DaemonFault::Kill, true),
-    stream_survives_frozen_daemon(DaemonFault::Suspend, false),
-    stream_survives_frozen_daemon_with_two_callers(DaemonFault::Suspend, true),
+    stream_survives_suspended_daemon(DaemonFault::Suspend, false),
+    stream_survives_suspended_daemon_with_two_callers(DaemonFault::Suspend, true),
 );
 
-/// Promise 1: tokens already copied are not computed again after a take-over.
+/// Promise 1: guards against a take-over that generates tokens again which the new daemon already
+/// has as copies.
 #[googletest::test]
 fn take_over_goes_on_from_copied_tokens() {
     let mut deployment = Deployment::start(Layout { daemons: 4, ..Layout::default() });
     let caller = start_caller(deployment.caller(0), "k-goes-on", 150);
     std::thread::sleep(Duration::from_millis(400));
     deployment.daemons[0].kill();
-    let taken = caller.join().expect("the caller ends");
-    let before = taken.tokens.len();
+    let received = caller.join().expect("the client thread panicked");
+    let before = received.tokens.len();
     let others: Vec<SocketAddr> = (1..4).map(|index| deployment.caller(index)).collect();
-    let whole = resume(&others, "k-goes-on", 150, taken);
-    expect_true!(whole.complete);
+    let complete = resume(&others, "k-goes-on", 150, received);
+    expect_true!(complete.complete);
     let generated: u64 = (0..3).map(|index| deployment.counts(index).generated_tokens).sum();
-    // Copies lag by a few tokens; those, and those in flight, are made twice.
+    // Copies lag by a few tokens; these, and the tokens in flight, are generated twice.
     expect_that!(generated, lt(150 + before as u64 / 2 + 15));
 }
 
-/// Promise 1: a zone goes, daemons and engines at once, and the next one after it.
+/// Promise 1: all daemons and engines of an availability zone are killed at the same time, then
+/// those of the next zone, to which the client has moved.
 #[googletest::test]
-fn stream_survives_two_zones_one_after_another() {
+fn stream_survives_loss_of_two_zones_one_after_another() {
     const TOKENS: usize = 200;
     let layout = Layout { daemons: 8, engines: 8, ..Layout::default() };
     let mut deployment = Deployment::start(layout);
     let caller = start_caller(deployment.caller(0), "k-zones", TOKENS);
-    let mut taken = Stream::default();
+    let mut received = Stream::default();
     let mut caller = Some(caller);
     for zone in [0, 1] {
         for index in [zone, zone + 4] {
@@ -85,17 +88,17 @@
             deployment.endpoints[index].kill();
         }
         if let Some(first) = caller.take() {
-            taken = first.join().expect("the caller ends");
+            received = first.join().expect("the client thread panicked");
         }
         let daemon = deployment.caller(zone + 1);
         let more = {
             let body = completion("moon over the mill", TOKENS);
-            let have = taken.tokens.len();
+            let token_count = received.tokens.len();
             let limit = if zone == 0 { 60 } else { usize::MAX };
             let mut seen = 0;
             let (sender, receiver) = mpsc::channel();
             let running = std::thread::spawn(move || {
-                stream(daemon, "k-zones", &body, have, |_| {
+                stream(daemon, "k-zones", &body, token_count, |_| {
                     seen += 1;
                     if seen == limit {
                         let _ = sender.send(());
@@ -109,18 +112,19 @@
                     deployment.endpoints[index].kill();
                 }
             }
-            running.join().expect("the caller ends")
+            running.join().expect("the client thread panicked")
         };
-        taken.tokens.extend(more.tokens);
-        taken.complete = more.complete;
+        received.tokens.extend(more.tokens);
+        received.complete = more.complete;
     }
     let others: Vec<SocketAddr> = [2, 3, 6, 7].map(|index| deployment.caller(index)).to_vec();
-    let whole = resume(&others, "k-zones", TOKENS, taken);
-    expect_true!(whole.complete);
-    expect_that!(whole.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
+    let complete = resume(&others, "k-zones", TOKENS, received);
+    expect_true!(complete.complete);
+    expect_that!(complete.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
 }
 
-/// Promise 1: the daemon's own VM gets a notice of two seconds; the platform is down.
+/// Promise 1: the VM of the stream's daemon gets a reclaim notice of about two seconds (2.5 s)
+/// while the platform is down.
 #[googletest::test]
 fn stream_survives_reclaim_of_its_daemon_during_outage() {
     const TOKENS: usize = 600;
@@ -133,16 +137,17 @@
     // The notice reaches only another daemon.
     expect_that!(post(deployment.admin(2), "/notices", &[], &notice.to_string()).status, eq(200));
     expect_that!(deployment.daemons[0].wait(), some(eq(0)));
-    let taken = caller.join().expect("the caller ends");
-    expect_false!(taken.complete);
+    let received = caller.join().expect("the client thread panicked");
+    expect_false!(received.complete);
     let others: Vec<SocketAddr> = (1..4).map(|index| deployment.caller(index)).collect();
-    let whole = resume(&others, "k-reclaim", TOKENS, taken);
-    expect_true!(whole.complete);
-    expect_that!(whole.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
+    let complete = resume(&others, "k-reclaim", TOKENS, received);
+    expect_true!(complete.complete);
+    expect_that!(complete.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
 }
 
-/// Promise 5: the notice reaches one daemon, the VM list lags, the platform is down;
-/// two seconds later nobody sends the VM anything new.
+/// Promise 5: the reclaim notice reaches only one daemon, while the platform is down and its VM
+/// list lags. Guards against the other daemons still sending new requests to the VM two seconds
+/// later.
 #[googletest::test]
 fn leaving_endpoint_gets_nothing_new() {
     let deployment = Deployment::start(Layout { daemons: 4, engines: 3, ..Layout::default() });
@@ -163,7 +168,8 @@
     expect_that!(deployment.counts(1).begun, eq(before));
 }
 
-/// Promises 1 and 5: streams on an engine with a notice are moved off it, whole.
+/// Promises 1 and 5: the streams of an engine whose VM is reclaimed continue on another engine, and
+/// the client gets them complete.
 #[googletest::test]
 fn streams_leave_a_reclaimed_engine_whole() {
     const TOKENS: usize = 300;
@@ -173,18 +179,19 @@
         let load = try_get(deployment.endpoint(*index), "/load").unwrap_or_default();
         load["running"].as_u64() > Some(0)
     });
-    let busy = busy.expect("one engine is busy");
+    let busy = busy.expect("no engine has a running stream");
     let order = json!({ "vm": format!("vm-{busy}"), "seconds": 1.5 });
     post(deployment.platform_address(), "/reclaim", &[], &order.to_string());
     std::thread::sleep(Duration::from_millis(1_500));
     deployment.endpoints[busy].kill();
-    let taken = caller.join().expect("the caller ends");
-    expect_true!(taken.complete);
-    expect_that!(taken.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
+    let received = caller.join().expect("the client thread panicked");
+    expect_true!(received.complete);
+    expect_that!(received.tokens.concat(), eq(&expected("moon over the mill", TOKENS)));
 }
 
-/// Promises 1 and 2: a daemon freezes with several streams; callers of each ask all the
-/// other daemons at once, which take over from each other. Every caller gets its answer.
+/// Promises 1 and 2: a daemon with several streams is suspended; clients request each stream from
+/// all other daemons at once, and these take it over from each other. Guards against a client that
+/// waits forever because the daemon it asked lost its take-over to another one.
 #[googletest::test]
 fn rival_take_overs_leave_no_caller_waiting() {
     const TOKENS: usize = 60;
@@ -199,7 +206,9 @@
             })
         })
         .collect();
-    eventually("the streams run", || (deployment.metric(0, "attempts") >= 12.0).then_some(()));
+    eventually("the streams have started", || {
+        (deployment.metric(0, "attempts") >= 12.0).then_some(())
+    });
     deployment.daemons[0].signal("STOP");
     let (sender, receiver) = mpsc::channel();
     for number in 0..KEYS {
@@ -207,8 +216,8 @@
             let (daemon, sender) = (deployment.caller(index), sender.clone());
             std::thread::spawn(move || {
                 let key = format!("k-rival-{number}");
-                let taken = resume(&[daemon], &key, TOKENS, Stream::default());
-                let _ = sender.send(taken.tokens.concat());
+                let received = resume(&[daemon], &key, TOKENS, Stream::default());
+                let _ = sender.send(received.tokens.concat());
             });
         }
     }
