--- a/tests/native/at_most_once.rs
+++ b/tests/native/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Outcomes and tickets: "not run" is said only of what did not run, and nothing runs twice.
+//! Outcomes and tickets: "not run" is reported only for requests that did not run, and no ticket
+//! runs twice.
 
 use std::time::Duration;
 
@@ -21,8 +22,8 @@
 
 use crate::request_store::call;
 
-/// Promise 3: after a dispatch has begun, only the endpoint's own evidence brings "not
-/// run" back, and never after an earlier attempt.
+/// Promise 3: once a dispatch has begun, the outcome is "not run" only if the endpoint itself
+/// confirms that it did not start the request, and never after an earlier attempt.
 #[googletest::test]
 fn not_run_needs_evidence_once_dispatched() {
     let marked: hyper::HeaderMap = [(
@@ -44,8 +45,10 @@
     expect_that!(give_up(taken.not_started(evidence)), pat!(FinalResponse::Unknown(anything())));
 }
 
+/// Guards against malformed tickets that are accepted, and against tickets that change when they
+/// are printed and parsed again.
 #[googletest::test]
-fn ticket_text_round_trips_and_garbage_is_refused() {
+fn ticket_text_round_trips_and_malformed_text_is_refused() {
     let ticket = TicketId {
         holder: IncarnationId(7),
         witness: IncarnationId(u64::MAX),
@@ -53,14 +56,15 @@
         scope: TicketId::scope_of("reader"),
     };
     expect_that!(ticket.to_string().parse::<TicketId>(), ok(eq(ticket)));
-    for garbage in ["", "wt1", "wt1.1.2.3", "wt2.1.2.3.4", "wt1.x.2.3.4", "wt1.1.2.3.4.5"] {
-        expect_that!(garbage.parse::<TicketId>(), err(anything()), "{garbage}");
+    for malformed in ["", "wt1", "wt1.1.2.3", "wt2.1.2.3.4", "wt1.x.2.3.4", "wt1.1.2.3.4.5"] {
+        expect_that!(malformed.parse::<TicketId>(), err(anything()), "{malformed}");
     }
 }
 
-/// A witness that has forgotten a ticket neither grants nor denies that it ran.
+/// Guards against "not run" for a ticket that ran: a witness whose entry for the ticket has expired
+/// reports that it may have run, and does not grant it again.
 #[googletest::test]
-fn forgotten_ticket_is_never_called_not_run() {
+fn expired_ticket_is_never_reported_as_not_run() {
     let now = Instant::now();
     let mut witness = WitnessLedger::default();
     let ticket = |sequence| TicketId {
@@ -75,96 +79,101 @@
     expect_that!(witness.consent(ticket(1), later), eq(ConsentVerdict::Sealed));
 }
 
-/// What may happen to one ticket, in any order and any number of times.
+/// Events that can occur for one ticket, in any order and any number of times.
 #[derive(Clone, Copy, Debug)]
 enum TicketEvent {
-    CallerAsksHolder,
+    ClientCallsHolder,
     ConsentArrives,
-    OtherSeals,
-    HolderEnds,
+    OtherDaemonSeals,
+    HolderEndsRequest,
     SettleArrives,
-    HolderDies,
+    HolderCrashes,
 }
 
 fn ticket_event() -> impl Strategy<Value = TicketEvent> {
     prop_oneof![
-        Just(TicketEvent::CallerAsksHolder),
+        Just(TicketEvent::ClientCallsHolder),
         Just(TicketEvent::ConsentArrives),
-        Just(TicketEvent::OtherSeals),
-        Just(TicketEvent::HolderEnds),
+        Just(TicketEvent::OtherDaemonSeals),
+        Just(TicketEvent::HolderEndsRequest),
         Just(TicketEvent::SettleArrives),
-        Just(TicketEvent::HolderDies),
+        Just(TicketEvent::HolderCrashes),
     ]
 }
 
-/// Plays one ticket through `events`; counts dispatches, and notes what was said.
+/// State of a simulated ticket: number of dispatches, and whether "not run" was reported.
 #[derive(Default)]
-struct TicketPlay {
+struct TicketRun {
     dispatches: u32,
-    said_not_run: bool,
-    asks_consent: bool,
+    reported_not_run: bool,
+    awaits_consent: bool,
     running: bool,
     ended: bool,
-    dead: bool,
+    crashed: bool,
 }
 
-fn play(events: &[TicketEvent]) -> TicketPlay {
+/// Applies `events` to one ticket, its holder and its witness.
+fn apply_events(events: &[TicketEvent]) -> TicketRun {
     let now = Instant::now();
     let digest = [3; 32];
     let mut held = TicketLedger::new(IncarnationId(1));
     let mut witness = WitnessLedger::default();
     let ticket = held.issue(IncarnationId(2), 5, now);
-    let mut play = TicketPlay::default();
+    let mut run = TicketRun::default();
     for event in events {
         match event {
-            TicketEvent::CallerAsksHolder
-                if !play.dead && held.begin(ticket, digest) == TicketUse::Granted =>
+            TicketEvent::ClientCallsHolder
+                if !run.crashed && held.begin(ticket, digest) == TicketUse::Granted =>
             {
-                play.asks_consent = true;
+                run.awaits_consent = true;
             }
-            TicketEvent::ConsentArrives if play.asks_consent => {
-                // The witness writes it down even if the holder is dead by now.
+            TicketEvent::ConsentArrives if run.awaits_consent => {
+                // The witness records its consent even if the holder has crashed meanwhile.
                 let verdict = witness.consent(ticket, now);
-                play.asks_consent = false;
-                if verdict == ConsentVerdict::Granted && !play.dead {
-                    play.dispatches += 1;
-                    play.running = true;
+                run.awaits_consent = false;
+                if verdict == ConsentVerdict::Granted && !run.crashed {
+                    run.dispatches += 1;
+                    run.running = true;
                 }
             }
-            TicketEvent::OtherSeals if witness.seal(ticket, now) == SealVerdict::NotDispatched => {
-                play.said_not_run = true;
+            TicketEvent::OtherDaemonSeals
+                if witness.seal(ticket, now) == SealVerdict::NotDispatched =>
+            {
+                run.reported_not_run = true;
             }
-            TicketEvent::HolderEnds if play.running && !play.dead => {
+            TicketEvent::HolderEndsRequest if run.running && !run.crashed => {
                 held.end(ticket, FinalResponse::Streamed);
-                play.running = false;
-                play.ended = true;
+                run.running = false;
+                run.ended = true;
             }
-            TicketEvent::SettleArrives if play.ended => {
+            TicketEvent::SettleArrives if run.ended => {
                 let settled = SettledResponse { digest, response: FinalResponse::Streamed };
                 witness.settle(ticket, settled, now);
             }
-            TicketEvent::HolderDies => play.dead = true,
+            TicketEvent::HolderCrashes => run.crashed = true,
             _ => {}
         }
     }
-    play
+    run
 }
 
 proptest! {
+    /// Guards against a ticket that is dispatched twice, or that is reported as "not run" although
+    /// it was dispatched, for any order of requests, messages and crashes.
     #[test]
     fn ticket_runs_at_most_once_and_not_run_is_true(events in vec(ticket_event(), 0..40)) {
-        let play = play(&events);
-        prop_assert!(play.dispatches <= 1);
-        prop_assert!(!(play.said_not_run && play.dispatches > 0));
+        let run = apply_events(&events);
+        prop_assert!(run.dispatches <= 1);
+        prop_assert!(!(run.reported_not_run && run.dispatches > 0));
     }
 }
 
-/// Counts how often a play dispatches, to show that the property above is not empty.
+/// Shows that the property above is not vacuous: some event sequences do dispatch the ticket.
 #[googletest::test]
-fn plays_do_dispatch() {
-    let events = [TicketEvent::CallerAsksHolder, TicketEvent::ConsentArrives];
-    expect_that!(play(&events).dispatches, eq(1));
-    let sealed = [TicketEvent::OtherSeals, events[0], events[1]];
-    expect_that!(play(&sealed).dispatches, eq(0));
-    expect_true!(play(&sealed).said_not_run);
+fn event_sequences_can_dispatch_the_ticket() {
+    let events = [TicketEvent::ClientCallsHolder, TicketEvent::ConsentArrives];
+    expect_that!(apply_events(&events).dispatches, eq(1));
+    let sealed = [TicketEvent::OtherDaemonSeals, events[0], events[1]];
+    expect_that!(apply_events(&sealed).dispatches, eq(0));
+    expect_true!(apply_events(&sealed).reported_not_run);
 }
--- a/tests/native/cluster_model.rs
+++ b/tests/native/cluster_model.rs
@@ -1,4 +1,5 @@
-//! Membership and spread of many cores in one process, under loss, cuts, freezes.
+//! Membership and gossip of many cluster cores in one process, under message loss, partitions and
+//! suspensions.
 
 use std::time::Duration;
 
@@ -31,10 +32,13 @@
     fleet.nodes[node].core.items().version(&key)
 }
 
-fn in_force(fleet: &InMemoryFleet, name: &str, version: u64) -> bool {
+/// Whether all nodes have the row `name` in `version`.
+fn all_nodes_have(fleet: &InMemoryFleet, name: &str, version: u64) -> bool {
     (0..fleet.nodes.len()).all(|node| version_at(fleet, node, name) == Some(version))
 }
 
+/// Guards against nodes that start at the same time, with three known addresses, and do not find
+/// each other within 30 s.
 fn cold_start_agrees(count: usize, loss: f64, seed: u64) {
     let mut fleet = InMemoryFleet::new(count, 4, seed);
     fleet.loss = loss;
@@ -49,13 +53,15 @@
     cold_start_of_64_with_loss(64, 0.05, 4),
 );
 
+/// Guards against an edit, known to one node at first, that does not reach all nodes within 10 s of
+/// simulated time.
 fn edit_reaches_all(count: usize, loss: f64, seed: u64) {
     let mut fleet = InMemoryFleet::new(count, 4, seed);
     fleet.introduce_all();
     fleet.loss = loss;
     fleet.run_until(seconds(3));
     fleet.inject(count / 2, row("reader", 2.0, 9));
-    let found = fleet.run_until_holds(seconds(20), |fleet| in_force(fleet, "reader", 9));
+    let found = fleet.run_until_holds(seconds(20), |fleet| all_nodes_have(fleet, "reader", 9));
     expect_that!(found, some(lt(seconds(10))));
 }
 
@@ -65,8 +71,9 @@
     edit_reaches_all_200(200, 0.0, 3),
 );
 
-/// A frozen daemon is suspected, refutes when thawed, and is not removed.
-fn freeze_does_not_remove(millis: u64, seed: u64) {
+/// Guards against the removal of a node that is suspended for a few seconds: it is suspected, and
+/// refutes the suspicion when it resumes.
+fn short_suspension_does_not_remove_the_node(millis: u64, seed: u64) {
     let mut fleet = InMemoryFleet::new(16, 4, seed);
     fleet.introduce_all();
     fleet.run_until(seconds(3));
@@ -76,26 +83,31 @@
     expect_true!(fleet.agrees());
 }
 
-cases!(freeze_does_not_remove:
-    freeze_of_one_second(1_000, 1),
-    freeze_of_three_seconds(3_000, 2),
+cases!(short_suspension_does_not_remove_the_node:
+    suspension_of_one_second(1_000, 1),
+    suspension_of_three_seconds(3_000, 2),
 );
 
+/// Guards against a node that is still listed after a suspension of 12 s, or that does not rejoin
+/// after it resumes.
 #[googletest::test]
-fn long_freeze_removes_and_thaw_brings_back() {
+fn node_is_removed_in_a_long_suspension_and_rejoins_after_it() {
     let mut fleet = InMemoryFleet::new(16, 4, 3);
     fleet.introduce_all();
     fleet.run_until(seconds(3));
     fleet.suspend(5, seconds(20));
     fleet.run_until(seconds(15));
-    let frozen = fleet.nodes[5].core.own();
-    let present = fleet.nodes[0].core.members().get(frozen).is_some_and(|view| view.is_present());
+    let suspended = fleet.nodes[5].core.own();
+    let present =
+        fleet.nodes[0].core.members().get(suspended).is_some_and(|view| view.is_present());
     expect_false!(present);
     expect_that!(fleet.run_until_holds(seconds(60), InMemoryFleet::agrees), some(anything()));
 }
 
+/// Guards against a killed node that stays in the member lists, and against a node restarted at the
+/// same address that is not added to them.
 #[googletest::test]
-fn killed_node_is_removed_and_its_successor_known() {
+fn killed_node_is_removed_and_its_successor_joins() {
     let mut fleet = InMemoryFleet::new(24, 4, 5);
     fleet.introduce_all();
     fleet.run_until(seconds(3));
@@ -105,8 +117,9 @@
     expect_that!(fleet.run_until_holds(seconds(30), InMemoryFleet::agrees), some(anything()));
 }
 
+/// Guards against rows that are lost in a rolling restart, in which every node loses its memory.
 #[googletest::test]
-fn all_replaced_one_after_another_keep_the_rows() {
+fn rolling_restart_of_all_nodes_keeps_the_rows() {
     let mut fleet = InMemoryFleet::new(8, 4, 6);
     fleet.introduce_all();
     fleet.inject(0, row("reader", 2.0, 9));
@@ -121,8 +134,9 @@
     }
 }
 
-/// Two sides edit apart, heal, and converge on the newest versions; nothing goes back.
-fn cut_zone_converges_after_healing(cut_seconds: u64, seed: u64) {
+/// Both sides of a partition get edits. Guards against sides that do not converge on the newest
+/// versions after it heals, or that revert a row.
+fn partitioned_zone_converges_after_healing(partition_seconds: u64, seed: u64) {
     let mut fleet = InMemoryFleet::new(16, 4, seed);
     fleet.introduce_all();
     fleet.inject(0, row("reader", 1.0, 5));
@@ -130,26 +144,27 @@
     fleet.partitioned_zone = Some(1);
     fleet.inject(0, row("reader", 2.0, 7));
     fleet.inject(1, row("press", 3.0, 6));
-    fleet.run_until(seconds(3 + cut_seconds));
+    fleet.run_until(seconds(3 + partition_seconds));
     expect_that!(version_at(&fleet, 1, "reader"), some(eq(5)));
     expect_that!(version_at(&fleet, 2, "reader"), some(eq(7)));
     expect_that!(version_at(&fleet, 5, "press"), some(eq(6)));
     fleet.partitioned_zone = None;
     let until = fleet.now() + seconds(60);
     let healed = fleet.run_until_holds(until, |fleet| {
-        fleet.agrees() && in_force(fleet, "reader", 7) && in_force(fleet, "press", 6)
+        fleet.agrees() && all_nodes_have(fleet, "reader", 7) && all_nodes_have(fleet, "press", 6)
     });
     expect_that!(healed, some(anything()));
 }
 
-cases!(cut_zone_converges_after_healing:
-    cut_of_three_seconds(3, 1),
-    cut_of_sixty_seconds(60, 2),
+cases!(partitioned_zone_converges_after_healing:
+    partition_of_three_seconds(3, 1),
+    partition_of_sixty_seconds(60, 2),
 );
 
-/// Stale and corrupt items change nothing.
+/// Guards against items of an older version, or with a value that is not valid JSON, that replace
+/// a valid row on any node.
 #[googletest::test]
-fn stale_and_corrupt_items_do_not_take_a_rows_place() {
+fn stale_and_corrupt_items_do_not_replace_a_row() {
     let mut fleet = InMemoryFleet::new(8, 4, 8);
     fleet.introduce_all();
     fleet.inject(0, row("reader", 2.0, 9));
@@ -160,11 +175,12 @@
     fleet.inject(3, row("reader", 1.0, 4));
     fleet.inject(3, corrupt);
     fleet.run_until(seconds(5));
-    expect_true!(in_force(&fleet, "reader", 9));
+    expect_true!(all_nodes_have(&fleet, "reader", 9));
 }
 
+/// Guards against nodes that do not learn within 10 s that a member leaves.
 #[googletest::test]
-fn leaving_member_is_known_as_leaving() {
+fn all_nodes_learn_that_a_member_leaves() {
     let mut fleet = InMemoryFleet::new(8, 4, 9);
     fleet.introduce_all();
     fleet.run_until(seconds(1));
@@ -196,8 +212,9 @@
     members
 }
 
-/// Copies are spread evenly, over zones that differ, and move little when one leaves.
-fn placement_is_even_and_steady(count: u64) {
+/// Guards against copies that pile up on few members or share an availability zone, and against
+/// a placement that moves most copies when one member leaves.
+fn placement_is_even_and_changes_little_when_a_member_leaves(count: u64) {
     const NAMES: usize = 4_000;
     let mut members = member_list(count);
     let placed = |members: &MemberList| -> Vec<Vec<IncarnationId>> {
@@ -220,20 +237,20 @@
     let after = placed(&members);
     let moved = before.iter().zip(&after).filter(|(before, after)| before != after).count();
     let affected = before.iter().filter(|copies| copies.contains(&gone)).count();
-    // Those that had a copy there must move; windows that the member was in without
-    // being chosen may choose its neighbour instead.
+    // Copies on the removed member must move. Windows that contained the member without choosing
+    // it may now choose its neighbour instead.
     expect_that!(moved, le(affected * 3));
 }
 
-cases!(placement_is_even_and_steady:
+cases!(placement_is_even_and_changes_little_when_a_member_leaves:
     placement_over_8(8),
     placement_over_64(64),
     placement_over_500(500),
 );
 
 proptest::proptest! {
-    /// However offers are ordered and repeated, the newest version is kept, and two
-    /// stores that saw the same items have the same summary.
+    /// For any order and repetition of offers the newest version is kept, and two stores that got
+    /// the same items have the same summary.
     #[test]
     fn item_store_keeps_the_newest(
         offers in proptest::collection::vec((0_u8..6, 0_u64..20), 1..60),
--- a/tests/native/in_memory_fleet.rs
+++ b/tests/native/in_memory_fleet.rs
@@ -1,5 +1,5 @@
 //! Many cluster cores in one process, on a simulated clock: a loop carries messages between
-//! them with delay, loss, cuts, freezes and kills. The cores are the daemons' own; only the
+//! them with delays, losses, partitions, suspensions and kills. The cores are the daemons' own; only the
 //! connections between peers are replaced. benches/fleet.rs uses it too.
 
 use std::{
@@ -22,19 +22,19 @@
     },
 };
 
-/// Interval between ticks of a core, as the cluster service has it.
+/// Interval between ticks of a core, the same as in the cluster service.
 const TICK: Duration = Duration::from_millis(50);
-/// Time after which a probe has failed, as `native::peer` has it.
+/// Time after which a probe has failed, the same as in `native::peer`.
 const PROBE_LIMIT: Duration = Duration::from_millis(500);
-/// Bytes of a message beside its items, as seen on the wire (frames and RPC envelope,
-/// call and return together).
+/// Bytes of a message without its items, as seen on the wire: frames and RPC envelope of call and
+/// return together.
 const ENVELOPE_BYTES: u64 = 200;
 /// Bytes of a key with its version.
 const VERSION_BYTES: u64 = 40;
 /// Interval at which a condition is checked.
 const CHECK_EVERY: Duration = Duration::from_millis(10);
 
-/// Traffic of one node.
+/// Messages and bytes of one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeTraffic {
     /// Messages sent.
@@ -43,7 +43,7 @@
     pub bytes: u64,
 }
 
-/// One node.
+/// A simulated node.
 pub struct FleetNode {
     /// Its core.
     pub core: ClusterCore,
@@ -64,7 +64,7 @@
 
 type QueueEntry = (Duration, u64, usize);
 
-/// The nodes and what is under way between them.
+/// Simulated nodes and the events scheduled for them.
 pub struct InMemoryFleet {
     base: Instant,
     now: Duration,
@@ -72,7 +72,7 @@
     pub nodes: Vec<FleetNode>,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Zone that is cut off from the others.
+    /// Availability zone that is partitioned from the others.
     pub partitioned_zone: Option<usize>,
     by_address: HashMap<SharedName, usize>,
     queue: BinaryHeap<Reverse<QueueEntry>>,
@@ -82,7 +82,8 @@
 }
 
 impl InMemoryFleet {
-    /// Fleet of `count` nodes over `zones` zones that know only the first three.
+    /// Creates `count` nodes in `zones` availability zones; each knows only the addresses of the
+    /// first three nodes.
     pub fn new(count: usize, zones: usize, seed: u64) -> Self {
         let mut fleet = Self {
             base: Instant::now(),
@@ -102,7 +103,7 @@
         fleet
     }
 
-    /// Adds a node that knows only the first three.
+    /// Adds a node that knows only the addresses of the first three nodes.
     pub fn add_node(&mut self, zone: usize) -> usize {
         let index = self.nodes.len();
         let address: SharedName = format!("node-{index}:1").into();
@@ -117,7 +118,7 @@
     }
 
     fn new_core(&mut self, zone: usize, address: &SharedName) -> ClusterCore {
-        // Later starts must have higher numbers, as real ones do.
+        // As with real daemons, a later start must have a higher incarnation number.
         let incarnation =
             IncarnationId((self.next_event + 1) << 24 | self.rng.random::<u32>() as u64 >> 8);
         self.next_event += 1;
@@ -139,12 +140,12 @@
         self.base + self.now
     }
 
-    /// Time since the start.
+    /// Simulated time since the start.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Gives every node every other node's member item, as after a long quiet time.
+    /// Gives every node the member items of all others, as after a long time without changes.
     pub fn introduce_all(&mut self) {
         let now = self.instant();
         let items: Vec<SpreadItem> = self
@@ -168,7 +169,7 @@
         self.nodes[index].up = false;
     }
 
-    /// Starts a killed or running node anew, at the same address.
+    /// Restarts a killed or running node at the same address, with a new incarnation.
     pub fn restart(&mut self, index: usize) {
         let (zone, address) = (self.nodes[index].zone, self.nodes[index].address.clone());
         let core = self.new_core(zone, &address);
@@ -179,17 +180,17 @@
         }
     }
 
-    /// Freezes a node for a time.
+    /// Suspends a node for `length`; its events wait until then.
     pub fn suspend(&mut self, index: usize, length: Duration) {
         self.nodes[index].suspended_until = self.now + length;
     }
 
-    /// Has a node learn an item from outside.
+    /// Delivers an item to a node from outside the fleet.
     pub fn inject(&mut self, index: usize, item: SpreadItem) {
         self.schedule(self.now, index, NodeEvent::Core(ClusterEvent::Items(None, vec![item])));
     }
 
-    /// Runs until `until`.
+    /// Runs until the simulated time `until`.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse((at, _, _))) = self.queue.peek() {
             if *at > until {
@@ -200,7 +201,8 @@
         self.now = self.now.max(until);
     }
 
-    /// Runs until `holds` says so, checked every 10 ms; `None` if not by `until`.
+    /// Runs until `holds` returns true, checked every 10 ms, and returns the time; `None` if that is
+    /// not so by `until`.
     pub fn run_until_holds(
         &mut self,
         until: Duration,
@@ -230,8 +232,8 @@
             return;
         }
         if node.suspended_until > self.now {
-            let thawed_at = node.suspended_until;
-            self.schedule(thawed_at, index, event);
+            let resumed_at = node.suspended_until;
+            self.schedule(resumed_at, index, event);
             return;
         }
         let event = match event {
@@ -244,7 +246,7 @@
         let instant = self.instant();
         let actions = self.nodes[index].core.on(instant, event);
         for action in actions {
-            self.carry_out(index, action);
+            self.perform(index, action);
         }
     }
 
@@ -253,11 +255,11 @@
     }
 
     fn reaches(&mut self, from: usize, to: usize) -> bool {
-        let cut = self
+        let partitioned = self
             .partitioned_zone
             .is_some_and(|zone| (self.nodes[from].zone == zone) != (self.nodes[to].zone == zone));
         let lost = self.loss > 0.0 && self.rng.random_range(0.0..1.0) < self.loss;
-        self.nodes[to].up && !cut && !lost
+        self.nodes[to].up && !partitioned && !lost
     }
 
     fn count(&mut self, from: usize, to: usize, bytes: u64) {
@@ -267,13 +269,13 @@
         self.nodes[to].traffic.bytes += bytes;
     }
 
-    /// Node that answers at the target's address, and whether it is the expected one.
+    /// Node at the target's address, and whether it has the expected incarnation.
     fn find(&self, target: &PeerTarget) -> Option<(usize, bool)> {
         let index = *self.by_address.get(&target.address)?;
         Some((index, self.nodes[index].core.own() == target.incarnation))
     }
 
-    fn carry_out(&mut self, from: usize, action: ClusterAction) {
+    fn perform(&mut self, from: usize, action: ClusterAction) {
         match action {
             ClusterAction::Greet(address) => self.greet(from, &address),
             ClusterAction::Probe(target) => self.probe(from, &target),
@@ -326,12 +328,12 @@
         for helper in helpers {
             let Some((helper, _)) = self.find(helper) else { continue };
             self.count(from, helper, 40);
-            let there =
+            let helper_reached =
                 self.reaches(from, helper) && self.nodes[helper].suspended_until <= self.now;
-            if there {
+            if helper_reached {
                 self.count(helper, to, 16);
-                let frozen = self.nodes[to].suspended_until > self.now;
-                alive |= self.reaches(helper, to) && !frozen && same;
+                let suspended = self.nodes[to].suspended_until > self.now;
+                alive |= self.reaches(helper, to) && !suspended && same;
             }
         }
         let refused = !self.nodes[to].up;
@@ -386,7 +388,7 @@
         }
     }
 
-    /// Whether every running node knows exactly the running nodes as members.
+    /// Whether the member list of every running node consists of exactly the running nodes.
     pub fn agrees(&self) -> bool {
         let mut running: Vec<IncarnationId> =
             self.nodes.iter().filter(|node| node.up).map(|node| node.core.own()).collect();
@@ -400,12 +402,12 @@
         })
     }
 
-    /// Removals that nodes made, all together.
+    /// Number of removals of members, added up over all nodes.
     pub fn removals(&self) -> u64 {
         self.nodes.iter().map(|node| node.core.counters().removed).sum()
     }
 
-    /// Traffic of a running node, the mean of all.
+    /// Mean traffic of the running nodes.
     #[allow(dead_code, reason = "the bench uses it")]
     pub fn traffic(&self) -> NodeTraffic {
         let running: Vec<&FleetNode> = self.nodes.iter().filter(|node| node.up).collect();
--- a/tests/native/request_store.rs
+++ b/tests/native/request_store.rs
@@ -1,4 +1,4 @@
-//! The request store against a naive model, over sequences of copies.
+//! The request store: rules for copies, compared with a naive model over sequences of copies.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
     },
 };
 
-/// A completion of this prompt.
+/// A completion request with this prompt.
 pub fn call(prompt: &str) -> Arc<ClientCall> {
     let content = CompletionCall { prompt: prompt.into(), max_tokens: 9, seed: 1, chat: false };
     Arc::new(ClientCall {
@@ -36,7 +36,8 @@
     RequestName::new("reader", "k")
 }
 
-fn news(term: u32, from: u64, first_token: usize, tokens: &[&str]) -> RequestCopy {
+/// Copy of tokens sent by holder `from` in takeover `term`, from index `first_token` on.
+fn request_copy(term: u32, from: u64, first_token: usize, tokens: &[&str]) -> RequestCopy {
     RequestCopy {
         name: name(),
         takeovers: term,
@@ -57,32 +58,38 @@
     store.read(&name(), 0).map(|copy| copy.tokens.concat()).unwrap_or_default()
 }
 
+/// Guards against a superseded holder that overwrites the tokens of its successor.
 #[googletest::test]
 fn older_term_changes_nothing() {
     let now = Instant::now();
     let mut store = store();
-    store.offer(news(0, 2, 0, &["a", "b"]), now);
-    expect_that!(store.offer(news(1, 3, 0, &["a", "b", "c"]), now), pat!(OfferVerdict::Stored));
-    // The first holder thaws and sends what it has: it is told who goes before it.
-    let late = store.offer(news(0, 2, 2, &["x", "y"]), now);
+    store.offer(request_copy(0, 2, 0, &["a", "b"]), now);
+    expect_that!(
+        store.offer(request_copy(1, 3, 0, &["a", "b", "c"]), now),
+        pat!(OfferVerdict::Stored)
+    );
+    // The first holder was suspended and now sends its tokens; the response names its successor.
+    let late = store.offer(request_copy(0, 2, 2, &["x", "y"]), now);
     expect_that!(late, pat!(OfferVerdict::Known(pat!(RequestCopy { takeovers: eq(&1), .. }))));
     expect_that!(text(&store), eq("abc"));
 }
 
+/// Guards against a holder that goes on writing after another daemon has taken the request over.
 #[googletest::test]
 fn superseded_holder_cannot_append_or_end() {
     let now = Instant::now();
     let mut store = store();
     store.claim(&name(), &call("p"), now);
     expect_true!(store.append(&name(), 0, "a".into()));
-    store.offer(news(1, 2, 0, &["a", "b"]), now);
+    store.offer(request_copy(1, 2, 0, &["a", "b"]), now);
     expect_false!(store.append(&name(), 0, "x".into()));
     expect_false!(store.end(&name(), 0, Arc::new(FinalResponse::Streamed), now));
     expect_that!(text(&store), eq("ab"));
 }
 
+/// Guards against a repeatable request that stays "unknown" although another attempt is possible.
 #[googletest::test]
-fn unanswered_end_may_be_tried_again() {
+fn request_ended_without_answer_can_be_taken_over() {
     let now = Instant::now();
     let mut store = store();
     store.claim(&name(), &call("p"), now);
@@ -94,23 +101,28 @@
     expect_that!(taken.response, none());
 }
 
+/// Guards against a complete response that a copy of a later term overwrites.
 #[googletest::test]
-fn answered_end_stands_against_any_term() {
+fn complete_response_is_not_replaced_by_a_copy_of_any_term() {
     let now = Instant::now();
     let mut store = store();
     store.claim(&name(), &call("p"), now);
     store.append(&name(), 0, "a".into());
     store.end(&name(), 0, Arc::new(FinalResponse::Streamed), now);
-    expect_that!(store.offer(news(9, 2, 0, &["x"]), now), pat!(OfferVerdict::Known(anything())));
+    expect_that!(
+        store.offer(request_copy(9, 2, 0, &["x"]), now),
+        pat!(OfferVerdict::Known(anything()))
+    );
     expect_that!(text(&store), eq("a"));
 }
 
+/// Guards against records that use more memory than the limit, or that never expire.
 #[googletest::test]
 fn records_expire_by_age_and_by_memory() {
     let now = Instant::now();
     let mut store = RequestStore::new(holder(1), Duration::from_secs(60), 2_000);
     for number in 0..20 {
-        let mut copy = news(0, 2, 0, &["token"]);
+        let mut copy = request_copy(0, 2, 0, &["token"]);
         copy.name = RequestName::new("reader", format!("k{number}"));
         store.offer(copy, now + Duration::from_millis(number));
     }
@@ -122,17 +134,17 @@
     expect_that!(store.bytes(), eq(0));
 }
 
-/// A token that the naive store below keeps: term, index, who wrote it.
+/// Record of the naive store: term, holder and tokens.
 type NaiveRecord = (u32, u64, Vec<String>);
 
-/// What copies of one request arrive: term, holder, first token, number of tokens.
+/// Copies of one request that arrive: term, holder, first token, number of tokens.
 fn copies() -> impl Strategy<Value = Vec<(u32, u64, usize, usize)>> {
     vec((0_u32..4, 2_u64..5, 0_usize..6, 0_usize..6), 1..40)
 }
 
 proptest! {
-    /// Differential: the store keeps what a naive reading of the rule keeps, for holders
-    /// that are one per term (as take-overs make them) and deterministic tokens.
+    /// Differential test: the store keeps the same tokens as a naive implementation of the rule.
+    /// Tokens are deterministic, and each term has one holder, as takeovers make them.
     #[test]
     fn store_follows_the_naive_rule(offers in copies()) {
         let now = Instant::now();
@@ -141,7 +153,7 @@
         for (term, from, first, count) in offers {
             let texts: Vec<String> = (first..first + count).map(|index| format!("t{index} ")).collect();
             let tokens: Vec<&str> = texts.iter().map(String::as_str).collect();
-            store.offer(news(term, from, first, &tokens), now);
+            store.offer(request_copy(term, from, first, &tokens), now);
             match &mut naive {
                 None if first == 0 => naive = Some((term, from, texts)),
                 None => {}
@@ -165,14 +177,14 @@
         }
     }
 
-    /// Bytes are given back in full, whatever happens.
+    /// Guards against a leak in the byte count: it is 0 again when all records have expired.
     #[test]
-    fn store_bytes_return_to_zero(offers in copies()) {
+    fn byte_count_is_zero_after_all_records_expire(offers in copies()) {
         let now = Instant::now();
         let mut store = store();
         for (term, from, first, count) in offers {
             let tokens = vec!["token"; count];
-            store.offer(news(term, from, first, &tokens), now);
+            store.offer(request_copy(term, from, first, &tokens), now);
         }
         store.expire(now + Duration::from_secs(61));
         prop_assert_eq!(store.bytes(), 0);
