--- a/tests/native/bad_input.rs
+++ b/tests/native/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input at every port gets an answer that names what is wrong, and harms nothing.
+//! Invalid input at every port: requests get a response that names the wrong field, and later
+//! requests are served as before.
 
 use std::io::{Read, Write};
 
@@ -12,9 +13,11 @@
 
 const READER: (&str, &str) = ("authorization", "Bearer key-reader");
 
-/// Path, headers, body, and the status and field expected.
+/// Path, headers and body of a request, and the expected status and field.
 type BadRequest<'a> = (&'a str, Vec<(&'a str, &'a str)>, String, u16, &'a str);
 
+/// Guards against invalid requests that are accepted, or refused without naming the field, and
+/// against a response that leaves open whether the request ran.
 #[googletest::test]
 fn bad_requests_name_the_field() {
     let deployment =
@@ -103,6 +106,7 @@
     }
 }
 
+/// Guards against a key that returns the response to another body: every daemon must refuse it.
 #[googletest::test]
 fn key_reused_with_another_body_is_refused() {
     let deployment = Deployment::start(Layout::default());
@@ -120,7 +124,8 @@
     expect_that!(answer.status, eq(200));
 }
 
-fn garbage_leaves_the_port_working(bytes: &[u8]) {
+/// Guards against a daemon that crashes or stops serving after malformed bytes on one of its ports.
+fn malformed_bytes_leave_the_daemon_working(bytes: &[u8]) {
     let deployment =
         Deployment::start(Layout { daemons: 1, engines: 1, plain: 1, ..Layout::default() });
     for address in [deployment.caller(0), deployment.admin(0), deployment.peer(0)] {
@@ -134,10 +139,10 @@
     expect_true!(after.complete);
 }
 
-cases!(garbage_leaves_the_port_working:
-    garbage_of_zeros(&[0; 4096]),
-    garbage_of_ones(&[0xff; 4096]),
-    garbage_head_without_end(&[b'a'; 65_536]),
-    garbage_huge_segment_table(&[0xff, 0xff, 0xff, 0x7f, 0, 0, 0, 0]),
-    garbage_request_line(b"POST /v1/completions HTTP/9.9\r\ncontent-length: -1\r\n\r\n"),
+cases!(malformed_bytes_leave_the_daemon_working:
+    malformed_zeros(&[0; 4096]),
+    malformed_ones(&[0xff; 4096]),
+    malformed_head_without_end(&[b'a'; 65_536]),
+    malformed_huge_segment_table(&[0xff, 0xff, 0xff, 0x7f, 0, 0, 0, 0]),
+    malformed_request_line(b"POST /v1/completions HTTP/9.9\r\ncontent-length: -1\r\n\r\n"),
 );
--- a/tests/native/decisions/fair_queue.rs
+++ b/tests/native/decisions/fair_queue.rs
@@ -67,6 +67,9 @@
         }
         let expected = f64::from(weight);
         let slack = 100.0 / (light + 1.0) * expected + 0.1 * expected;
-        prop_assert!((heavy / light - expected).abs() <= slack, "tokens served: heavy {heavy}, light {light}");
+        prop_assert!(
+            (heavy / light - expected).abs() <= slack,
+            "tokens served: heavy {heavy}, light {light}"
+        );
     }
 }
--- a/tests/native/decisions/retries.rs
+++ b/tests/native/decisions/retries.rs
@@ -7,7 +7,7 @@
     /// Guards against retry storms: retries are at most a tenth of first attempts plus the
     /// reserve of 10.
     #[test]
-    fn retries_are_at_most_a_tenth_of_first_attempts_plus_reserve(events in vec(any::<bool>(), 1..400)) {
+    fn retries_stay_within_the_budget(events in vec(any::<bool>(), 1..400)) {
         let mut budget = RetryBucket::default();
         let (mut firsts, mut retries) = (0.0, 0.0);
         for is_first in events {
--- a/tests/native/decisions/routing.rs
+++ b/tests/native/decisions/routing.rs
@@ -133,7 +133,10 @@
         }
         let (least, most) = (covered.iter().min().unwrap(), covered.iter().max().unwrap());
         let mean = window_size(daemons, endpoints) * daemons / endpoints;
-        prop_assert!(*least >= 1 && *most <= mean + mean / 2 + 2, "windows per endpoint: least {least}, most {most}, mean {mean}");
+        prop_assert!(
+            *least >= 1 && *most <= mean + mean / 2 + 2,
+            "windows per endpoint: least {least}, most {most}, mean {mean}"
+        );
     }
 
     /// The cache never exceeds its capacity, and finds the chain that was inserted last.
--- a/tests/native/decoders.rs
+++ b/tests/native/decoders.rs
@@ -1,55 +1,59 @@
-//! Any input of clients, engines, peers and the platform is decoded or refused, without a panic.
+//! Decoders accept or refuse any input of clients, engines, peers and the platform without a panic.
 
 use proptest::{collection::vec, prelude::*};
 use willowarch::native::request::tickets::TicketId;
 
 proptest! {
-    /// No input makes the ticket decoder panic, and what it takes it writes back.
+    /// No text makes the ticket decoder panic, and an accepted ticket is the same after it is
+    /// printed and parsed again.
     #[test]
-    fn ticket_decoder_takes_any_text(text in ".{0,80}") {
+    fn ticket_decoder_does_not_panic_and_round_trips(text in ".{0,80}") {
         if let Ok(ticket) = text.parse::<TicketId>() {
             prop_assert_eq!(ticket.to_string().parse::<TicketId>(), Ok(ticket));
         }
     }
 
-    /// The decoder of engines' events gives the same events however they are cut up.
+    /// Guards against events that are lost or changed when they arrive in several pieces: the
+    /// decoder returns the same events for any division of the bytes.
     #[test]
-    fn event_decoder_does_not_depend_on_cuts(
+    fn event_decoder_does_not_depend_on_piece_lengths(
         texts in vec("[a-z ]{1,12}", 1..8),
-        cuts in vec(1_usize..7, 1..60),
+        piece_lengths in vec(1_usize..7, 1..60),
     ) {
         use willowarch::native::endpoint::sse::EventDecoder;
         let whole: String = texts.iter().map(|text| format!("id: 1\ndata: {text}\n\n")).collect();
         let mut decoder = EventDecoder::default();
         let mut events = Vec::new();
         let mut rest = whole.as_bytes();
-        for cut in cuts.iter().cycle() {
+        for length in piece_lengths.iter().cycle() {
             if rest.is_empty() {
                 break;
             }
-            let (piece, after) = rest.split_at((*cut).min(rest.len()));
-            events.extend(decoder.feed(piece).expect("well-formed"));
+            let (piece, after) = rest.split_at((*length).min(rest.len()));
+            events.extend(decoder.feed(piece).expect("well-formed event refused"));
             rest = after;
         }
         prop_assert_eq!(events, texts);
     }
 
+    /// No bytes from an engine make the event decoder panic.
     #[test]
-    fn event_decoder_takes_any_bytes(bytes in vec(any::<u8>(), 0..400)) {
+    fn event_decoder_does_not_panic_on_any_bytes(bytes in vec(any::<u8>(), 0..400)) {
         use willowarch::native::endpoint::sse::EventDecoder;
         let _ = EventDecoder::default().feed(&bytes);
     }
 
-    /// Callers' input: any body and key gets a call or a problem that names a field.
+    /// Client input: any body and key is accepted, or refused with a status from 400 to 499 and the
+    /// name of a field.
     #[test]
-    fn caller_input_gets_a_call_or_a_named_field(body in vec(any::<u8>(), 0..200), key in ".{0,40}") {
+    fn client_input_is_accepted_or_refused_with_a_field_name(body in vec(any::<u8>(), 0..200), key in ".{0,40}") {
         use willowarch::native::{options::rows::{TableRow, TableSnapshot}, serve::listeners::parse};
         let rows = serde_json::json!([
             { "kind": "account", "name": "reader", "api_key": "key" },
             { "kind": "service", "name": "model" },
         ]);
-        let rows = rows.as_array().expect("a list").iter();
-        let rows = rows.map(|row| TableRow::parse(row, "row").expect("a row"));
+        let rows = rows.as_array().expect("rows is not a list").iter();
+        let rows = rows.map(|row| TableRow::parse(row, "row").expect("row refused"));
         let table = TableSnapshot::new(rows);
         let mut headers = hyper::HeaderMap::new();
         headers.insert("authorization", "Bearer key".parse().expect("a value"));
@@ -62,7 +66,7 @@
         }
     }
 
-    /// Peers' input: any bytes as a message are decoded or refused, without a panic.
+    /// Peer input: any bytes as a message are decoded or refused without a panic.
     #[test]
     fn peer_input_is_decoded_or_refused(bytes in vec(any::<u8>(), 0..600)) {
         use willowarch::{native::peer::codec, peer_capnp};
@@ -76,9 +80,9 @@
         }
     }
 
-    /// Platform's input: rows of any JSON are taken or refused with their keys named.
+    /// Platform input: a row is accepted, or refused with errors that name its keys.
     #[test]
-    fn rows_are_taken_or_their_keys_named(kind in "(account|service|x)", number in -5.0_f64..5.0, flag in any::<bool>()) {
+    fn rows_are_accepted_or_refused_with_key_names(kind in "(account|service|x)", number in -5.0_f64..5.0, flag in any::<bool>()) {
         use willowarch::native::options::rows::TableRow;
         let row = serde_json::json!({
             "kind": kind, "name": "n", "api_key": "k", "weight": number, "repeatable": flag,
--- a/tests/native/in_memory_fleet.rs
+++ b/tests/native/in_memory_fleet.rs
@@ -1,6 +1,6 @@
 //! Many cluster cores in one process, on a simulated clock: a loop carries messages between
-//! them with delays, losses, partitions, suspensions and kills. The cores are the daemons' own; only the
-//! connections between peers are replaced. benches/fleet.rs uses it too.
+//! them with delays, losses, partitions, suspensions and kills. The cores are the daemons' own;
+//! only the connections between peers are replaced. benches/fleet.rs uses it too.
 
 use std::{
     cmp::Reverse,
@@ -201,8 +201,8 @@
         self.now = self.now.max(until);
     }
 
-    /// Runs until `holds` returns true, checked every 10 ms, and returns the time; `None` if that is
-    /// not so by `until`.
+    /// Runs until `holds` returns true, checked every 10 ms, and returns that time; `None` if it
+    /// has not returned true by `until`.
     pub fn run_until_holds(
         &mut self,
         until: Duration,
--- a/tests/native/kernel_lifecycle.rs
+++ b/tests/native/kernel_lifecycle.rs
@@ -1,4 +1,5 @@
-//! The micro-kernel: services find each other, phases go forward, a panic ends the daemon.
+//! The service kernel: lookup of services, order of the life phases, and its end when a service
+//! panics or returns.
 
 use std::time::Duration;
 
@@ -9,16 +10,18 @@
     timeouts::wait_at_most,
 };
 
-/// Runs a task on the paused clock.
-fn paused<T>(task: impl Future<Output = T>) -> T {
+/// Runs a future on a runtime with tokio's paused clock.
+fn run_with_paused_clock<T>(task: impl Future<Output = T>) -> T {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), task)
 }
 
+/// Guards against messages that are lost without an error: a missing or ended service and a wrong
+/// message type must be reported.
 #[googletest::test]
 fn services_find_each_other_by_name_and_type() {
-    paused(async {
+    run_with_paused_clock(async {
         let mut kernel = ServiceKernel::new();
         let mut inbox = kernel.register::<u32>("numbers");
         let handle = kernel.handle();
@@ -32,9 +35,10 @@
     });
 }
 
+/// Guards against a daemon that goes on without one of its services.
 #[googletest::test]
 fn panicking_service_ends_the_kernel() {
-    let exit = paused(async {
+    let exit = run_with_paused_clock(async {
         let mut kernel = ServiceKernel::new();
         kernel.start("quiet", std::future::pending());
         kernel.start("loud", async { panic!("on purpose") });
@@ -43,9 +47,11 @@
     expect_that!(exit, eq(&KernelExit::Panicked("loud".into())));
 }
 
+/// Guards against a panic that goes unnoticed because a task of the service panicked, not the
+/// service itself.
 #[googletest::test]
 fn panicking_child_task_ends_the_kernel() {
-    let exit = paused(async {
+    let exit = run_with_paused_clock(async {
         let mut kernel = ServiceKernel::new();
         kernel.start("quiet", std::future::pending());
         kernel.handle().spawn("quiet", async { panic!("on purpose") });
@@ -54,16 +60,18 @@
     expect_that!(exit, pat!(KernelExit::Panicked(starts_with("quiet"))));
 }
 
+/// Guards against a daemon that goes on without a service that has returned; while draining, this
+/// is the planned stop.
 #[googletest::test]
 fn service_that_returns_early_ends_the_kernel_unless_draining() {
-    let early = paused(async {
+    let early = run_with_paused_clock(async {
         let mut kernel = ServiceKernel::new();
         kernel.start("quiet", std::future::pending());
         kernel.start("short", async {});
         kernel.run().await
     });
     expect_that!(early, eq(&KernelExit::EndedEarly("short")));
-    let draining = paused(async {
+    let draining = run_with_paused_clock(async {
         let mut kernel = ServiceKernel::new();
         let handle = kernel.handle();
         handle.enter(LifePhase::Draining);
@@ -73,9 +81,10 @@
     expect_that!(draining, eq(&KernelExit::Stopped));
 }
 
+/// Guards against a stopping daemon that returns to running.
 #[googletest::test]
 fn phases_only_go_forward() {
-    paused(async {
+    run_with_paused_clock(async {
         let kernel = ServiceKernel::new();
         let handle = kernel.handle();
         handle.enter(LifePhase::Stopping);
@@ -84,9 +93,10 @@
     });
 }
 
+/// Guards against waits that never end, or that cut off a result that is ready.
 #[googletest::test]
 fn wait_ends_at_its_limit_on_the_paused_clock() {
-    paused(async {
+    run_with_paused_clock(async {
         let limit = Duration::from_secs(5);
         let from = tokio::time::Instant::now();
         let waited = wait_at_most(limit, std::future::pending::<()>()).await;
--- a/tests/native/main.rs
+++ b/tests/native/main.rs
@@ -1,5 +1,5 @@
-//! Integration tests: real processes on loopback where the fault is a kill, a freeze,
-//! a cut or an outage; the pure parts on the paused clock elsewhere.
+//! Integration tests of the native path: with real processes on loopback where the failure is a
+//! kill, a suspension, a broken connection or an outage; otherwise on a simulated or paused clock.
 
 mod cluster_model;
 mod harness;
@@ -18,7 +18,7 @@
 mod settings_checks;
 mod whole_path;
 
-/// Names each case of a test that is run over a table of them.
+/// Defines one named test for each case: calls `$check` with the arguments of the case.
 #[macro_export]
 macro_rules! cases {
     ($check:path: $($name:ident($($argument:expr),* $(,)?)),+ $(,)?) => {
--- a/tests/native/peer_admission.rs
+++ b/tests/native/peer_admission.rs
@@ -1,24 +1,27 @@
-//! Which daemons a peer listener takes: its own deployment, adjacent protocol versions.
+//! Which daemons a peer listener accepts: those of its own deployment with the same or an adjacent
+//! protocol version.
 
 use googletest::prelude::*;
 use serde_json::json;
 
 use crate::harness::{Deployment, Layout};
 
+/// Guards against two deployments that merge into one because a daemon has a seed address of the
+/// other deployment.
 #[googletest::test]
 fn peer_of_another_deployment_is_refused() {
-    let mut stranger = Deployment::start(Layout { daemons: 2, ..Layout::default() });
-    stranger.layout.settings = json!({ "deployment": "another" });
-    let _process = stranger.spawn_daemon(5);
-    crate::harness::eventually("the stranger is refused", || {
-        let refused = stranger.metric(0, "peers_refused") + stranger.metric(1, "peers_refused");
+    let mut deployment = Deployment::start(Layout { daemons: 2, ..Layout::default() });
+    deployment.layout.settings = json!({ "deployment": "another" });
+    let _process = deployment.spawn_daemon(5);
+    crate::harness::eventually("the peer of another deployment is refused", || {
+        let refused = deployment.metric(0, "peers_refused") + deployment.metric(1, "peers_refused");
         (refused > 0.0).then_some(())
     });
-    let status = crate::harness::try_get(stranger.admin(0), "/status").expect("status");
+    let status = crate::harness::try_get(deployment.admin(0), "/status").expect("status");
     expect_that!(status["members"].as_array().map(Vec::len), some(eq(2)));
 }
 
-/// Says hello to a daemon as a peer of some deployment and protocol version.
+/// Connects to daemon 0 as a peer of deployment `name` with protocol `version`.
 fn greet(deployment: &Deployment, name: &str, version: u32) -> std::result::Result<(), String> {
     use willowarch::{
         ids::IncarnationId,
@@ -38,9 +41,10 @@
     greeted.map(|_| ()).map_err(|error| error.to_string())
 }
 
-/// Rolling upgrades: adjacent protocol versions work together, others are told why not.
+/// Guards against rolling upgrades that fail because daemons of adjacent protocol versions refuse
+/// each other. Other versions and other deployments are refused with the reason.
 #[googletest::test]
-fn gate_takes_adjacent_versions_of_its_own_deployment() {
+fn peer_listener_accepts_adjacent_versions_of_its_own_deployment() {
     use willowarch::native::peer::PROTOCOL_VERSION;
     let deployment =
         Deployment::start(Layout { daemons: 1, engines: 1, plain: 1, ..Layout::default() });
--- a/tests/native/refusing_engines.rs
+++ b/tests/native/refusing_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that refuse at once, beside others that have room.
+//! Engines that refuse every request immediately, while other engines have free slots.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -15,8 +15,10 @@
 const ENGINES: usize = 6;
 const REFUSING: usize = 2;
 const CLIENTS: usize = 8;
-const PLAY_TIME: Duration = Duration::from_secs(6);
+const RUN_TIME: Duration = Duration::from_secs(6);
 
+/// Guards against requests that fail because daemons keep sending them to the 2 of 6 engines that
+/// refuse everything, although the others have free slots. Fewer than 1 in 50 may fail.
 #[googletest::test]
 fn refusing_engines_cost_few_requests_while_others_have_room() {
     let deployment = Deployment::start(Layout { engines: ENGINES, ..Layout::default() });
@@ -24,7 +26,7 @@
         deployment.set_faults(deployment.endpoint(index), json!({ "refuse": true }));
     }
     let (sent, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let until = Instant::now() + PLAY_TIME;
+    let until = Instant::now() + RUN_TIME;
     thread::scope(|scope| {
         for client in 0..CLIENTS {
             let (deployment, sent, refused) = (&deployment, &sent, &refused);
@@ -33,10 +35,10 @@
                     if Instant::now() >= until {
                         return;
                     }
-                    let mut whole = completion(&format!("prompt {client} {count}"), 4);
-                    whole["stream"] = json!(false);
+                    let mut body = completion(&format!("prompt {client} {count}"), 4);
+                    body["stream"] = json!(false);
                     let daemon = deployment.caller(count % 3);
-                    let answer = post(daemon, "/v1/completions", &[READER], &whole.to_string());
+                    let answer = post(daemon, "/v1/completions", &[READER], &body.to_string());
                     sent.fetch_add(1, Ordering::SeqCst);
                     refused.fetch_add(usize::from(answer.status != 200), Ordering::SeqCst);
                     thread::sleep(Duration::from_millis(40));
@@ -45,6 +47,6 @@
         }
     });
     let (sent, refused) = (sent.into_inner(), refused.into_inner());
-    println!("{refused} of {sent} not served");
+    println!("{refused} of {sent} requests were not served");
     expect_that!(refused * 50, lt(sent));
 }
--- a/tests/native/settings_checks.rs
+++ b/tests/native/settings_checks.rs
@@ -1,4 +1,4 @@
-//! Settings and table rows: what is wrong is named, what is shipped is allowed.
+//! Settings and table rows: errors name the wrong key, and the shipped examples are valid.
 
 use std::{fs, path::Path};
 
@@ -25,9 +25,10 @@
     parsed.map_err(|errors| errors.iter().map(ToString::to_string).collect())
 }
 
-/// One wrong value is reported with key, value and what is allowed.
+/// A wrong value is reported with its key, the value and the allowed values.
 fn wrong_setting_is_named(key: &str, value: Value, allowed: &str) {
-    let errors = settings(|settings| settings[key] = value.clone()).expect_err("not allowed");
+    let errors =
+        settings(|settings| settings[key] = value.clone()).expect_err("wrong values were accepted");
     expect_that!(errors.len(), eq(1), "{errors:?}");
     expect_that!(errors[0], starts_with(format!("{key}: {value}")));
     expect_that!(errors[0], contains_substring(allowed));
@@ -43,6 +44,7 @@
     setting_unknown_key("colour", json!(1), "only the keys"),
 );
 
+/// Guards against checks that stop at the first wrong setting.
 #[googletest::test]
 fn all_wrong_settings_are_reported_at_once() {
     let errors = settings(|settings| {
@@ -50,42 +52,45 @@
         settings["copies"] = json!("two");
         settings["odd"] = json!(1);
     });
-    expect_that!(errors.expect_err("not allowed").len(), eq(3));
+    expect_that!(errors.expect_err("wrong values were accepted").len(), eq(3));
 }
 
 fn read(path: &Path) -> Value {
-    let text = fs::read_to_string(path).expect("a sample");
-    serde_json::from_str(&text).expect("JSON")
+    let text = fs::read_to_string(path).expect("cannot read the example file");
+    serde_json::from_str(&text).expect("the example file is not JSON")
 }
 
-/// What is shipped is allowed.
-fn sample_is_allowed(name: &str) {
+/// Guards against shipped examples that the current checks refuse.
+fn example_is_valid(name: &str) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples").join(name);
     for number in 1..=8 {
         let path = folder.join(format!("settings/{number}.json"));
-        let text = fs::read_to_string(path).expect("a sample");
+        let text = fs::read_to_string(path).expect("cannot read the example file");
         expect_that!(DaemonSettings::parse(&text), ok(anything()));
     }
     expect_that!(parse_table(&read(&folder.join("table.json"))), ok(len(eq(7))));
-    let vms: Vec<VmEntry> = serde_json::from_value(read(&folder.join("vms.json"))).expect("VMs");
+    let vms: Vec<VmEntry> =
+        serde_json::from_value(read(&folder.join("vms.json"))).expect("malformed VM list");
     expect_that!(vms.len(), gt(20));
-    let mix: RequestMix = serde_json::from_value(read(&folder.join("mix.json"))).expect("a mix");
+    let mix: RequestMix =
+        serde_json::from_value(read(&folder.join("mix.json"))).expect("malformed request mix");
     expect_that!(mix.entries.len(), ge(3));
 }
 
-cases!(sample_is_allowed:
-    sample_inkbridge_is_allowed("inkbridge"),
-    sample_bakery_is_allowed("bakery"),
+cases!(example_is_valid:
+    example_inkbridge_is_valid("inkbridge"),
+    example_bakery_is_valid("bakery"),
 );
 
+/// Guards against errors in table rows that do not name the row and the key.
 #[googletest::test]
-fn rows_report_their_keys() {
+fn row_errors_name_row_and_key() {
     let table = json!([
         { "kind": "account", "name": "a", "api_key": "k", "weight": 0 },
         { "kind": "service", "name": "s", "service_type": "model", "repeatable": false },
         { "kind": "service", "name": "t", "min_vms": 5, "max_vms": 2 },
     ]);
-    let errors = parse_table(&table).expect_err("not allowed");
+    let errors = parse_table(&table).expect_err("wrong values were accepted");
     let keys: Vec<&str> = errors.iter().map(|error| error.key.as_str()).collect();
     expect_that!(keys, eq(&["rows[0].weight", "rows[1].repeatable", "rows[2].max_vms"]));
 }
--- a/tests/native/whole_path.rs
+++ b/tests/native/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request served from one end to the other by separate processes.
+//! Requests that pass through the whole path: client, daemon and endpoint as separate processes.
 
 use googletest::prelude::*;
 use serde_json::json;
@@ -7,8 +7,10 @@
 
 const READER: (&str, &str) = ("authorization", "Bearer key-reader");
 
+/// Guards against wrong content in any of the four kinds of response: stream, JSON document, chat
+/// completion and plain service.
 #[googletest::test]
-fn answers_stream_document_chat_and_plain() {
+fn stream_document_chat_and_plain_responses_are_correct() {
     let deployment = Deployment::start(Layout::default());
     let daemon = deployment.caller(0);
 
@@ -16,9 +18,9 @@
     expect_true!(streamed.complete);
     expect_that!(streamed.tokens.concat(), eq(&expected("two words", 12)));
 
-    let mut whole = completion("two words", 5);
-    whole["stream"] = json!(false);
-    let document = post(daemon, "/v1/completions", &[READER], &whole.to_string());
+    let mut body = completion("two words", 5);
+    body["stream"] = json!(false);
+    let document = post(daemon, "/v1/completions", &[READER], &body.to_string());
     expect_that!(document.status, eq(200));
     expect_that!(document.body["choices"][0]["text"], eq(&json!(expected("two words", 5))));
 
@@ -36,8 +38,9 @@
     expect_that!(deployment.max_runs_per_request(), eq(1));
 }
 
+/// Guards against a timeline without the end of a request, or with several ends.
 #[googletest::test]
-fn time_line_has_one_terminal_event_per_request() {
+fn timeline_has_one_terminal_event_per_request() {
     let deployment = Deployment::start(Layout::default());
     let streamed = stream(deployment.caller(1), "k-line", &completion("a b c", 4), 0, |_| {});
     expect_true!(streamed.complete);
@@ -52,8 +55,10 @@
     expect_that!(text, contains_substring("1 attempts"));
 }
 
+/// Guards against a stream that ends for the client because two of the three engines close their
+/// connections after 5 tokens.
 #[googletest::test]
-fn broken_stream_goes_on_at_another_engine() {
+fn broken_stream_continues_on_another_engine() {
     let deployment = Deployment::start(Layout::default());
     for index in 0..2 {
         deployment.set_faults(deployment.endpoint(index), json!({ "cut_after": 5 }));
@@ -63,6 +68,7 @@
     expect_that!(streamed.tokens.concat(), eq(&expected("p q r", 40)));
 }
 
+/// Guards against a stream that ends for the client because its engine is killed.
 #[googletest::test]
 fn killed_engine_does_not_end_its_stream() {
     let mut deployment = Deployment::start(Layout::default());
@@ -72,17 +78,17 @@
     let caller = std::thread::spawn(move || {
         stream(daemon, "k-kill", &completion("x y z", 120), 0, |count| {
             if count == 10 {
-                sender.send(()).expect("the test waits");
+                sender.send(()).expect("the test no longer waits for tokens");
             }
         })
     });
-    receiver.recv().expect("ten tokens arrive");
+    receiver.recv().expect("the stream ended before its tenth token");
     let busy = (0..3).find(|index| {
         let load = try_get(engines[*index], "/load").unwrap_or_default();
         load["running"].as_u64() > Some(0)
     });
-    deployment.endpoints[busy.expect("one engine is busy")].kill();
-    let streamed = caller.join().expect("the caller ends");
+    deployment.endpoints[busy.expect("no engine has a running stream")].kill();
+    let streamed = caller.join().expect("the client thread panicked");
     expect_true!(streamed.complete);
     expect_that!(streamed.tokens.concat(), eq(&expected("x y z", 120)));
 }
