--- a/tests/native/kernel_lifecycle.rs
+++ b/tests/native/kernel_lifecycle.rs
@@ -35,7 +35,7 @@
     });
 }
 
-/// Guards against a daemon that goes on without one of its services.
+/// Guards against a daemon that keeps running without one of its services.
 #[googletest::test]
 fn panicking_service_ends_the_kernel() {
     let exit = run_with_paused_clock(async {
@@ -60,7 +60,7 @@
     expect_that!(exit, pat!(KernelExit::Panicked(starts_with("quiet"))));
 }
 
-/// Guards against a daemon that goes on without a service that has returned; while draining, this
+/// Guards against a daemon that keeps running without a service that has returned; while draining, this
 /// is the planned stop.
 #[googletest::test]
 fn service_that_returns_early_ends_the_kernel_unless_draining() {
@@ -93,7 +93,7 @@
     });
 }
 
-/// Guards against waits that never end, or that cut off a result that is ready.
+/// Guards against waits that never end, or that lose a result that is ready.
 #[googletest::test]
 fn wait_ends_at_its_limit_on_the_paused_clock() {
     run_with_paused_clock(async {
--- a/tests/native/request_store.rs
+++ b/tests/native/request_store.rs
@@ -74,7 +74,7 @@
     expect_that!(text(&store), eq("abc"));
 }
 
-/// Guards against a holder that goes on writing after another daemon has taken the request over.
+/// Guards against a holder that continues to write after another daemon has taken the request over.
 #[googletest::test]
 fn superseded_holder_cannot_append_or_end() {
     let now = Instant::now();
