--- a/tests/native/in_memory_fleet.rs
+++ b/tests/native/in_memory_fleet.rs
@@ -246,7 +246,7 @@
         let instant = self.instant();
         let actions = self.nodes[index].core.on(instant, event);
         for action in actions {
-            self.perform(index, action);
+            self.carry_out(index, action);
         }
     }
 
@@ -275,7 +275,7 @@
         Some((index, self.nodes[index].core.own() == target.incarnation))
     }
 
-    fn perform(&mut self, from: usize, action: ClusterAction) {
+    fn carry_out(&mut self, from: usize, action: ClusterAction) {
         match action {
             ClusterAction::Greet(address) => self.greet(from, &address),
             ClusterAction::Probe(target) => self.probe(from, &target),
--- a/tests/native/kernel_lifecycle.rs
+++ b/tests/native/kernel_lifecycle.rs
@@ -60,8 +60,8 @@
     expect_that!(exit, pat!(KernelExit::Panicked(starts_with("quiet"))));
 }
 
-/// Guards against a daemon that keeps running without a service that has returned; while draining, this
-/// is the planned stop.
+/// Guards against a daemon that keeps running without a service that has returned; while draining,
+/// this is the planned stop.
 #[googletest::test]
 fn service_that_returns_early_ends_the_kernel_unless_draining() {
     let early = run_with_paused_clock(async {
