--- a/tests/native/in_memory_fleet.rs
+++ b/tests/native/in_memory_fleet.rs
@@ -1,6 +1,6 @@
 //! Many cluster cores in one process, on a simulated clock: a loop carries messages between
-//! them with delay, loss, cuts, freezes and kills. The cores are the daemons' own; only the
-//! connections between peers are replaced. benches/fleet.rs uses it too.
+//! them with delays, losses, partitions, suspensions and kills. The cores are the daemons' own;
+//! only the connections between peers are replaced. benches/fleet.rs uses it too.
 
 use std::{
     cmp::Reverse,
@@ -22,19 +22,19 @@
     },
 };
 
-/// Interval between ticks of a core, as the cluster service has it.
+/// Interval between ticks of a core, the same as in the cluster service.
 const TICK: Duration = Duration::from_millis(50);
-/// Time after which a probe has failed, as `native::peer` has it.
+/// Time after which a probe has failed, the same as in `native::peer`.
 const PROBE_LIMIT: Duration = Duration::from_millis(500);
-/// Bytes of a message beside its items, as seen on the wire (frames and RPC envelope,
-/// call and return together).
+/// Bytes of a message without its items, as seen on the wire: frames and RPC envelope of call and
+/// return together.
 const ENVELOPE_BYTES: u64 = 200;
 /// Bytes of a key with its version.
 const VERSION_BYTES: u64 = 40;
 /// Interval at which a condition is checked.
 const CHECK_EVERY: Duration = Duration::from_millis(10);
 
-/// Traffic of one node.
+/// Messages and bytes of one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeTraffic {
     /// Messages sent.
@@ -43,7 +43,7 @@
     pub bytes: u64,
 }
 
-/// One node.
+/// A simulated node.
 pub struct FleetNode {
     /// Its core.
     pub core: ClusterCore,
@@ -53,7 +53,7 @@
     pub traffic: NodeTraffic,
     address: SharedName,
     up: bool,
-    frozen_until: Duration,
+    suspended_until: Duration,
 }
 
 #[derive(Debug)]
@@ -64,7 +64,7 @@
 
 type QueueEntry = (Duration, u64, usize);
 
-/// The nodes and what is under way between them.
+/// Simulated nodes and the events scheduled for them.
 pub struct InMemoryFleet {
     base: Instant,
     now: Duration,
@@ -72,8 +72,8 @@
     pub nodes: Vec<FleetNode>,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Zone that is cut off from the others.
-    pub cut_zone: Option<usize>,
+    /// Availability zone that is partitioned from the others.
+    pub partitioned_zone: Option<usize>,
     by_address: HashMap<SharedName, usize>,
     queue: BinaryHeap<Reverse<QueueEntry>>,
     events: HashMap<u64, NodeEvent>,
@@ -82,14 +82,15 @@
 }
 
 impl InMemoryFleet {
-    /// Fleet of `count` nodes over `zones` zones that know only the first three.
+    /// Creates `count` nodes in `zones` availability zones; each knows only the addresses of the
+    /// first three nodes.
     pub fn new(count: usize, zones: usize, seed: u64) -> Self {
         let mut fleet = Self {
             base: Instant::now(),
             now: Duration::ZERO,
             nodes: Vec::new(),
             loss: 0.0,
-            cut_zone: None,
+            partitioned_zone: None,
             by_address: HashMap::new(),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
@@ -102,22 +103,22 @@
         fleet
     }
 
-    /// Adds a node that knows only the first three.
+    /// Adds a node that knows only the addresses of the first three nodes.
     pub fn add_node(&mut self, zone: usize) -> usize {
         let index = self.nodes.len();
         let address: SharedName = format!("node-{index}:1").into();
         let core = self.new_core(zone, &address);
         self.by_address.insert(address.clone(), index);
         let traffic = NodeTraffic::default();
-        let frozen_until = Duration::ZERO;
-        self.nodes.push(FleetNode { core, zone, traffic, address, up: true, frozen_until });
+        let suspended_until = Duration::ZERO;
+        self.nodes.push(FleetNode { core, zone, traffic, address, up: true, suspended_until });
         let jitter = Duration::from_micros(self.rng.random_range(0..50_000));
         self.schedule(self.now + jitter, index, NodeEvent::Tick);
         index
     }
 
     fn new_core(&mut self, zone: usize, address: &SharedName) -> ClusterCore {
-        // Later starts must have higher numbers, as real ones do.
+        // As with real daemons, a later start must have a higher incarnation number.
         let incarnation =
             IncarnationId((self.next_event + 1) << 24 | self.rng.random::<u32>() as u64 >> 8);
         self.next_event += 1;
@@ -139,12 +140,12 @@
         self.base + self.now
     }
 
-    /// Time since the start.
+    /// Simulated time since the start.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Gives every node every other node's member item, as after a long quiet time.
+    /// Gives every node the member items of all others, as after a long time without changes.
     pub fn introduce_all(&mut self) {
         let now = self.instant();
         let items: Vec<SpreadItem> = self
@@ -168,7 +169,7 @@
         self.nodes[index].up = false;
     }
 
-    /// Starts a killed or running node anew, at the same address.
+    /// Restarts a killed or running node at the same address, with a new incarnation.
     pub fn restart(&mut self, index: usize) {
         let (zone, address) = (self.nodes[index].zone, self.nodes[index].address.clone());
         let core = self.new_core(zone, &address);
@@ -179,17 +180,17 @@
         }
     }
 
-    /// Freezes a node for a time.
-    pub fn freeze(&mut self, index: usize, length: Duration) {
-        self.nodes[index].frozen_until = self.now + length;
+    /// Suspends a node for `length`; its events wait until then.
+    pub fn suspend(&mut self, index: usize, length: Duration) {
+        self.nodes[index].suspended_until = self.now + length;
     }
 
-    /// Has a node learn an item from outside.
+    /// Delivers an item to a node from outside the fleet.
     pub fn inject(&mut self, index: usize, item: SpreadItem) {
         self.schedule(self.now, index, NodeEvent::Core(ClusterEvent::Items(None, vec![item])));
     }
 
-    /// Runs until `until`.
+    /// Runs until the simulated time `until`.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse((at, _, _))) = self.queue.peek() {
             if *at > until {
@@ -200,7 +201,8 @@
         self.now = self.now.max(until);
     }
 
-    /// Runs until `holds` says so, checked every 10 ms; `None` if not by `until`.
+    /// Runs until `holds` returns true, checked every 10 ms, and returns that time; `None` if it
+    /// has not returned true by `until`.
     pub fn run_until_holds(
         &mut self,
         until: Duration,
@@ -229,9 +231,9 @@
         if !node.up {
             return;
         }
-        if node.frozen_until > self.now {
-            let thawed_at = node.frozen_until;
-            self.schedule(thawed_at, index, event);
+        if node.suspended_until > self.now {
+            let resumed_at = node.suspended_until;
+            self.schedule(resumed_at, index, event);
             return;
         }
         let event = match event {
@@ -253,11 +255,11 @@
     }
 
     fn reaches(&mut self, from: usize, to: usize) -> bool {
-        let cut = self
-            .cut_zone
+        let partitioned = self
+            .partitioned_zone
             .is_some_and(|zone| (self.nodes[from].zone == zone) != (self.nodes[to].zone == zone));
         let lost = self.loss > 0.0 && self.rng.random_range(0.0..1.0) < self.loss;
-        self.nodes[to].up && !cut && !lost
+        self.nodes[to].up && !partitioned && !lost
     }
 
     fn count(&mut self, from: usize, to: usize, bytes: u64) {
@@ -267,7 +269,7 @@
         self.nodes[to].traffic.bytes += bytes;
     }
 
-    /// Node that answers at the target's address, and whether it is the expected one.
+    /// Node at the target's address, and whether it has the expected incarnation.
     fn find(&self, target: &PeerTarget) -> Option<(usize, bool)> {
         let index = *self.by_address.get(&target.address)?;
         Some((index, self.nodes[index].core.own() == target.incarnation))
@@ -286,7 +288,7 @@
 
     fn greet(&mut self, from: usize, address: &SharedName) {
         let Some(to) = self.by_address.get(address).copied() else { return };
-        if !self.reaches(from, to) || self.nodes[to].frozen_until > self.now {
+        if !self.reaches(from, to) || self.nodes[to].suspended_until > self.now {
             return;
         }
         self.count(from, to, 100);
@@ -307,7 +309,7 @@
         let Some((to, same)) = self.find(target) else { return };
         let refused = !self.nodes[to].up;
         self.count(from, to, 16);
-        let answers = self.reaches(from, to) && self.nodes[to].frozen_until <= self.now;
+        let answers = self.reaches(from, to) && self.nodes[to].suspended_until <= self.now;
         let incarnation = target.incarnation;
         let (wait, event) = if !answers {
             let wait = if refused { self.delay() } else { PROBE_LIMIT };
@@ -326,11 +328,12 @@
         for helper in helpers {
             let Some((helper, _)) = self.find(helper) else { continue };
             self.count(from, helper, 40);
-            let there = self.reaches(from, helper) && self.nodes[helper].frozen_until <= self.now;
-            if there {
+            let helper_reached =
+                self.reaches(from, helper) && self.nodes[helper].suspended_until <= self.now;
+            if helper_reached {
                 self.count(helper, to, 16);
-                let frozen = self.nodes[to].frozen_until > self.now;
-                alive |= self.reaches(helper, to) && !frozen && same;
+                let suspended = self.nodes[to].suspended_until > self.now;
+                alive |= self.reaches(helper, to) && !suspended && same;
             }
         }
         let refused = !self.nodes[to].up;
@@ -357,7 +360,7 @@
     fn synchronize(&mut self, from: usize, target: &PeerTarget) {
         let Some((to, same)) = self.find(target) else { return };
         self.count(from, to, BUCKETS as u64 * 8);
-        if !same || !self.reaches(from, to) || self.nodes[to].frozen_until > self.now {
+        if !same || !self.reaches(from, to) || self.nodes[to].suspended_until > self.now {
             return;
         }
         let (own, their) = (self.nodes[from].core.items(), self.nodes[to].core.items());
@@ -385,7 +388,7 @@
         }
     }
 
-    /// Whether every running node knows exactly the running nodes as members.
+    /// Whether the member list of every running node consists of exactly the running nodes.
     pub fn agrees(&self) -> bool {
         let mut running: Vec<IncarnationId> =
             self.nodes.iter().filter(|node| node.up).map(|node| node.core.own()).collect();
@@ -399,12 +402,12 @@
         })
     }
 
-    /// Removals that nodes made, all together.
+    /// Number of removals of members, added up over all nodes.
     pub fn removals(&self) -> u64 {
         self.nodes.iter().map(|node| node.core.counters().removed).sum()
     }
 
-    /// Traffic of a running node, the mean of all.
+    /// Mean traffic of the running nodes.
     #[allow(dead_code, reason = "the bench uses it")]
     pub fn traffic(&self) -> NodeTraffic {
         let running: Vec<&FleetNode> = self.nodes.iter().filter(|node| node.up).collect();
