--- a/tests/gateway/backoff_endpoints.rs
+++ b/tests/gateway/backoff_endpoints.rs
@@ -19,8 +19,8 @@
 use crate::{
     fleet_places::acquire_fleet_slot,
     signal_fleet::{
-        LOAD_TIME, SAID_FROM, SAID_UNTIL, SignalFleet, SignalOutcome, TELLING, say_for_a_while,
-        sleep_until,
+        LOAD_TIME, SIGNALLING, SIGNALS_FROM, SIGNALS_UNTIL, SignalFleet, SignalOutcome,
+        signal_for_a_while, sleep_until,
     },
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
@@ -50,7 +50,7 @@
 fn check(outcome: &SignalOutcome) {
     let (sent, not_served) = outcome.not_served();
     let (asked, broken) = outcome.backoffs();
-    let arrivals = outcome.arrivals_in(SAID_FROM..SAID_UNTIL);
+    let arrivals = outcome.arrivals_in(SIGNALS_FROM..SIGNALS_UNTIL);
     println!(
         "{asked} back-offs, {broken} broken, {arrivals} arrivals, not served {not_served:?} of {sent}"
     );
@@ -62,9 +62,9 @@
     ($($name:ident: $signal:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            let outcome = play(TELLING, say_for_a_while($signal));
+            let outcome = play(SIGNALLING, signal_for_a_while($signal));
             check(&outcome);
-            expect_that!(outcome.arrivals_in(SAID_UNTIL + RECOVERED..LOAD_TIME), gt(0));
+            expect_that!(outcome.arrivals_in(SIGNALS_UNTIL + RECOVERED..LOAD_TIME), gt(0));
         }
     )*};
 }
@@ -80,9 +80,9 @@
 
 #[googletest::test]
 fn backoff_is_over_when_an_endpoint_has_started_again() {
-    let outcome = play(TELLING, |endpoints, began| {
-        sleep_until(began, SAID_FROM);
-        endpoints.iter().for_each(|endpoint| endpoint.say(EndpointSignal::BacksOff("3")));
+    let outcome = play(SIGNALLING, |endpoints, began| {
+        sleep_until(began, SIGNALS_FROM);
+        endpoints.iter().for_each(|endpoint| endpoint.set_signal(EndpointSignal::BacksOff("3")));
         sleep_until(began, END_AT);
         endpoints.iter().for_each(SignallingEndpoint::end);
         sleep_until(began, BACK_AT);
@@ -97,7 +97,7 @@
 fn print_return(outcome: &SignalOutcome) {
     let quarter = Duration::from_millis(250);
     for number in 0..10 {
-        let from = SAID_UNTIL + quarter * number;
+        let from = SIGNALS_UNTIL + quarter * number;
         let sent = outcome.sent_in(from..from + quarter);
         let served = sent.iter().filter(|request| request.is_served()).count();
         let arrivals = outcome.arrivals_in(from..from + quarter);
@@ -107,9 +107,9 @@
 
 #[googletest::test]
 fn clients_are_told_when_all_endpoints_back_off() {
-    let outcome = play(ALL, say_for_a_while(EndpointSignal::BacksOff("2")));
+    let outcome = play(ALL, signal_for_a_while(EndpointSignal::BacksOff("2")));
     let (asked, broken) = outcome.backoffs();
-    let resting = outcome.sent_in(SAID_FROM + AT_ONCE..SAID_UNTIL);
+    let resting = outcome.sent_in(SIGNALS_FROM + AT_ONCE..SIGNALS_UNTIL);
     let told: Vec<f64> = resting.iter().filter_map(|request| request.retry_after).collect();
     let mean = told.iter().sum::<f64>() / told.len() as f64;
     println!("{asked} back-offs, {broken} broken; clients told {mean:.2} s, {} times", told.len());
@@ -122,7 +122,7 @@
     let different: HashSet<u64> = told.iter().map(|seconds| seconds.to_bits()).collect();
     expect_that!(different.len() * 2, gt(told.len()));
     print_return(&outcome);
-    let last = outcome.sent_in(SAID_UNTIL + LAST_BACKOFF..LOAD_TIME);
+    let last = outcome.sent_in(SIGNALS_UNTIL + LAST_BACKOFF..LOAD_TIME);
     let served = last.iter().filter(|request| request.is_served()).count();
     println!("{served} of {} served afterwards", last.len());
     expect_that!(served * 10, gt(last.len() * 8));
--- a/tests/gateway/crash_fleet.rs
+++ b/tests/gateway/crash_fleet.rs
@@ -33,7 +33,7 @@
 /// Pause between two requests of a calm client, in milliseconds.
 const THINK_MS: Range<u64> = 10..40;
 /// Calls that the store answers at once for each daemon: two watches and a call of the leader.
-const CALLS_A_DAEMON: usize = 3;
+const CALLS_PER_DAEMON: usize = 3;
 /// What a refusal says whose request has crashed endpoints.
 const REASON: &str = "crashed endpoints";
 
@@ -120,7 +120,7 @@
 impl CrashFleet {
     /// So many daemons, all ready; half of the endpoints keep their id when they start again.
     pub fn start(daemon_count: usize, endpoint_count: usize) -> Self {
-        let platform = Arc::new(PlatformStandin::start_with(daemon_count * CALLS_A_DAEMON));
+        let platform = Arc::new(PlatformStandin::start_with(daemon_count * CALLS_PER_DAEMON));
         platform.put("config", "main", configuration(3, &["key-1"]));
         let is_mended = Arc::new(AtomicBool::new(false));
         let endpoints = (0..endpoint_count).map(|place| {
--- a/tests/gateway/draining_endpoints.rs
+++ b/tests/gateway/draining_endpoints.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     fleet_places::acquire_fleet_slot,
-    signal_fleet::{LOAD_TIME, SAID_FROM, SignalFleet, SignalOutcome, TELLING, sleep_until},
+    signal_fleet::{LOAD_TIME, SIGNALLING, SIGNALS_FROM, SignalFleet, SignalOutcome, sleep_until},
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
 
@@ -31,23 +31,23 @@
 
 fn play(tell: impl FnOnce(&[SignallingEndpoint], Instant)) -> SignalOutcome {
     let _place = acquire_fleet_slot();
-    SignalFleet::start().play(TELLING, tell)
+    SignalFleet::start().play(SIGNALLING, tell)
 }
 
 /// No late arrivals, and under 2 in 100 of all requests not served: eight endpoints have room.
 fn check(outcome: &SignalOutcome) {
     let (sent, not_served) = outcome.not_served();
-    let (arrivals, late) = (outcome.arrivals_in(SAID_FROM..LOAD_TIME), outcome.late_arrivals());
+    let (arrivals, late) = (outcome.arrivals_in(SIGNALS_FROM..LOAD_TIME), outcome.late_arrivals());
     println!("{arrivals} arrivals, {late} late, not served {not_served:?} of {sent}");
     expect_that!(late, eq(0));
     expect_that!(not_served.values().sum::<usize>() * 50, lt(sent));
-    let judged = outcome.sent_in(SAID_FROM..LOAD_TIME);
+    let judged = outcome.sent_in(SIGNALS_FROM..LOAD_TIME);
     expect_false!(judged.iter().any(|request| request.names_draining));
 }
 
 fn say(endpoints: &[SignallingEndpoint], began: Instant, signal: EndpointSignal) {
-    sleep_until(began, SAID_FROM);
-    endpoints.iter().for_each(|endpoint| endpoint.say(signal));
+    sleep_until(began, SIGNALS_FROM);
+    endpoints.iter().for_each(|endpoint| endpoint.set_signal(signal));
 }
 
 fn end_and_start_again(endpoints: &[SignallingEndpoint], began: Instant) {
@@ -60,7 +60,7 @@
 
 fn write_entries_again(endpoints: &[SignallingEndpoint], began: Instant) {
     say(endpoints, began, EndpointSignal::Drains);
-    let mut at = SAID_FROM;
+    let mut at = SIGNALS_FROM;
     while at < LOAD_TIME {
         endpoints.iter().for_each(SignallingEndpoint::register);
         at += WRITE_PAUSE;
--- a/tests/gateway/failing_endpoints.rs
+++ b/tests/gateway/failing_endpoints.rs
@@ -12,7 +12,8 @@
 use crate::{
     fleet_places::acquire_fleet_slot,
     signal_fleet::{
-        LOAD_TIME, SAID_FROM, SAID_UNTIL, SignalFleet, SignalOutcome, TELLING, say_for_a_while,
+        LOAD_TIME, SIGNALLING, SIGNALS_FROM, SIGNALS_UNTIL, SignalFleet, SignalOutcome,
+        signal_for_a_while,
     },
     signalling_endpoint::EndpointSignal,
 };
@@ -24,11 +25,11 @@
 
 /// At most 2 in 100 requests are not served, and each endpoint is used again that works.
 fn check(outcome: &SignalOutcome) {
-    let sent = outcome.sent_in(SAID_FROM + FOUND_OUT..SAID_UNTIL);
+    let sent = outcome.sent_in(SIGNALS_FROM + FOUND_OUT..SIGNALS_UNTIL);
     let not_served = sent.iter().filter(|request| !request.is_served()).count();
-    let during = outcome.arrivals_in(SAID_FROM + FOUND_OUT..SAID_UNTIL);
-    let again = outcome.arrivals_at_each(SAID_UNTIL..SAID_UNTIL + USED_AGAIN);
-    let later = outcome.arrivals_in(SAID_UNTIL + USED_AGAIN..LOAD_TIME);
+    let during = outcome.arrivals_in(SIGNALS_FROM + FOUND_OUT..SIGNALS_UNTIL);
+    let again = outcome.arrivals_at_each(SIGNALS_UNTIL..SIGNALS_UNTIL + USED_AGAIN);
+    let later = outcome.arrivals_in(SIGNALS_UNTIL + USED_AGAIN..LOAD_TIME);
     println!(
         "not served {not_served} of {}; {during} arrivals, again {again:?}, then {later}",
         sent.len()
@@ -36,7 +37,7 @@
     let second = Duration::from_secs(1);
     let lost: Vec<usize> = (0..6)
         .map(|number| {
-            outcome.sent_in(SAID_FROM + second * number..SAID_FROM + second * (number + 1))
+            outcome.sent_in(SIGNALS_FROM + second * number..SIGNALS_FROM + second * (number + 1))
         })
         .map(|sent| sent.iter().filter(|request| !request.is_served()).count())
         .collect();
@@ -52,7 +53,7 @@
         #[googletest::test]
         fn $name() {
             let _place = acquire_fleet_slot();
-            check(&SignalFleet::start().play(TELLING, say_for_a_while($signal)));
+            check(&SignalFleet::start().play(SIGNALLING, signal_for_a_while($signal)));
         }
     )*};
 }
@@ -75,5 +76,5 @@
 fn failures_at_once_where_few_retries_are_left() {
     let _place = acquire_fleet_slot();
     let fleet = SignalFleet::start_with(json!({"retry-ratio": 0.04, "retry-slack": 0}));
-    check(&fleet.play(TELLING, say_for_a_while(EndpointSignal::Fails)));
+    check(&fleet.play(SIGNALLING, signal_for_a_while(EndpointSignal::Fails)));
 }
--- a/tests/gateway/limited_endpoints.rs
+++ b/tests/gateway/limited_endpoints.rs
@@ -28,7 +28,7 @@
 use crate::{
     fleet_places::acquire_fleet_slot,
     signal_checks::check_told_differently,
-    signal_fleet::{ClientLoad, SignalFleet, SignalOutcome, TELLING, sleep_until},
+    signal_fleet::{ClientLoad, SIGNALLING, SignalFleet, SignalOutcome, sleep_until},
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
 
@@ -68,7 +68,7 @@
 }
 
 fn say(endpoints: &[SignallingEndpoint], signal: EndpointSignal) {
-    endpoints.iter().for_each(|endpoint| endpoint.say(signal));
+    endpoints.iter().for_each(|endpoint| endpoint.set_signal(signal));
 }
 
 /// Has the endpoints say `signal` for a while, and does something else meanwhile.
@@ -141,7 +141,7 @@
 /// Limits are used as far as they go.
 fn check_used(outcome: &SignalOutcome, limit: f64) {
     let kept = NAMED_FROM + KEPT_AFTER..NAMED_UNTIL;
-    let allowed = limit * TELLING as f64 * (kept.end - kept.start).as_secs_f64();
+    let allowed = limit * SIGNALLING as f64 * (kept.end - kept.start).as_secs_f64();
     let arrivals = outcome.arrivals_in(kept) as f64;
     println!("{:.2} of the limits used", arrivals / allowed);
     expect_that!(arrivals, ge(SERVED_SHARE.start() * allowed));
@@ -167,7 +167,7 @@
         #[googletest::test]
         fn $name() {
             let tell = say_while($signal, $meanwhile);
-            let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, tell);
+            let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, tell);
             check(&outcome);
             expect_that!(outcome.arrivals_in(NAMED_FROM + KEPT_AFTER..NAMED_UNTIL), gt(0));
             check_used_again(&outcome, Duration::ZERO);
@@ -189,7 +189,7 @@
         #[googletest::test]
         fn $name() {
             let tell = say_while(EndpointSignal::Limits($text), nothing_else);
-            let outcome = play(ClientLoad::of(LOAD_TIME + $found_within), TELLING, tell);
+            let outcome = play(ClientLoad::of(LOAD_TIME + $found_within), SIGNALLING, tell);
             check(&outcome);
             check_none_refused(&outcome);
             if $limit > 1.0 {
@@ -215,7 +215,7 @@
     // One request in 2.6 s shows that the limit is over.
     let found_within = Duration::from_millis(2_700);
     let load = ClientLoad::of(LOAD_TIME + found_within);
-    let outcome = play(load, TELLING, say_while(EndpointSignal::Limits("6.4"), falls));
+    let outcome = play(load, SIGNALLING, say_while(EndpointSignal::Limits("6.4"), falls));
     check(&outcome);
     expect_that!(outcome.arrivals_in(NAMED_FROM + KEPT_AFTER..NAMED_UNTIL), gt(0));
     check_used_again(&outcome, found_within);
@@ -224,7 +224,7 @@
 #[googletest::test]
 fn limit_of_nothing() {
     let load = ClientLoad::of(LOAD_TIME + ASKED_WITHIN);
-    let outcome = play(load, TELLING, say_while(EndpointSignal::Limits("0"), nothing_else));
+    let outcome = play(load, SIGNALLING, say_while(EndpointSignal::Limits("0"), nothing_else));
     check(&outcome);
     check_used_again(&outcome, ASKED_WITHIN);
 }
@@ -232,7 +232,7 @@
 #[googletest::test]
 fn limit_beside_a_backoff_is_kept_with_it() {
     let tell = say_while(EndpointSignal::LimitsBackingOff("1.6"), nothing_else);
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, tell);
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, tell);
     check(&outcome);
     expect_that!(outcome.backoffs().1, eq(0));
 }
@@ -240,14 +240,14 @@
 #[googletest::test]
 fn limit_beside_draining_brings_no_requests() {
     let tell = say_while(EndpointSignal::LimitsDraining("1.6"), nothing_else);
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, tell);
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, tell);
     check(&outcome);
     expect_that!(outcome.late_arrivals(), eq(0));
 }
 
 #[googletest::test]
 fn limit_is_over_when_an_endpoint_has_started_again() {
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, |_, endpoints, began| {
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, |_, endpoints, began| {
         sleep_until(began, NAMED_FROM);
         say(endpoints, EndpointSignal::Limits("1.6"));
         sleep_until(began, CHANGE_AT);
@@ -263,10 +263,10 @@
 
 #[googletest::test]
 fn limits_that_mean_nothing_change_nothing() {
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, |_, endpoints, began| {
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, |_, endpoints, began| {
         sleep_until(began, NAMED_FROM);
         for (endpoint, text) in endpoints.iter().zip(["-1", "NaN", "1e12", ""]) {
-            endpoint.say(EndpointSignal::Limits(text));
+            endpoint.set_signal(EndpointSignal::Limits(text));
         }
     });
     check(&outcome);
--- a/tests/gateway/route_fleet.rs
+++ b/tests/gateway/route_fleet.rs
@@ -43,7 +43,7 @@
 /// Pause of a client between two requests.
 const ASK_PAUSE: Duration = Duration::from_millis(15);
 /// Calls that the store answers at once for each daemon: two watches and a call of the leader.
-const CALLS_A_DAEMON: usize = 3;
+const CALLS_PER_DAEMON: usize = 3;
 /// Executable file of another release, run by every second daemon.
 const FORMER_PROGRAM: &str = "SOAK_FORMER";
 /// Executable file of another release, run by all daemons.
@@ -97,7 +97,7 @@
 impl RouteFleet {
     /// So many daemons, all ready.
     pub fn start(daemon_count: usize) -> Self {
-        let platform = PlatformStandin::start_with(daemon_count * CALLS_A_DAEMON);
+        let platform = PlatformStandin::start_with(daemon_count * CALLS_PER_DAEMON);
         let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
         let mut fleet = Self {
             daemons: Vec::new(),
--- a/tests/gateway/signal_fleet.rs
+++ b/tests/gateway/signal_fleet.rs
@@ -27,16 +27,16 @@
 const USUAL_DAEMONS: usize = 9;
 const ENDPOINTS: usize = 12;
 /// Endpoints that say something, where not all do.
-pub const TELLING: usize = 4;
+pub const SIGNALLING: usize = 4;
 const CLIENTS: u64 = 24;
 /// Pause between two requests of a client, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 30..50;
 /// From when on the endpoints say it, until when, and when the clients end.
-pub const SAID_FROM: Duration = Duration::from_secs(1);
-pub const SAID_UNTIL: Duration = Duration::from_millis(6_500);
+pub const SIGNALS_FROM: Duration = Duration::from_secs(1);
+pub const SIGNALS_UNTIL: Duration = Duration::from_millis(6_500);
 pub const LOAD_TIME: Duration = Duration::from_millis(9_500);
 /// Calls that the store answers at once for each daemon.
-const CALLS_A_DAEMON: usize = 3;
+const CALLS_PER_DAEMON: usize = 3;
 
 /// How long clients send, and to how many of the daemons.
 #[derive(Clone, Copy, Debug)]
@@ -106,7 +106,7 @@
 
     /// The same with other bounds in the daemons' settings.
     pub fn start_with(bounds: Value) -> Self {
-        let platform = Arc::new(PlatformStandin::start_with(daemon_count() * CALLS_A_DAEMON));
+        let platform = Arc::new(PlatformStandin::start_with(daemon_count() * CALLS_PER_DAEMON));
         platform.put("config", "main", configuration(3, &["key-1"]));
         let endpoints = (0..ENDPOINTS)
             .map(|place| SignallingEndpoint::start(&format!("i-{place}"), "pool", &platform))
@@ -268,7 +268,7 @@
 
     /// Requests sent while the endpoints said it, and how many of them were not served.
     pub fn not_served(&self) -> (usize, BTreeMap<u16, usize>) {
-        let requests = self.sent_in(SAID_FROM..SAID_UNTIL);
+        let requests = self.sent_in(SIGNALS_FROM..SIGNALS_UNTIL);
         let mut statuses = BTreeMap::new();
         for request in requests.iter().filter(|request| !request.is_served()) {
             *statuses.entry(request.status).or_default() += 1;
@@ -298,12 +298,12 @@
     thread::sleep((began + at).saturating_duration_since(Instant::now()));
 }
 
-/// Has the endpoints say `signal`, from `SAID_FROM` to `SAID_UNTIL`.
-pub fn say_for_a_while(signal: EndpointSignal) -> impl FnOnce(&[SignallingEndpoint], Instant) {
+/// Has the endpoints say `signal`, from `SIGNALS_FROM` to `SIGNALS_UNTIL`.
+pub fn signal_for_a_while(signal: EndpointSignal) -> impl FnOnce(&[SignallingEndpoint], Instant) {
     move |endpoints, began| {
-        sleep_until(began, SAID_FROM);
-        endpoints.iter().for_each(|endpoint| endpoint.say(signal));
-        sleep_until(began, SAID_UNTIL);
-        endpoints.iter().for_each(|endpoint| endpoint.say(EndpointSignal::None));
+        sleep_until(began, SIGNALS_FROM);
+        endpoints.iter().for_each(|endpoint| endpoint.set_signal(signal));
+        sleep_until(began, SIGNALS_UNTIL);
+        endpoints.iter().for_each(|endpoint| endpoint.set_signal(EndpointSignal::None));
     }
 }
--- a/tests/gateway/signalling_endpoint.rs
+++ b/tests/gateway/signalling_endpoint.rs
@@ -184,7 +184,7 @@
         endpoint
     }
 
-    pub fn say(&self, signal: EndpointSignal) {
+    pub fn set_signal(&self, signal: EndpointSignal) {
         *self.shared.signal.lock().expect("lock") = signal;
     }
 
@@ -213,7 +213,7 @@
 
     /// Starts it again under its id, and registers it.
     pub fn start_again(&self) {
-        self.say(EndpointSignal::None);
+        self.set_signal(EndpointSignal::None);
         *self.shared.born.lock().expect("lock") = now_ms();
         self.shared.start.fetch_add(1, Ordering::SeqCst);
         self.shared.is_down.store(false, Ordering::SeqCst);
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -30,8 +30,8 @@
     loopback_proxy::{LinkState, LoopbackProxy},
     platform_standin::PlatformStandin,
     soak_clients::{Exchange, SoakClient},
-    soak_crashes::{CrashLane, with_fragile_service},
-    soak_signals::{SIGNAL_CLIENTS, SPEAKERS, SignalLane, with_speaking_service},
+    soak_crashes::{CrashTraffic, with_fragile_service},
+    soak_signals::{SIGNAL_CLIENTS, SIGNALLING_GROUPS, SignalTraffic, with_signalling_service},
 };
 
 /// Seeds played where the environment names no number.
@@ -145,8 +145,8 @@
 /// A deployment under faults.
 struct SoakSite {
     platform: Arc<PlatformStandin>,
-    crash_lane: CrashLane,
-    signal_lane: SignalLane,
+    crash_traffic: CrashTraffic,
+    signal_traffic: SignalTraffic,
     store_links: Vec<LoopbackProxy>,
     endpoints: Vec<EndpointStandin>,
     endpoint_links: Vec<LoopbackProxy>,
@@ -164,8 +164,8 @@
 impl SoakSite {
     fn start(daemon_count: usize) -> Self {
         let platform = Arc::new(PlatformStandin::start());
-        let crash_lane = CrashLane::start(&platform);
-        let signal_lane = SignalLane::start(&platform);
+        let crash_traffic = CrashTraffic::start(&platform);
+        let signal_traffic = SignalTraffic::start(&platform);
         let endpoints: Vec<EndpointStandin> = (0..ENDPOINTS)
             .map(|place| EndpointStandin::start(&format!("i-{place}"), EndpointManner::Serve))
             .collect();
@@ -176,8 +176,8 @@
         let version = AtomicU64::new(2);
         let mut site = Self {
             platform,
-            crash_lane,
-            signal_lane,
+            crash_traffic,
+            signal_traffic,
             store_links,
             endpoints,
             endpoint_links,
@@ -253,7 +253,7 @@
             Fault::NewConfigurations(count) => self.write_versions(count, rng),
         }
         if let Fault::Kill(place) | Fault::Freeze(place) | Fault::StopAndStart(place) = fault {
-            self.signal_lane.disturbed(place, from);
+            self.signal_traffic.disturbed(place, from);
         }
     }
 
@@ -288,7 +288,7 @@
     fn write_next_version(&self) -> u64 {
         let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
         let written = configuration(version, &["key-1", &version_key(version)]);
-        self.platform.put("config", "main", with_speaking_service(with_fragile_service(written)));
+        self.platform.put("config", "main", with_signalling_service(with_fragile_service(written)));
         self.written_at.lock().expect("lock").insert(version, Instant::now());
         version
     }
@@ -362,11 +362,11 @@
             let (addresses, exchanges) = (&addresses, &exchanges);
             scope.spawn(move || SoakClient::new(number, seed).run(addresses, until, exchanges));
         }
-        let (lane, addresses) = (&site.crash_lane, &addresses);
+        let (lane, addresses) = (&site.crash_traffic, &addresses);
         scope.spawn(move || lane.crash(addresses, until, seed));
         scope.spawn(move || lane.ask(addresses, until, seed));
-        let lane = &site.signal_lane;
-        for group in 0..SPEAKERS {
+        let lane = &site.signal_traffic;
+        for group in 0..SIGNALLING_GROUPS {
             scope.spawn(move || lane.speak(group, until, seed));
         }
         for number in 0..SIGNAL_CLIENTS {
@@ -385,8 +385,8 @@
             try_send_raw(*address, &bytes).is_ok_and(|answer| answer.status == 200)
         });
     }
-    site.crash_lane.check();
-    site.signal_lane.check();
+    site.crash_traffic.check();
+    site.signal_traffic.check();
     check_configuration(&site, &addresses);
     check(&site, &exchanges.into_inner().expect("lock"));
 }
--- a/tests/gateway/soak_crashes.rs
+++ b/tests/gateway/soak_crashes.rs
@@ -27,7 +27,7 @@
 const ALLOWED_ARRIVALS: usize = 3;
 
 /// The endpoints, and what their clients have seen.
-pub struct CrashLane {
+pub struct CrashTraffic {
     endpoints: Vec<CrashingEndpoint>,
     /// Requests that crash nothing and were refused as if they did.
     wrongly_refused: Mutex<Vec<RawAnswer>>,
@@ -46,7 +46,7 @@
     configuration
 }
 
-impl CrashLane {
+impl CrashTraffic {
     pub fn start(platform: &Arc<PlatformStandin>) -> Self {
         let is_mended = Arc::default();
         let endpoint = |place: usize| {
--- a/tests/gateway/soak_signals.rs
+++ b/tests/gateway/soak_signals.rs
@@ -24,7 +24,7 @@
 
 const SERVICE: &str = "speaking";
 /// Groups of endpoints of which one after the other says something, and the endpoints of a group.
-pub const SPEAKERS: usize = 3;
+pub const SIGNALLING_GROUPS: usize = 3;
 const GROUP: usize = 2;
 /// Clients of this service.
 pub const SIGNAL_CLIENTS: u64 = 4;
@@ -63,7 +63,7 @@
 ];
 
 /// The endpoints, and what their clients have seen.
-pub struct SignalLane {
+pub struct SignalTraffic {
     endpoints: Vec<SignallingEndpoint>,
     sent: Mutex<HashMap<String, SentAt>>,
     disturbances: Mutex<Vec<Disturbance>>,
@@ -71,7 +71,7 @@
 
 /// Adds the routes and the service of these endpoints to a configuration: requests that may be
 /// retried, and others.
-pub fn with_speaking_service(mut configuration: Value) -> Value {
+pub fn with_signalling_service(mut configuration: Value) -> Value {
     for (place, prefix) in [(0, "/speaking/plain/"), (1, "/speaking/once/")] {
         let mut route = configuration["routes"][place].clone();
         let name = format!("{SERVICE}-{place}");
@@ -86,13 +86,13 @@
     configuration
 }
 
-impl SignalLane {
+impl SignalTraffic {
     pub fn start(platform: &Arc<PlatformStandin>) -> Self {
         let endpoint = |place: usize| {
             SignallingEndpoint::start(&format!("speaking-{place}"), SERVICE, platform)
         };
         Self {
-            endpoints: (0..SPEAKERS * GROUP).map(endpoint).collect(),
+            endpoints: (0..SIGNALLING_GROUPS * GROUP).map(endpoint).collect(),
             sent: Mutex::default(),
             disturbances: Mutex::default(),
         }
@@ -111,7 +111,7 @@
         while Instant::now() < until {
             let endpoint = endpoints.choose(&mut rng).expect("an endpoint");
             let signal = *SIGNALS.choose(&mut rng).expect("a signal");
-            endpoint.say(signal);
+            endpoint.set_signal(signal);
             self.rewrite_entry(endpoint, &mut rng);
             let said_ms = if signal.limit().is_some() { LIMITED_MS } else { SAID_MS };
             thread::sleep(Duration::from_millis(rng.random_range(said_ms)));
@@ -120,7 +120,7 @@
                 thread::sleep(Duration::from_millis(rng.random_range(DOWN_MS)));
                 endpoint.start_again();
             }
-            endpoint.say(EndpointSignal::None);
+            endpoint.set_signal(EndpointSignal::None);
             self.check();
             thread::sleep(Duration::from_millis(rng.random_range(QUIET_MS)));
         }
--- a/tests/gateway/store_loss.rs
+++ b/tests/gateway/store_loss.rs
@@ -11,7 +11,7 @@
     fleet_places::acquire_fleet_slot,
     leader_tasks::{check_reports, reports},
     store_loss_fleet::{
-        AnsweredRequest, AskedThing, FIRST_CHANGES_AT, LAST_CHANGES_AT, LossFleet, StoreLoss,
+        AnsweredRequest, FIRST_CHANGES_AT, LAST_CHANGES_AT, LossFleet, RequestTarget, StoreLoss,
     },
 };
 
@@ -31,7 +31,7 @@
 impl LossOutcome {
     fn in_span(
         &self,
-        asked: AskedThing,
+        asked: RequestTarget,
         span: Range<Duration>,
     ) -> impl Iterator<Item = &AnsweredRequest> {
         let is_asked =
@@ -41,7 +41,7 @@
 
     fn count(
         &self,
-        asked: AskedThing,
+        asked: RequestTarget,
         span: Range<Duration>,
         is_wrong: impl Fn(&AnsweredRequest) -> bool,
     ) -> usize {
@@ -52,8 +52,8 @@
     fn served_by_older(&self) -> [usize; 2] {
         let span = FIRST_CHANGES_AT + APPLY_LIMIT..LAST_CHANGES_AT;
         let moved =
-            self.count(AskedThing::MovedRoute, span.clone(), |one| one.is_served_by("former"));
-        let key = self.count(AskedThing::DroppedKey, span, |one| one.status == 200);
+            self.count(RequestTarget::MovedRoute, span.clone(), |one| one.is_served_by("former"));
+        let key = self.count(RequestTarget::DroppedKey, span, |one| one.status == 200);
         [moved, key]
     }
 
@@ -61,8 +61,9 @@
     fn served_without_last(&self) -> [usize; 2] {
         let span = LAST_CHANGES_AT + APPLY_LIMIT..END;
         let moved =
-            self.count(AskedThing::MovedRoute, span.clone(), |one| one.is_served_by("later"));
-        let added = self.count(AskedThing::AddedRoute, span, |one| matches!(one.status, 401 | 404));
+            self.count(RequestTarget::MovedRoute, span.clone(), |one| one.is_served_by("later"));
+        let added =
+            self.count(RequestTarget::AddedRoute, span, |one| matches!(one.status, 401 | 404));
         [moved, added]
     }
 
@@ -70,7 +71,7 @@
     fn at_leaving(&self) -> [usize; 2] {
         let count = |id: &str, since: Duration| {
             let span = since + APPLY_LIMIT..END;
-            self.count(AskedThing::ChangingEndpoints, span, |one| one.is_served_by(id))
+            self.count(RequestTarget::ChangingEndpoints, span, |one| one.is_served_by(id))
         };
         [count("leaver-0", FIRST_CHANGES_AT), count("leaver-1", LAST_CHANGES_AT)]
     }
@@ -79,12 +80,12 @@
     fn at_registered(&self) -> [usize; 2] {
         let span = LAST_CHANGES_AT + APPLY_LIMIT..END;
         ["late-0", "late-1"].map(|id| {
-            self.count(AskedThing::ChangingEndpoints, span.clone(), |one| one.is_served_by(id))
+            self.count(RequestTarget::ChangingEndpoints, span.clone(), |one| one.is_served_by(id))
         })
     }
 
     fn not_served(&self, span: Range<Duration>) -> usize {
-        self.count(AskedThing::ChangingEndpoints, span, |one| one.status != 200)
+        self.count(RequestTarget::ChangingEndpoints, span, |one| one.status != 200)
     }
 
     fn reported_again(&self) -> usize {
--- a/tests/gateway/store_loss_fleet.rs
+++ b/tests/gateway/store_loss_fleet.rs
@@ -49,7 +49,7 @@
 /// Executable file of the last release, run by every second daemon, which no client asks then.
 const FORMER_PROGRAM: &str = "LOSS_FORMER";
 /// Calls that the store answers at once for each daemon: two watches and a call of the leader.
-const CALLS_A_DAEMON: usize = 3;
+const CALLS_PER_DAEMON: usize = 3;
 
 /// What is done to the store and to the daemons.
 #[derive(Clone, Copy, Debug, Default)]
@@ -70,7 +70,7 @@
 
 /// What a client asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskedThing {
+pub enum RequestTarget {
     /// A route that is moved, by a key that stays.
     MovedRoute,
     /// The same by a key that is dropped.
@@ -84,7 +84,7 @@
 /// A request and its answer.
 #[derive(Clone, Debug)]
 pub struct AnsweredRequest {
-    pub asked: AskedThing,
+    pub asked: RequestTarget,
     /// When it was sent, from the start of the clients.
     pub sent_at: Duration,
     pub status: u16,
@@ -165,7 +165,7 @@
 impl LossFleet {
     /// So many daemons, all ready.
     pub fn start(daemon_count: usize) -> Self {
-        let platform = PlatformStandin::start_with(daemon_count * CALLS_A_DAEMON + 8);
+        let platform = PlatformStandin::start_with(daemon_count * CALLS_PER_DAEMON + 8);
         platform.set_era(1);
         let names = ENDPOINTS.iter().map(|(id, _)| *id).chain(LATE_ENDPOINTS);
         let start = |id| EndpointStandin::start(id, EndpointManner::Answer);
@@ -281,10 +281,10 @@
         let address = self.daemons[daemon].lock().expect("lock").clients;
         let mut requests = Vec::new();
         let all = [
-            AskedThing::MovedRoute,
-            AskedThing::DroppedKey,
-            AskedThing::ChangingEndpoints,
-            AskedThing::AddedRoute,
+            RequestTarget::MovedRoute,
+            RequestTarget::DroppedKey,
+            RequestTarget::ChangingEndpoints,
+            RequestTarget::AddedRoute,
         ];
         for asked in all.iter().cycle() {
             let sent_at = began.elapsed();
@@ -301,15 +301,15 @@
     fn ask(
         &self,
         address: SocketAddr,
-        asked: AskedThing,
+        asked: RequestTarget,
         sent_at: Duration,
     ) -> Option<AnsweredRequest> {
         std::net::TcpStream::connect(address).ok()?;
         let (path, key) = match asked {
-            AskedThing::MovedRoute => ("/moved/", "key-1"),
-            AskedThing::DroppedKey => ("/moved/", "key-dropped"),
-            AskedThing::ChangingEndpoints => ("/changing/", "key-1"),
-            AskedThing::AddedRoute => ("/added/", "key-added"),
+            RequestTarget::MovedRoute => ("/moved/", "key-1"),
+            RequestTarget::DroppedKey => ("/moved/", "key-dropped"),
+            RequestTarget::ChangingEndpoints => ("/changing/", "key-1"),
+            RequestTarget::AddedRoute => ("/added/", "key-added"),
         };
         let id = format!("loss-{}", self.count.fetch_add(1, Ordering::Relaxed));
         let answer = ask(address, path, &id, key, &[], b"");
