--- a/tests/gateway/store_loss.rs
+++ b/tests/gateway/store_loss.rs
@@ -1,7 +1,8 @@
-//! The store is restored from a copy: what it had acknowledged since is lost, and its revisions go back.
+//! Restores the store from a backup copy: writes acknowledged after the copy are lost, and its
+//! revisions go back. Changes must still be applied in time and stay in force.
 //!
-//! `LOSS_DAEMONS=77 cargo test --test gateway store_loss` plays with a fleet of several gossip groups,
-//! `LOSS_FORMER=FILE` with the last release's program at every second place.
+//! `LOSS_DAEMONS=77 cargo test --test gateway store_loss` runs a fleet of several gossip groups.
+//! `LOSS_FORMER=FILE` runs the last release's program as every second daemon.
 
 use std::{collections::BTreeMap, ops::Range, time::Duration};
 
@@ -15,41 +16,41 @@
     },
 };
 
-/// Daemons where the environment names no number.
-const USUAL_DAEMONS: usize = 9;
-/// Time after its acknowledgement within which a change is in force.
+/// Number of daemons if `LOSS_DAEMONS` is not set.
+const DEFAULT_DAEMONS: usize = 9;
+/// Time within which a change must be in force after the store has acknowledged it.
 const APPLY_LIMIT: Duration = Duration::from_millis(2_000);
 const END: Duration = Duration::from_secs(60);
 
-/// What clients have got, and what the cloud was told.
+/// The requests of clients with their answers, and the usage reports that the cloud received.
 struct LossOutcome {
     requests: Vec<AnsweredRequest>,
-    /// Times that each window was reported.
+    /// Number of reports for each usage window.
     reports: BTreeMap<u64, usize>,
 }
 
 impl LossOutcome {
     fn in_span(
         &self,
-        asked: RequestTarget,
+        target: RequestTarget,
         span: Range<Duration>,
     ) -> impl Iterator<Item = &AnsweredRequest> {
-        let is_asked =
-            move |one: &&AnsweredRequest| one.asked == asked && span.contains(&one.sent_at);
-        self.requests.iter().filter(is_asked)
+        let has_target =
+            move |one: &&AnsweredRequest| one.target == target && span.contains(&one.sent_at);
+        self.requests.iter().filter(has_target)
     }
 
     fn count(
         &self,
-        asked: RequestTarget,
+        target: RequestTarget,
         span: Range<Duration>,
         is_wrong: impl Fn(&AnsweredRequest) -> bool,
     ) -> usize {
-        self.in_span(asked, span).filter(|one| is_wrong(one)).count()
+        self.in_span(target, span).filter(|one| is_wrong(one)).count()
     }
 
-    /// Requests that an older configuration than the first changed one has let through.
-    fn served_by_older(&self) -> [usize; 2] {
+    /// Requests that were served by a configuration older than the first change.
+    fn served_by_older_configuration(&self) -> [usize; 2] {
         let span = FIRST_CHANGES_AT + APPLY_LIMIT..LAST_CHANGES_AT;
         let moved =
             self.count(RequestTarget::MovedRoute, span.clone(), |one| one.is_served_by("former"));
@@ -57,8 +58,8 @@
         [moved, key]
     }
 
-    /// Requests that the last configuration would have served otherwise.
-    fn served_without_last(&self) -> [usize; 2] {
+    /// Requests that were answered as if the last change had not been made.
+    fn served_without_last_change(&self) -> [usize; 2] {
         let span = LAST_CHANGES_AT + APPLY_LIMIT..END;
         let moved =
             self.count(RequestTarget::MovedRoute, span.clone(), |one| one.is_served_by("later"));
@@ -67,8 +68,8 @@
         [moved, added]
     }
 
-    /// Requests that endpoints got after they had said that they leave.
-    fn at_leaving(&self) -> [usize; 2] {
+    /// Requests served by endpoints after these had written in their entries that they drain.
+    fn served_by_leaving(&self) -> [usize; 2] {
         let count = |id: &str, since: Duration| {
             let span = since + APPLY_LIMIT..END;
             self.count(RequestTarget::ChangingEndpoints, span, |one| one.is_served_by(id))
@@ -76,8 +77,9 @@
         [count("leaver-0", FIRST_CHANGES_AT), count("leaver-1", LAST_CHANGES_AT)]
     }
 
-    /// Requests at the endpoints that have registered before and after the loss, in the last second.
-    fn at_registered(&self) -> [usize; 2] {
+    /// Requests served by the endpoints that registered before and after the loss, counted once the
+    /// last changes must be in force.
+    fn served_by_registered(&self) -> [usize; 2] {
         let span = LAST_CHANGES_AT + APPLY_LIMIT..END;
         ["late-0", "late-1"].map(|id| {
             self.count(RequestTarget::ChangingEndpoints, span.clone(), |one| one.is_served_by(id))
@@ -88,14 +90,14 @@
         self.count(RequestTarget::ChangingEndpoints, span, |one| one.status != 200)
     }
 
-    fn reported_again(&self) -> usize {
+    fn windows_reported_again(&self) -> usize {
         self.reports.values().filter(|count| **count > 1).count()
     }
 }
 
 fn daemon_count() -> usize {
     let named = std::env::var("LOSS_DAEMONS").ok().and_then(|text| text.parse().ok());
-    named.unwrap_or(USUAL_DAEMONS)
+    named.unwrap_or(DEFAULT_DAEMONS)
 }
 
 fn play(loss: StoreLoss) -> LossOutcome {
@@ -115,21 +117,33 @@
     let outcome = play(loss);
     let none = eq([0, 0]);
     println!(
-        "{loss:?}: older {:?}, without last {:?}, leaving {:?}, registered {:?}, not served {}, \
-         reported again {} of {}",
-        outcome.served_by_older(),
-        outcome.served_without_last(),
-        outcome.at_leaving(),
-        outcome.at_registered(),
+        "{loss:?}: older configuration {:?}, last change missing {:?}, leaving endpoints {:?}, \
+         registered endpoints {:?}, not served {}, windows reported again {} of {}",
+        outcome.served_by_older_configuration(),
+        outcome.served_without_last_change(),
+        outcome.served_by_leaving(),
+        outcome.served_by_registered(),
         outcome.not_served(Duration::ZERO..END),
-        outcome.reported_again(),
+        outcome.windows_reported_again(),
         outcome.reports.len(),
     );
-    expect_that!(outcome.served_by_older(), none, "older configuration, dropped key");
-    expect_that!(outcome.served_without_last(), eq([0, 0]), "moved route, added route");
-    expect_that!(outcome.at_leaving(), eq([0, 0]), "endpoints that leave");
-    expect_that!(outcome.at_registered(), each(gt(0)), "endpoints that have registered");
-    expect_that!(outcome.reported_again(), eq(0), "usage windows");
+    expect_that!(
+        outcome.served_by_older_configuration(),
+        none,
+        "requests served by the older route and with the dropped key"
+    );
+    expect_that!(
+        outcome.served_without_last_change(),
+        eq([0, 0]),
+        "requests to the moved and the added route without the last change"
+    );
+    expect_that!(outcome.served_by_leaving(), eq([0, 0]), "requests at endpoints that leave");
+    expect_that!(
+        outcome.served_by_registered(),
+        each(gt(0)),
+        "requests at endpoints that have registered"
+    );
+    expect_that!(outcome.windows_reported_again(), eq(0), "usage windows reported more than once");
 }
 
 macro_rules! loss_cases {
@@ -151,15 +165,15 @@
 };
 
 loss_cases! {
-    changes_hold_where_the_store_loses_nothing: StoreLoss::default();
-    changes_hold_after_the_store_lost_few_writes: LOST;
-    changes_hold_after_the_store_lost_many_writes: StoreLoss { lost_writes: 600, ..LOST };
-    changes_hold_while_lost_writes_are_not_yet_written_again:
+    changes_stay_in_force_when_the_store_loses_nothing: StoreLoss::default();
+    changes_stay_in_force_after_the_store_lost_few_writes: LOST;
+    changes_stay_in_force_after_the_store_lost_many_writes: StoreLoss { lost_writes: 600, ..LOST };
+    changes_stay_in_force_while_lost_writes_are_not_yet_written_again:
         StoreLoss { is_written_late: true, ..LOST };
-    changes_hold_after_lost_revisions_were_soon_given_out_again:
+    changes_stay_in_force_after_lost_revisions_were_assigned_again:
         StoreLoss { writes_after: 400, ..LOST };
-    changes_hold_at_daemons_that_start_after_the_store_lost_writes:
+    changes_stay_in_force_at_daemons_that_start_after_the_store_lost_writes:
         StoreLoss { lost_writes: 600, restarts_every_other: true, ..LOST };
-    changes_hold_after_the_store_lost_writes_twice:
+    changes_stay_in_force_after_the_store_lost_writes_twice:
         StoreLoss { lost_writes: 600, is_lost_twice: true, ..LOST };
 }
--- a/tests/gateway/store_loss_fleet.rs
+++ b/tests/gateway/store_loss_fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet of real daemons whose store is restored from a copy, and clients at every daemon.
 //!
 //! Meanwhile the operator moves a route, drops a key, adds a route and a key, and endpoints register
-//! and leave. What is recorded of a request is when it was sent, the status of its answer, and the
-//! endpoint that has served it.
+//! and leave. For each request the clients record when it was sent, the status of its answer, and the
+//! endpoint that served it.
 
 use std::{
     net::SocketAddr,
@@ -23,68 +23,69 @@
     platform_standin::PlatformStandin,
 };
 
-/// When the store is copied, from the start of the clients.
+/// When the store is copied. All these times count from the start of the clients.
 pub const COPIED_AT: Duration = Duration::from_millis(500);
-/// When the first changes are written: a route moves, a key is dropped, an endpoint says that it
-/// leaves, another one registers.
+/// When the first changes are written: a route moves, a key is dropped, an endpoint writes
+/// that it drains, another one registers.
 pub const FIRST_CHANGES_AT: Duration = Duration::from_millis(1_000);
-/// When the store goes away.
-const AWAY_AT: Duration = Duration::from_millis(2_000);
-/// When it is back, as of the copy.
+/// When the store becomes unreachable.
+const UNREACHABLE_AT: Duration = Duration::from_millis(2_000);
+/// When the store is back, with the contents of the copy.
 pub const BACK_AT: Duration = Duration::from_millis(2_500);
-/// When it goes away and comes back once more, where it does.
-const AWAY_AGAIN: (Duration, Duration) =
+/// When the store becomes unreachable and comes back a second time, if the copy is restored twice.
+const UNREACHABLE_AGAIN: (Duration, Duration) =
     (Duration::from_millis(2_900), Duration::from_millis(3_200));
-/// When operator and endpoints write theirs again.
-const WRITTEN_AGAIN_AT: Duration = Duration::from_millis(3_500);
-/// The same where they are slow.
-const WRITTEN_AGAIN_LATE_AT: Duration = Duration::from_millis(5_000);
-/// When the last changes are written: the route moves back, a route and a key are added, a further
-/// endpoint says that it leaves, another one registers.
+/// When the operator and the endpoints repeat their lost writes.
+const REWRITTEN_AT: Duration = Duration::from_millis(3_500);
+/// When they repeat them if `is_written_late` is set.
+const REWRITTEN_LATE_AT: Duration = Duration::from_millis(5_000);
+/// When the last changes are written: the route moves back, a route and a key are added, a second
+/// endpoint writes that it drains, another one registers.
 pub const LAST_CHANGES_AT: Duration = Duration::from_millis(5_600);
 /// When the clients end.
 const END_AT: Duration = Duration::from_millis(9_500);
 /// Pause of a client between two requests.
-const ASK_PAUSE: Duration = Duration::from_millis(30);
-/// Executable file of the last release, run by every second daemon, which no client asks then.
+const REQUEST_PAUSE: Duration = Duration::from_millis(30);
+/// Environment variable with the last release's executable file. Every second daemon runs it, and no
+/// client sends requests to these.
 const FORMER_PROGRAM: &str = "LOSS_FORMER";
-/// Calls that the store answers at once for each daemon: two watches and a call of the leader.
+/// Concurrent calls that the store serves for each daemon: two watches and a call of the leader.
 const CALLS_PER_DAEMON: usize = 3;
 
 /// What is done to the store and to the daemons.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreLoss {
-    /// Whether the store loses anything at all.
+    /// Whether the store is restored from the copy at all.
     pub is_lost: bool,
-    /// Writes of others after the copy and before the first changes.
+    /// Writes to other objects after the copy and before the first changes.
     pub lost_writes: u64,
-    /// Writes of others after it has come back, before any daemon reads it.
+    /// Writes to other objects after the restore, before any daemon can read the store.
     pub writes_after: u64,
-    /// Whether operator and endpoints take longer to write theirs again.
+    /// Whether the operator and the endpoints take longer to repeat their lost writes.
     pub is_written_late: bool,
-    /// Whether the same copy comes back a second time.
+    /// Whether the same copy is restored a second time.
     pub is_lost_twice: bool,
-    /// Whether every other daemon is killed when the store is back.
+    /// Whether every other daemon is killed and restarted when the store is back.
     pub restarts_every_other: bool,
 }
 
-/// What a client asked for.
+/// The route and key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestTarget {
-    /// A route that is moved, by a key that stays.
+    /// The route that is moved, with the key that stays.
     MovedRoute,
-    /// The same by a key that is dropped.
+    /// The route that is moved, with the key that is dropped.
     DroppedKey,
-    /// A route whose endpoints come and go.
+    /// The route whose endpoints register and leave.
     ChangingEndpoints,
-    /// A route that is added at last, by a key that is.
+    /// The route that the last changes add, with the key that they add.
     AddedRoute,
 }
 
 /// A request and its answer.
 #[derive(Clone, Debug)]
 pub struct AnsweredRequest {
-    pub asked: RequestTarget,
+    pub target: RequestTarget,
     /// When it was sent, from the start of the clients.
     pub sent_at: Duration,
     pub status: u16,
@@ -93,22 +94,22 @@
 }
 
 impl AnsweredRequest {
-    /// Whether an endpoint whose id begins so has served it.
+    /// Whether an endpoint whose id begins with `prefix` served it.
     pub fn is_served_by(&self, prefix: &str) -> bool {
         self.endpoint.as_ref().is_some_and(|id| id.starts_with(prefix))
     }
 }
 
-/// The daemons, the endpoints by the beginning of their ids, and the store.
+/// The store, the endpoints and the daemons.
 pub struct LossFleet {
     pub platform: PlatformStandin,
     endpoints: Vec<EndpointStandin>,
     daemons: Vec<Mutex<Gateway>>,
-    /// Clients at each daemon.
-    count: AtomicU64,
+    /// Number of requests sent so far.
+    request_count: AtomicU64,
 }
 
-/// Endpoints by service; `leaver` and `late` belong to the service of the same route.
+/// Endpoints that are registered from the start, with their services.
 const ENDPOINTS: [(&str, &str); 8] = [
     ("former-0", "former"),
     ("former-1", "former"),
@@ -133,12 +134,12 @@
     Path::new(env!("CARGO_BIN_EXE_willowarchd"))
 }
 
-/// The last release's program, if the daemon at this place runs it.
+/// The last release's program, if the daemon with this index runs it.
 fn former_program(place: usize) -> Option<PathBuf> {
     std::env::var_os(FORMER_PROGRAM).filter(|_| place % 2 == 1).map(PathBuf::from)
 }
 
-/// A configuration whose moved route belongs to `service`.
+/// A configuration whose moved route goes to `service`; the last one also has the added route.
 fn written_configuration(version: u64, service: &str, keys: &[&str], is_last: bool) -> Value {
     let mut written = configuration(version, keys);
     let plain = written["routes"][0].clone();
@@ -163,7 +164,7 @@
 }
 
 impl LossFleet {
-    /// So many daemons, all ready.
+    /// Starts the daemons and waits until all are ready.
     pub fn start(daemon_count: usize) -> Self {
         let platform = PlatformStandin::start_with(daemon_count * CALLS_PER_DAEMON + 8);
         platform.set_era(1);
@@ -171,7 +172,7 @@
         let start = |id| EndpointStandin::start(id, EndpointManner::Answer);
         let endpoints: Vec<EndpointStandin> = names.map(start).collect();
         let mut fleet =
-            Self { platform, endpoints, daemons: Vec::new(), count: AtomicU64::default() };
+            Self { platform, endpoints, daemons: Vec::new(), request_count: AtomicU64::default() };
         for (id, service) in ENDPOINTS {
             fleet.write_entry(id, service, "ready");
         }
@@ -227,32 +228,32 @@
         self.platform.set_down(false);
     }
 
-    /// Plays the changes and the loss; returns what clients have asked and got.
+    /// Makes the changes, causes the loss, and returns the requests of the clients.
     pub fn play(&self, loss: StoreLoss) -> Vec<AnsweredRequest> {
         let began = Instant::now();
         let requests = Mutex::new(Vec::new());
         thread::scope(|scope| {
-            scope.spawn(|| self.cause(loss, began));
-            let asked = (0..self.daemons.len()).filter(|place| former_program(*place).is_none());
-            for place in asked {
+            scope.spawn(|| self.make_changes(loss, began));
+            let own = (0..self.daemons.len()).filter(|place| former_program(*place).is_none());
+            for place in own {
                 let requests = &requests;
                 scope.spawn(move || {
-                    let asked = self.ask_until_end(place, began);
-                    requests.lock().expect("lock").extend(asked);
+                    let answered = self.send_until_end(place, began);
+                    requests.lock().expect("lock").extend(answered);
                 });
             }
         });
         requests.into_inner().expect("lock")
     }
 
-    fn cause(&self, loss: StoreLoss, began: Instant) {
+    fn make_changes(&self, loss: StoreLoss, began: Instant) {
         sleep_until(began, COPIED_AT);
         self.platform.copy_contents();
         self.platform.write_others(loss.lost_writes);
         sleep_until(began, FIRST_CHANGES_AT);
         self.write_first_changes();
         if loss.is_lost {
-            sleep_until(began, AWAY_AT);
+            sleep_until(began, UNREACHABLE_AT);
             self.platform.set_down(true);
             sleep_until(began, BACK_AT);
             self.lose_writes(loss);
@@ -263,13 +264,13 @@
             }
         }
         if loss.is_lost_twice {
-            sleep_until(began, AWAY_AGAIN.0);
+            sleep_until(began, UNREACHABLE_AGAIN.0);
             self.platform.set_down(true);
-            sleep_until(began, AWAY_AGAIN.1);
+            sleep_until(began, UNREACHABLE_AGAIN.1);
             self.lose_writes(loss);
         }
         if loss.is_lost {
-            let again = if loss.is_written_late { WRITTEN_AGAIN_LATE_AT } else { WRITTEN_AGAIN_AT };
+            let again = if loss.is_written_late { REWRITTEN_LATE_AT } else { REWRITTEN_AT };
             sleep_until(began, again);
             self.write_first_changes();
         }
@@ -277,7 +278,7 @@
         self.write_last_changes();
     }
 
-    fn ask_until_end(&self, daemon: usize, began: Instant) -> Vec<AnsweredRequest> {
+    fn send_until_end(&self, daemon: usize, began: Instant) -> Vec<AnsweredRequest> {
         let address = self.daemons[daemon].lock().expect("lock").clients;
         let mut requests = Vec::new();
         let all = [
@@ -286,36 +287,36 @@
             RequestTarget::ChangingEndpoints,
             RequestTarget::AddedRoute,
         ];
-        for asked in all.iter().cycle() {
+        for target in all.iter().cycle() {
             let sent_at = began.elapsed();
             if sent_at >= END_AT {
                 break;
             }
-            requests.extend(self.ask(address, *asked, sent_at));
-            thread::sleep(ASK_PAUSE);
+            requests.extend(self.send(address, *target, sent_at));
+            thread::sleep(REQUEST_PAUSE);
         }
         requests
     }
 
-    /// None where the daemon takes no connection.
-    fn ask(
+    /// Sends a request; none if the daemon accepts no connection.
+    fn send(
         &self,
         address: SocketAddr,
-        asked: RequestTarget,
+        target: RequestTarget,
         sent_at: Duration,
     ) -> Option<AnsweredRequest> {
         std::net::TcpStream::connect(address).ok()?;
-        let (path, key) = match asked {
+        let (path, key) = match target {
             RequestTarget::MovedRoute => ("/moved/", "key-1"),
             RequestTarget::DroppedKey => ("/moved/", "key-dropped"),
             RequestTarget::ChangingEndpoints => ("/changing/", "key-1"),
             RequestTarget::AddedRoute => ("/added/", "key-added"),
         };
-        let id = format!("loss-{}", self.count.fetch_add(1, Ordering::Relaxed));
+        let id = format!("loss-{}", self.request_count.fetch_add(1, Ordering::Relaxed));
         let answer = ask(address, path, &id, key, &[], b"");
         let is_served = answer.status == 200;
         let endpoint = is_served.then(|| answer.text().split(' ').next().unwrap_or("").to_owned());
-        Some(AnsweredRequest { asked, sent_at, status: answer.status, endpoint })
+        Some(AnsweredRequest { target, sent_at, status: answer.status, endpoint })
     }
 }
 
--- a/tests/gateway/store_loss_lease.rs
+++ b/tests/gateway/store_loss_lease.rs
@@ -1,4 +1,5 @@
-//! The leader lease and what its holder does, after the store was restored from a copy.
+//! The leader lease and the usage reports of its holder, after the store was restored from a copy.
+//! No fence may be used twice, and no usage window may be reported twice.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,9 +17,9 @@
     platform_standin::{CloudCall, PlatformStandin},
 };
 
-/// Time for which the store is away: shorter than the lease (1.5 s).
-const AWAY: Duration = Duration::from_millis(400);
-/// Time in which a window is reported, and the next.
+/// Time for which the store is unreachable: shorter than the lease (1.5 s).
+const UNREACHABLE_TIME: Duration = Duration::from_millis(400);
+/// Time in which the current usage window and the next one are reported.
 const REPORTING_TIME: Duration = Duration::from_secs(4);
 
 struct LeaseSite {
@@ -47,7 +48,7 @@
 }
 
 impl LeaseSite {
-    /// The place of the daemon that the record names, and its fence.
+    /// The index of the daemon that the lease record names, and its fence.
     fn holder(&self) -> Option<(usize, u64)> {
         let record: Value = self.platform.get("gateway-leases", "duties")?;
         let place = (0..self.daemons.len()).find(|place| record["holder"] == name_of(*place))?;
@@ -61,13 +62,13 @@
 
     fn lose_writes(&self) {
         self.platform.set_down(true);
-        thread::sleep(AWAY);
+        thread::sleep(UNREACHABLE_TIME);
         self.platform.restore_copy();
         self.platform.set_down(false);
     }
 
-    /// Another daemon than the holder has the lease, and has sent the report that it found again and
-    /// one of its own.
+    /// Kills the holder and waits until another daemon has the lease and has sent two reports: the
+    /// one that it took over and one of its own. Returns the index of the former holder.
     fn move_lease(&mut self) -> usize {
         let (former, fence) = self.holder().expect("a holder");
         self.daemons[former].kill();
@@ -77,7 +78,8 @@
     }
 }
 
-/// Each fence is one holder's, fences only rise, and a window has one content.
+/// Checks that each fence belongs to one holder, that fences only rise, and that all reports of a
+/// window have the same content.
 fn check_fences(reports: &[CloudCall]) {
     check_reports(reports);
     let mut holders: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
@@ -85,20 +87,21 @@
         holders.entry(report.fence).or_default().insert(&report.holder);
     }
     for (fence, names) in holders {
-        expect_that!(names.len(), eq(1), "fence {fence}: {names:?}");
+        expect_that!(names.len(), eq(1), "holders of fence {fence}: {names:?}");
     }
 }
 
-fn windows(reports: &[CloudCall]) -> BTreeSet<u64> {
+fn reported_windows(reports: &[CloudCall]) -> BTreeSet<u64> {
     reports.iter().filter_map(|report| report.body["window"].as_u64()).collect()
 }
 
-/// Windows that were reported more than once.
-fn repeated(reports: &[CloudCall]) -> usize {
-    reports.len() - windows(reports).len()
+/// Number of reports beyond the first of their window.
+fn repeated_reports(reports: &[CloudCall]) -> usize {
+    reports.len() - reported_windows(reports).len()
 }
 
-/// The holder read the lease back as it was in the copy, and reported all windows since once more.
+/// After the restore the holder read the lease record of the copy, and reported all windows since
+/// then a second time.
 #[googletest::test]
 fn windows_are_not_reported_again_after_the_store_lost_the_lease() {
     let site = start(3);
@@ -109,11 +112,11 @@
     site.wait_for_reports(2);
     let sent = reports(&site.platform);
     check_fences(&sent);
-    expect_that!(repeated(&sent), eq(0));
+    expect_that!(repeated_reports(&sent), eq(0));
 }
 
-/// The copy names a former holder with a lower fence, and a daemon acquired the lease with a fence
-/// that had been used.
+/// The copy names a former holder with a lower fence. A daemon acquired the lease from this record
+/// and got a fence that had been used already.
 #[googletest::test]
 fn fence_of_a_lost_lease_is_not_used_again() {
     let mut site = start(3);
@@ -130,13 +133,13 @@
     let sent = reports(&site.platform);
     check_fences(&sent);
     let (before, after) = sent.split_at(before);
-    expect_that!(windows(before).is_disjoint(&windows(after)), eq(true));
-    expect_that!(repeated(after), eq(0));
+    expect_that!(reported_windows(before).is_disjoint(&reported_windows(after)), eq(true));
+    expect_that!(repeated_reports(after), eq(0));
 }
 
-/// The same where all daemons have started anew since, so that none remembers the lost lease.
+/// As above, but all daemons have restarted since, so that none remembers the lost lease.
 #[googletest::test]
-fn fence_of_a_lost_lease_is_not_used_again_by_daemons_that_start() {
+fn fence_of_a_lost_lease_is_not_used_again_after_all_daemons_restarted() {
     let mut site = start(3);
     site.wait_for_reports(1);
     site.platform.copy_contents();
@@ -150,7 +153,7 @@
     check_fences(&reports(&site.platform));
 }
 
-/// The copy says that its holder has released the lease; its successor still acts.
+/// The copy says that a former holder has released the lease, while its successor still holds it.
 #[googletest::test]
 fn lease_that_is_held_is_not_acquired_because_a_copy_shows_it_released() {
     let site = start(4);
@@ -165,7 +168,7 @@
     record["holder"] = name_of(former).into();
     site.wait_for_reports(1);
     site.platform.set_down(true);
-    thread::sleep(AWAY);
+    thread::sleep(UNREACHABLE_TIME);
     site.platform.restore_copy();
     site.platform.put("gateway-leases", "duties", record);
     site.platform.set_down(false);
