--- a/tests/gateway/long_configuration.rs
+++ b/tests/gateway/long_configuration.rs
@@ -1,4 +1,5 @@
-//! Configurations reach every daemon of a large fleet in time, over thin links.
+//! Configuration changes reach every daemon of a large fleet in time over links of low bandwidth.
+//! The fleet is simulated by `TextModel`.
 
 use std::time::Duration;
 
@@ -6,9 +7,9 @@
 
 use crate::text_model::{TextChanges, TextModel};
 
-/// Daemons of a grown site.
+/// Number of daemons of a large site.
 const DAEMONS: usize = 87;
-/// Bytes of a configuration with 1,400 routes more.
+/// Bytes of a configuration with 1,400 additional routes.
 const LONG_TEXT: usize = 253_000;
 
 #[googletest::test]
@@ -17,20 +18,21 @@
     for seed in 1..=5 {
         let spread =
             TextModel::new(DAEMONS, changes, seed).longest_spread(Duration::from_millis(2_500));
-        expect_that!(spread, some(anything()), "seed {seed}");
+        expect_that!(spread, some(anything()), "time until all daemons have the text, seed {seed}");
     }
 }
 
-/// An operator changed the configuration five times a second. Routes that had just been added
-/// were refused with 404 by single daemons 3.0 to 3.2 s after the store had taken them, while all
-/// others served them. No daemon was down and no link was full: the text had 18 KB.
+/// An operator changed the configuration five times a second. A few daemons still refused added
+/// routes with 404 3.0 to 3.2 s after the store had accepted them, while all others served them. No
+/// daemon was down and no link was full: the text had 18 KB.
 ///
-/// The late daemons had asked for the text 17 to 23 times in a row, and none of these requests
-/// failed: each was withheld, because the daemon asked was sending the text to another. A
-/// daemon asked only the one that had reported the newest revision; with a change every 0.2 s few
-/// held that, and eight daemons of 87 sent four texts in five. As most daemons called others
-/// within the same 20 ms, the same ones came too late every time. After a text each waited 0.6 s
-/// besides before it requested the next, although its request had been answered.
+/// The late daemons had requested the text 17 to 23 times in a row. None of these requests failed:
+/// each was withheld, because the other daemon was sending the text to someone else. A daemon
+/// requested the text only from the one that had reported the newest revision; with a change every
+/// 0.2 s few daemons had that revision, and eight daemons of 87 sent four texts in five. As most
+/// daemons sent their requests within the same 20 ms, the same ones were too late every time. In
+/// addition, each waited 0.6 s after a text before it requested the next one, although its request
+/// had been answered.
 ///
 ///     configuration version=167 before=120 source=10.4.0.23:8442 bytes=18119 lag_ms=2712
 ///     withheld=23 failed=0
@@ -40,9 +42,9 @@
     expect_spread_within_bound(TextChanges { text_bytes: 18_300, interval, count: 100 });
 }
 
-/// The same with 1,400 routes more, where the store took a change in 1.2 s: a route was refused
-/// 4.1 s after that. A text of 287 KB takes 0.23 s of a link of 10 Mbit/s, and each transfer
-/// sent all of it, though a change is a few hundred bytes long.
+/// The same with 1,400 additional routes, where the store took 1.2 s to accept a change: a route
+/// was refused 4.1 s after that. A text of 287 KB takes 0.23 s on a link of 10 Mbit/s, and each
+/// transfer sent all of it, though a change is only a few hundred bytes long.
 ///
 ///     configuration version=15 before=8 source=store bytes=286334 lag_ms=2429 withheld=16
 ///     failed=0
@@ -52,7 +54,8 @@
     expect_spread_within_bound(TextChanges { text_bytes: 287_000, interval, count: 20 });
 }
 
-/// Seven times fewer than the 2,100 at which changes must be in force everywhere within 7 s.
+/// A fleet of 300 daemons, a seventh of the 2,100 for which changes must be in force everywhere
+/// within 7 s.
 #[googletest::test]
 fn changes_in_quick_succession_reach_three_hundred_daemons() {
     let interval = Duration::from_millis(200);
@@ -62,11 +65,16 @@
     expect_that!(spread, some(le(bound)));
 }
 
-/// Every change is at all daemons within 2 s, the shortest time that a deployment allows.
+/// Checks that every change reaches all daemons within 2 s, the shortest bound that a deployment can
+/// configure.
 fn expect_spread_within_bound(changes: TextChanges) {
     const BOUND: Duration = Duration::from_secs(2);
     for seed in 1..=5 {
         let spread = TextModel::new(DAEMONS, changes, seed).longest_spread(BOUND);
-        expect_that!(spread, some(le(BOUND)), "seed {seed}");
+        expect_that!(
+            spread,
+            some(le(BOUND)),
+            "longest time until all daemons have a change, seed {seed}"
+        );
     }
 }
--- a/tests/gateway/route_fleet.rs
+++ b/tests/gateway/route_fleet.rs
@@ -1,9 +1,10 @@
 //! A fleet of real daemons whose configuration gains a route with every change, and clients at
-//! every daemon that ask for the newest routes.
+//! every daemon that send requests for the newest routes.
 //!
-//! Each daemon reaches the store through a proxy of its own. What is recorded of a request is
-//! the age of its route when it was sent (the time since the store took the change that brought
-//! the route), the status of the answer and whether its daemon had been killed or frozen lately.
+//! Each daemon reaches the store through a proxy of its own. For each request
+//! the clients record the age of its route when it was sent (the time since the store accepted the
+//! change that added the route) and the status of the answer. Requests to a daemon that was killed or
+//! frozen shortly before are left out.
 
 use std::{
     collections::BTreeMap,
@@ -35,32 +36,32 @@
     route_requests::{APPLY_LIMIT, RouteRequest, ask},
 };
 
-/// Nothing is asked of a daemon for this long after it was killed or frozen.
+/// Time after a daemon was killed or frozen during which it gets no requests.
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
-/// Ages of the routes that a client asks for in turn, in milliseconds; the newest of that age or
-/// older is asked for.
+/// Ages, in milliseconds, that a client cycles through: each request is for the newest route of at
+/// least that age.
 const ROUTE_AGES_MS: [u64; 4] = [500, 1_000, 2_000, 3_000];
 /// Pause of a client between two requests.
-const ASK_PAUSE: Duration = Duration::from_millis(15);
-/// Calls that the store answers at once for each daemon: two watches and a call of the leader.
+const REQUEST_PAUSE: Duration = Duration::from_millis(15);
+/// Concurrent calls that the store serves for each daemon: two watches and a call of the leader.
 const CALLS_PER_DAEMON: usize = 3;
-/// Executable file of another release, run by every second daemon.
+/// Environment variable with the executable file of another release, run by every second daemon.
 const FORMER_PROGRAM: &str = "SOAK_FORMER";
-/// Executable file of another release, run by all daemons.
+/// Environment variable with the executable file of another release, run by all daemons.
 const OTHER_PROGRAM: &str = "SOAK_PROGRAM";
 
-/// What is changed, and how fast.
+/// How many routes are added, and how fast.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteChanges {
     /// Routes before the first change.
     pub first_routes: usize,
     /// Time between two changes; each adds a route.
     pub interval: Duration,
-    /// How long changes are written.
+    /// How long changes are made.
     pub time: Duration,
 }
 
-/// Daemons, and what happens to them.
+/// The daemons, their store links, and the time of each change.
 pub struct RouteFleet {
     pub daemons: Vec<Mutex<Gateway>>,
     pub store_links: Vec<LoopbackProxy>,
@@ -69,9 +70,9 @@
     addresses: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
     routes: Mutex<Vec<Value>>,
-    /// When the store took each change, by its number.
-    taken_at: Mutex<BTreeMap<u64, Instant>>,
-    /// Until when each daemon counts as disturbed.
+    /// When the store accepted each change, by its number.
+    accepted_at: Mutex<BTreeMap<u64, Instant>>,
+    /// Until when each daemon gets no requests because it was killed or frozen.
     disturbed_until: Vec<Mutex<Option<Instant>>>,
 }
 
@@ -95,7 +96,7 @@
 }
 
 impl RouteFleet {
-    /// So many daemons, all ready.
+    /// Starts the daemons and waits until all are ready.
     pub fn start(daemon_count: usize) -> Self {
         let platform = PlatformStandin::start_with(daemon_count * CALLS_PER_DAEMON);
         let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
@@ -105,7 +106,7 @@
             addresses: Vec::new(),
             peers: Vec::new(),
             routes: Mutex::default(),
-            taken_at: Mutex::default(),
+            accepted_at: Mutex::default(),
             disturbed_until: (0..daemon_count).map(|_| Mutex::new(None)).collect(),
             platform,
             endpoint,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Writes the change of this number.
+    /// Writes the configuration with all added routes as this version.
     fn write(&self, number: u64) {
         let mut written = configuration(number, &["key-1"]);
         written["tenants"][0]["per-s"] = json!(1e12);
@@ -147,14 +148,14 @@
         let routes = written["routes"].as_array_mut().expect("routes");
         routes.extend(self.routes.lock().expect("lock").iter().cloned());
         self.platform.put("config", "main", written);
-        self.taken_at.lock().expect("lock").insert(number, Instant::now());
+        self.accepted_at.lock().expect("lock").insert(number, Instant::now());
     }
 
     fn add_routes(&self, numbers: std::ops::Range<u64>) {
         self.routes.lock().expect("lock").extend(numbers.map(added_route));
     }
 
-    /// Places of the daemons that watch the store for the others, when all know each other.
+    /// Indices of the daemons that watch the store for the others once all know each other.
     pub fn watchers(&self) -> Vec<usize> {
         let now = tokio::time::Instant::now();
         (0..self.peers.len())
@@ -176,7 +177,7 @@
     /// Kills and restarts daemons.
     pub fn kill(&self, places: &[usize]) {
         for place in places {
-            self.disturb(*place, Duration::ZERO);
+            self.mark_disturbed(*place, Duration::ZERO);
             self.daemons[*place].lock().expect("lock").kill_and_restart();
         }
     }
@@ -190,25 +191,25 @@
 
     fn signal(&self, places: &[usize], name: &str, time: Duration) {
         for place in places {
-            self.disturb(*place, time);
+            self.mark_disturbed(*place, time);
             self.daemons[*place].lock().expect("lock").signal(name);
         }
     }
 
-    fn disturb(&self, place: usize, time: Duration) {
+    fn mark_disturbed(&self, place: usize, time: Duration) {
         let until = Instant::now() + time + RECOVERY_TIME;
         *self.disturbed_until[place].lock().expect("lock") = Some(until);
     }
 
-    /// Sets the links of these daemons to the store for `time`.
+    /// Sets the store links of these daemons to `state` for `time`.
     pub fn set_store_links(&self, places: &[usize], state: LinkState, time: Duration) {
         places.iter().for_each(|place| self.store_links[*place].set(state));
         thread::sleep(time);
         places.iter().for_each(|place| self.store_links[*place].set(LinkState::Open));
     }
 
-    /// Writes changes, asks for their routes and causes `faults` meanwhile; returns what was
-    /// asked.
+    /// Writes changes, sends requests for their routes and runs `faults` meanwhile; returns the
+    /// requests.
     pub fn play(
         &self,
         changes: RouteChanges,
@@ -218,15 +219,15 @@
         let first = 2 + changes.first_routes as u64;
         let until = Instant::now() + changes.time;
         let requests = Mutex::new(Vec::new());
-        let asked = AtomicU64::new(0);
+        let count = AtomicU64::new(0);
         thread::scope(|scope| {
             scope.spawn(|| self.write_changes(first, changes.interval, until));
             scope.spawn(|| faults(self, until));
             for place in 0..self.addresses.len() {
-                let (requests, asked) = (&requests, &asked);
+                let (requests, count) = (&requests, &count);
                 scope.spawn(move || {
-                    let asked = self.ask_until(place, until + APPLY_LIMIT, asked);
-                    requests.lock().expect("lock").extend(asked);
+                    let sent = self.send_until(place, until + APPLY_LIMIT, count);
+                    requests.lock().expect("lock").extend(sent);
                 });
             }
         });
@@ -245,20 +246,20 @@
         }
     }
 
-    /// Asks one daemon for routes until then; what is asked while it is disturbed is left out.
-    fn ask_until(&self, place: usize, until: Instant, count: &AtomicU64) -> Vec<RouteRequest> {
+    /// Sends requests to one daemon until then, except while it is disturbed.
+    fn send_until(&self, place: usize, until: Instant, count: &AtomicU64) -> Vec<RouteRequest> {
         let mut requests = Vec::new();
         let mut connection = None;
         for age in ROUTE_AGES_MS.iter().cycle() {
             if Instant::now() >= until {
                 break;
             }
-            thread::sleep(ASK_PAUSE);
+            thread::sleep(REQUEST_PAUSE);
             if self.is_disturbed(place) {
                 connection = None;
                 continue;
             }
-            let Some((route, taken_at)) = self.newest_route(Duration::from_millis(*age)) else {
+            let Some((route, accepted_at)) = self.newest_route(Duration::from_millis(*age)) else {
                 continue;
             };
             let id = format!("f-{}", count.fetch_add(1, Ordering::Relaxed));
@@ -266,9 +267,9 @@
             let bytes = kept_request_bytes(&path, &id, "key-1", &[], b"");
             let sent_at = Instant::now();
             let status = ask(self.addresses[place], &mut connection, &bytes);
-            // It may have been disturbed while it was asked.
+            // The daemon may have been disturbed during the request.
             if !self.is_disturbed(place) {
-                requests.push(RouteRequest { place, age: sent_at - taken_at, status });
+                requests.push(RouteRequest { place, age: sent_at - accepted_at, status });
             }
         }
         requests
@@ -279,16 +280,16 @@
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// The newest change that is so old, and when the store took it.
+    /// The newest change of at least this age, and when the store accepted it.
     fn newest_route(&self, age: Duration) -> Option<(u64, Instant)> {
-        let taken_at = self.taken_at.lock().expect("lock");
+        let accepted_at = self.accepted_at.lock().expect("lock");
         let old_enough = |(_, at): &(&u64, &Instant)| at.elapsed() >= age;
-        let (number, at) = taken_at.iter().rev().find(old_enough)?;
-        // The first configuration has no route of its own.
+        let (number, at) = accepted_at.iter().rev().find(old_enough)?;
+        // The first configuration adds no route.
         (*number > 1).then_some((*number, *at))
     }
 
-    /// Waits until every daemon serves by the newest configuration.
+    /// Waits until every daemon serves the newest route.
     pub fn wait_settled(&self) {
         let Some((route, _)) = self.newest_route(Duration::ZERO) else { return };
         let path = format!("/added-{route}/s/");
--- a/tests/gateway/route_requests.rs
+++ b/tests/gateway/route_requests.rs
@@ -1,4 +1,4 @@
-//! Requests for routes that were added, and what became of them.
+//! Requests for added routes, and a summary of their answers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,15 +14,15 @@
 /// A request for a route that was added.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest {
-    /// Place of the daemon.
+    /// Index of the daemon.
     pub place: usize,
-    /// Since the store took the route's change, when the request was sent.
+    /// Time from when the store accepted the route's change to when the request was sent.
     pub age: Duration,
     /// Status of the answer; 0 if there was none.
     pub status: u16,
 }
 
-/// Status of the answer over the kept connection, or a new one.
+/// Sends a request over the kept connection, or a new one; returns the status, 0 if there was no answer.
 pub fn ask(address: SocketAddr, kept: &mut Option<KeptConnection>, bytes: &[u8]) -> u16 {
     let opened = kept.take().or_else(|| KeptConnection::open(address).ok());
     let Some(mut connection) = opened else { return 0 };
@@ -34,12 +34,12 @@
     answer.status
 }
 
-/// What was asked, by status, for routes over a certain age.
+/// Counts of requests by status, for all routes and for those older than `APPLY_LIMIT`.
 #[derive(Clone, Debug, Default)]
 pub struct RouteOutcome {
-    /// Requests for routes older than the bound, by status.
+    /// Requests for routes older than `APPLY_LIMIT`, by status.
     pub late: BTreeMap<u16, usize>,
-    /// Daemons that did not serve such a route.
+    /// Number of daemons that did not serve such a route.
     pub daemons: usize,
     /// Age of the oldest route that was not served, by status.
     pub oldest: BTreeMap<u16, Duration>,
@@ -48,7 +48,7 @@
 }
 
 impl RouteOutcome {
-    /// Sums up requests.
+    /// Summarizes requests.
     pub fn of(requests: &[RouteRequest]) -> Self {
         let mut outcome = Self::default();
         let mut places = BTreeSet::new();
@@ -69,7 +69,7 @@
         outcome
     }
 
-    /// Requests for routes older than the bound that got any other status than 200.
+    /// Requests for routes older than `APPLY_LIMIT` that got another status than 200.
     pub fn not_served(&self) -> usize {
         self.late.iter().filter(|(status, _)| **status != 200).map(|(_, count)| count).sum()
     }
