--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -1,12 +1,12 @@
-//! Soak under faults: real daemons, links through loopback proxies, signals, a platform and
-//! endpoints that misbehave; all drawn from a seed. Faults of daemons, of links, of endpoints and
-//! changes of the configuration come in series and overlap, beside a request that crashes the
-//! endpoints that run it, and endpoints that only say in their responses that they drain or want a
-//! back-off. What must always hold is checked from what clients, endpoints and the
-//! platform have seen.
+//! Soak test under random faults: real daemons, links through loopback proxies, signals, and a
+//! platform and endpoints that misbehave, all chosen from a seed. Faults of daemons, of the store and
+//! of endpoints overlap with each other and with series of configuration changes. At the same time a
+//! client sends a request that crashes the endpoints that run it, and some endpoints signal only in
+//! their responses that they drain, want a back-off or have a limit. The guarantees are checked
+//! against what clients, endpoints and the platform have recorded.
 //!
-//! `SOAK_SEEDS=50 SOAK_FIRST=1 cargo test --test gateway soak` plays more seeds, `SOAK_DAEMONS=40`
-//! with more daemons: above 24 they fall into several gossip groups.
+//! `SOAK_SEEDS=50 SOAK_FIRST=1 cargo test --test gateway soak` runs more seeds, `SOAK_DAEMONS=40`
+//! more daemons: above 24 they form several gossip groups.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -34,46 +34,47 @@
     soak_signals::{SIGNAL_CLIENTS, SIGNALLING_GROUPS, SignalTraffic, with_signalling_service},
 };
 
-/// Seeds played where the environment names no number.
-const USUAL_SEEDS: u64 = 7;
-/// Daemons where the environment names no number.
-const USUAL_DAEMONS: u64 = 3;
+/// Number of seeds if `SOAK_SEEDS` is not set.
+const DEFAULT_SEEDS: u64 = 7;
+/// Number of daemons if `SOAK_DAEMONS` is not set.
+const DEFAULT_DAEMONS: u64 = 3;
 const ENDPOINTS: usize = 4;
 const CLIENTS: u64 = 6;
 /// Time during which faults are caused.
 const FAULT_TIME: Duration = Duration::from_secs(6);
 /// How long one fault lasts, in milliseconds.
 const FAULT_MS: Range<u64> = 200..1_500;
-/// Pause between two faults of one kind, in milliseconds.
+/// Pause between two faults of one group, in milliseconds.
 const PAUSE_MS: Range<u64> = 50..1_200;
-/// Changes of the configuration in one series, and the pause between two, in milliseconds.
-const SERIES: Range<u64> = 1..12;
+/// Number of configuration changes in one series, and the pause after each, in milliseconds.
+const SERIES_LENGTH: Range<u64> = 1..12;
 const SERIES_PAUSE_MS: Range<u64> = 20..250;
-/// How long the store is away before it is restored from a copy.
-const STORE_AWAY: Duration = Duration::from_millis(200);
-/// Time after which operator and endpoints write again what it has lost.
-const WRITE_AGAIN_TIME: Duration = Duration::from_millis(300);
-/// Time after which a key that was dropped lets no request through any more.
+/// How long the store is unreachable before it is restored from a copy.
+const STORE_UNREACHABLE_TIME: Duration = Duration::from_millis(200);
+/// Time after the restore until the operator and the endpoints repeat the lost writes.
+const REWRITE_DELAY: Duration = Duration::from_millis(300);
+/// Time after which requests with a dropped key must be refused.
 const REVOKE_LIMIT: Duration = Duration::from_secs(5);
-/// Time for which dropped keys are tried after the faults.
-const KEYS_TRIED_FOR: Duration = Duration::from_secs(4);
+/// Time after the faults during which requests with dropped keys are still sent.
+const KEY_CHECK_TIME: Duration = Duration::from_secs(4);
 /// Pause between two requests with dropped keys.
 const KEY_PAUSE: Duration = Duration::from_millis(40);
 
-/// What a series of faults strikes. Each has a thread of its own, so that they overlap.
+/// The part of the deployment that a series of faults affects. Each group has its own thread, so that
+/// faults of different groups overlap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FaultLane {
+enum FaultGroup {
     Daemons,
     Store,
     Endpoints,
     Configuration,
 }
 
-impl FaultLane {
+impl FaultGroup {
     const ALL: [Self; 4] = [Self::Daemons, Self::Store, Self::Endpoints, Self::Configuration];
 }
 
-/// A fault; the numbers are places of daemons and endpoints.
+/// A fault; the numbers are indices of daemons, endpoints and foreign entries, and a count of changes.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill(usize),
@@ -82,19 +83,19 @@
     StoreDown,
     StoreLosesAnswers,
     StoreForgets,
-    /// The store is restored from a copy that is as old as the fault is long.
+    /// The store is restored from a copy whose age is the duration of the fault.
     StoreLost,
     StoreLink(usize, LinkState),
     StoreConnectionsSilent,
     EndpointLink(usize, LinkState),
     EndpointConnectionsSilent(usize),
     Manner(usize, EndpointManner),
-    /// Another writer spoils the endpoint's entry.
+    /// Another writer replaces the endpoint's entry with an invalid one.
     ForeignEntry(usize, usize),
     NewConfigurations(u64),
 }
 
-/// Entries that no endpoint writes.
+/// Invalid entries, such as no endpoint writes.
 const FOREIGN_ENTRIES: [&str; 6] = [
     "{}",
     "null",
@@ -105,7 +106,7 @@
 ];
 
 impl Fault {
-    fn draw(lane: FaultLane, daemons: usize, rng: &mut SmallRng) -> Self {
+    fn random(group: FaultGroup, daemons: usize, rng: &mut SmallRng) -> Self {
         const MANNERS: [EndpointManner; 8] = [
             EndpointManner::Fail,
             EndpointManner::Full,
@@ -119,25 +120,27 @@
         let daemon = rng.random_range(0..daemons);
         let endpoint = rng.random_range(0..ENDPOINTS);
         let link = if rng.random_bool(0.5) { LinkState::Silent } else { LinkState::Closed };
-        match (lane, rng.random_range(0..7)) {
-            (FaultLane::Daemons, 0 | 1) => Self::Kill(daemon),
-            (FaultLane::Daemons, 2 | 3) => Self::Freeze(daemon),
-            (FaultLane::Daemons, _) => Self::StopAndStart(daemon),
-            (FaultLane::Store, 0) => Self::StoreDown,
-            (FaultLane::Store, 1) => Self::StoreLosesAnswers,
-            (FaultLane::Store, 2) => Self::StoreForgets,
-            (FaultLane::Store, 3) => Self::StoreConnectionsSilent,
-            (FaultLane::Store, 4) => Self::StoreLost,
-            (FaultLane::Store, _) => Self::StoreLink(daemon, link),
-            (FaultLane::Endpoints, 0) => Self::EndpointLink(endpoint, link),
-            (FaultLane::Endpoints, 1) => Self::EndpointConnectionsSilent(endpoint),
-            (FaultLane::Endpoints, 2) => {
+        match (group, rng.random_range(0..7)) {
+            (FaultGroup::Daemons, 0 | 1) => Self::Kill(daemon),
+            (FaultGroup::Daemons, 2 | 3) => Self::Freeze(daemon),
+            (FaultGroup::Daemons, _) => Self::StopAndStart(daemon),
+            (FaultGroup::Store, 0) => Self::StoreDown,
+            (FaultGroup::Store, 1) => Self::StoreLosesAnswers,
+            (FaultGroup::Store, 2) => Self::StoreForgets,
+            (FaultGroup::Store, 3) => Self::StoreConnectionsSilent,
+            (FaultGroup::Store, 4) => Self::StoreLost,
+            (FaultGroup::Store, _) => Self::StoreLink(daemon, link),
+            (FaultGroup::Endpoints, 0) => Self::EndpointLink(endpoint, link),
+            (FaultGroup::Endpoints, 1) => Self::EndpointConnectionsSilent(endpoint),
+            (FaultGroup::Endpoints, 2) => {
                 Self::ForeignEntry(endpoint, rng.random_range(0..FOREIGN_ENTRIES.len()))
             }
-            (FaultLane::Endpoints, _) => {
+            (FaultGroup::Endpoints, _) => {
                 Self::Manner(endpoint, MANNERS[rng.random_range(0..MANNERS.len())])
             }
-            (FaultLane::Configuration, _) => Self::NewConfigurations(rng.random_range(SERIES)),
+            (FaultGroup::Configuration, _) => {
+                Self::NewConfigurations(rng.random_range(SERIES_LENGTH))
+            }
         }
     }
 }
@@ -152,11 +155,11 @@
     endpoint_links: Vec<LoopbackProxy>,
     daemons: Vec<Mutex<Gateway>>,
     version: AtomicU64,
-    /// When each version was written, which drops the key of the one before.
+    /// When each version was written; each one drops the key of the version before.
     written_at: Mutex<BTreeMap<u64, Instant>>,
 }
 
-/// Key that came with a version.
+/// The key that only this version contains.
 fn version_key(version: u64) -> String {
     format!("key-of-{version}")
 }
@@ -192,7 +195,7 @@
         site
     }
 
-    /// Starts one daemon behind each link to the store; the first three are everyone's seeds.
+    /// Starts one daemon behind each link to the store; the first three are the seeds of all.
     fn start_daemons(&mut self) {
         let mut seeds: Vec<SocketAddr> = Vec::new();
         for (place, link) in self.store_links.iter().enumerate() {
@@ -233,11 +236,11 @@
             Fault::StoreLosesAnswers => self.platform.lose_answers(2),
             Fault::StoreForgets => self.platform.forget_history(),
             Fault::StoreLost => self.lose_writes(time),
-            Fault::StoreLink(place, state) => hold(&self.store_links[place], state, time),
+            Fault::StoreLink(place, state) => set_for(&self.store_links[place], state, time),
             Fault::StoreConnectionsSilent => {
                 self.store_links.iter().for_each(LoopbackProxy::silence_open);
             }
-            Fault::EndpointLink(place, state) => hold(&self.endpoint_links[place], state, time),
+            Fault::EndpointLink(place, state) => set_for(&self.endpoint_links[place], state, time),
             Fault::EndpointConnectionsSilent(place) => self.endpoint_links[place].silence_open(),
             Fault::Manner(place, manner) => {
                 self.endpoints[place].set(manner);
@@ -245,15 +248,15 @@
                 self.endpoints[place].set(EndpointManner::Serve);
             }
             Fault::ForeignEntry(place, entry) => {
-                let spoilt = serde_json::from_str(FOREIGN_ENTRIES[entry]).expect("JSON");
-                self.platform.put("servers", &self.endpoints[place].id, spoilt);
+                let invalid = serde_json::from_str(FOREIGN_ENTRIES[entry]).expect("JSON");
+                self.platform.put("servers", &self.endpoints[place].id, invalid);
                 thread::sleep(time);
                 self.write_entry(place);
             }
             Fault::NewConfigurations(count) => self.write_versions(count, rng),
         }
         if let Fault::Kill(place) | Fault::Freeze(place) | Fault::StopAndStart(place) = fault {
-            self.signal_traffic.disturbed(place, from);
+            self.signal_traffic.record_disturbance(place, from);
         }
     }
 
@@ -261,14 +264,14 @@
         self.platform.copy_contents();
         thread::sleep(age);
         self.platform.set_down(true);
-        thread::sleep(STORE_AWAY);
+        thread::sleep(STORE_UNREACHABLE_TIME);
         let lost = self.platform.lose_writes();
         self.platform.set_down(false);
-        thread::sleep(WRITE_AGAIN_TIME);
+        thread::sleep(REWRITE_DELAY);
         self.platform.write_again(lost);
     }
 
-    /// Writes the entry of an endpoint as it does itself.
+    /// Writes the entry of an endpoint as the endpoint itself does.
     fn write_entry(&self, place: usize) {
         let entry = json!({
             "service": "pool", "address": self.endpoint_links[place].address, "zone": "hall-a",
@@ -284,7 +287,7 @@
         }
     }
 
-    /// Writes a version with a key of its own; returns its number.
+    /// Writes the next version, which has its own key; returns its number.
     fn write_next_version(&self) -> u64 {
         let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
         let written = configuration(version, &["key-1", &version_key(version)]);
@@ -293,7 +296,7 @@
         version
     }
 
-    /// The newest version whose key was dropped so long ago that it may let no request through.
+    /// The newest version whose key was dropped at least `REVOKE_LIMIT` ago.
     fn newest_revoked(&self) -> Option<u64> {
         let written_at = self.written_at.lock().expect("lock");
         let is_old = |(_, at): &(&u64, &Instant)| at.elapsed() >= REVOKE_LIMIT;
@@ -306,18 +309,28 @@
     }
 }
 
-fn hold(link: &LoopbackProxy, state: LinkState, time: Duration) {
+fn set_for(link: &LoopbackProxy, state: LinkState, time: Duration) {
     link.set(state);
     thread::sleep(time);
     link.set(LinkState::Open);
 }
 
-/// What endpoints have run, by the id of the request.
+/// How often endpoints have run each request, by its id.
 fn runs_by_id(site: &SoakSite) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
     for request in site.endpoints.iter().flat_map(|endpoint| endpoint.seen()) {
-        assert_eq!(request.header("x-tenant"), Some("reader"), "{}", request.line);
-        assert_eq!(request.header("authorization"), None, "{}", request.line);
+        assert_eq!(
+            request.header("x-tenant"),
+            Some("reader"),
+            "client account of {}",
+            request.line
+        );
+        assert_eq!(
+            request.header("authorization"),
+            None,
+            "client key forwarded with {}",
+            request.line
+        );
         if request.ran {
             *runs.entry(request.id().to_owned()).or_default() += 1;
         }
@@ -325,8 +338,8 @@
     runs
 }
 
-/// Tries dropped keys at all daemons in turn; none may let a request through.
-fn try_dropped_keys(site: &SoakSite, addresses: &[SocketAddr], until: Instant) {
+/// Sends requests with dropped keys to all daemons in turn and checks that none is served.
+fn check_dropped_keys(site: &SoakSite, addresses: &[SocketAddr], until: Instant) {
     for (number, address) in addresses.iter().cycle().enumerate() {
         if Instant::now() >= until {
             break;
@@ -336,15 +349,18 @@
         let (id, key) = (format!("dropped-{number}"), version_key(version));
         let bytes = request_bytes("/plain/dropped/", &id, &key, &[], b"");
         let Ok(answer) = try_send_raw(*address, &bytes) else { continue };
-        assert_ne!(answer.status, 200, "key of version {version} at {address}");
+        assert_ne!(
+            answer.status, 200,
+            "dropped key of version {version} was accepted by {address}"
+        );
     }
 }
 
-/// Faults of one lane until the time is over.
-fn cause_faults(site: &SoakSite, lane: FaultLane, seed: u64, until: Instant) {
-    let mut rng = SmallRng::seed_from_u64(seed * 10 + lane as u64);
+/// Causes random faults of one group until then.
+fn cause_faults(site: &SoakSite, group: FaultGroup, seed: u64, until: Instant) {
+    let mut rng = SmallRng::seed_from_u64(seed * 10 + group as u64);
     while Instant::now() < until {
-        let fault = Fault::draw(lane, site.daemons.len(), &mut rng);
+        let fault = Fault::random(group, site.daemons.len(), &mut rng);
         let time = Duration::from_millis(rng.random_range(FAULT_MS));
         println!("seed {seed}: {fault:?} for {time:?}");
         site.cause(fault, time, &mut rng);
@@ -362,26 +378,26 @@
             let (addresses, exchanges) = (&addresses, &exchanges);
             scope.spawn(move || SoakClient::new(number, seed).run(addresses, until, exchanges));
         }
-        let (lane, addresses) = (&site.crash_traffic, &addresses);
-        scope.spawn(move || lane.crash(addresses, until, seed));
-        scope.spawn(move || lane.ask(addresses, until, seed));
-        let lane = &site.signal_traffic;
+        let (crashes, addresses) = (&site.crash_traffic, &addresses);
+        scope.spawn(move || crashes.run_crashing_client(addresses, until, seed));
+        scope.spawn(move || crashes.run_harmless_client(addresses, until, seed));
+        let signals = &site.signal_traffic;
         for group in 0..SIGNALLING_GROUPS {
-            scope.spawn(move || lane.speak(group, until, seed));
+            scope.spawn(move || signals.run_signalling_group(group, until, seed));
         }
         for number in 0..SIGNAL_CLIENTS {
-            scope.spawn(move || lane.ask(number, addresses, until, seed));
+            scope.spawn(move || signals.run_client(number, addresses, until, seed));
         }
-        let site_of_keys = &site;
-        scope.spawn(move || try_dropped_keys(site_of_keys, addresses, until + KEYS_TRIED_FOR));
-        for lane in FaultLane::ALL {
+        let key_site = &site;
+        scope.spawn(move || check_dropped_keys(key_site, addresses, until + KEY_CHECK_TIME));
+        for group in FaultGroup::ALL {
             let site = &site;
-            scope.spawn(move || cause_faults(site, lane, seed, until));
+            scope.spawn(move || cause_faults(site, group, seed, until));
         }
     });
     for (place, address) in addresses.iter().enumerate() {
         let bytes = request_bytes("/plain/after/", &format!("after-{place}"), "key-1", &[], b"");
-        wait_for("service after the faults", || {
+        wait_for("a served request after the faults", || {
             try_send_raw(*address, &bytes).is_ok_and(|answer| answer.status == 200)
         });
     }
@@ -391,9 +407,10 @@
     check(&site, &exchanges.into_inner().expect("lock"));
 }
 
-/// After a series of changes every daemon serves by the last one, and keeps to it.
+/// Checks that after a series of changes every daemon serves by the last one and does not go back to
+/// an older one.
 fn check_configuration(site: &SoakSite, addresses: &[SocketAddr]) {
-    site.write_versions(SERIES.end, &mut SmallRng::seed_from_u64(1));
+    site.write_versions(SERIES_LENGTH.end, &mut SmallRng::seed_from_u64(1));
     let version = site.write_next_version();
     let is_served = |address: SocketAddr, id: &str| {
         ask(address, "/plain/after/", id, &version_key(version), &[], b"").status == 200
@@ -402,7 +419,10 @@
         wait_for("the newest configuration", || is_served(*address, &format!("after-new-{place}")));
     }
     for (place, address) in addresses.iter().enumerate() {
-        assert!(is_served(*address, &format!("after-again-{place}")), "{address} went back");
+        assert!(
+            is_served(*address, &format!("after-again-{place}")),
+            "{address} went back to an older configuration"
+        );
     }
 }
 
@@ -411,26 +431,26 @@
     let sent: HashSet<&str> = exchanges.iter().map(|exchange| exchange.id.as_str()).collect();
     for id in runs.keys() {
         let is_known = sent.contains(id.as_str()) || id.starts_with("after-");
-        assert!(is_known, "{id} was never sent");
+        assert!(is_known, "endpoints ran {id}, which was never sent");
     }
     for exchange in exchanges {
         exchange.check(runs.get(&exchange.id).copied().unwrap_or(0));
     }
     let served = exchanges.iter().filter(|exchange| exchange.is_served()).count();
-    println!("{served} of {} served", exchanges.len());
-    assert!(served * 4 > exchanges.len(), "{served} of {} served", exchanges.len());
+    println!("{served} of {} requests served", exchanges.len());
+    assert!(served * 4 > exchanges.len(), "only {served} of {} requests served", exchanges.len());
     check_reports(&reports(&site.platform));
 }
 
-fn number_from(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+fn number_from(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[googletest::test]
-fn promises_hold_under_faults_of_a_seed() {
+fn guarantees_hold_under_faults_of_a_seed() {
     let first = number_from("SOAK_FIRST", 1);
-    let daemons = number_from("SOAK_DAEMONS", USUAL_DAEMONS) as usize;
-    for seed in first..first + number_from("SOAK_SEEDS", USUAL_SEEDS) {
+    let daemons = number_from("SOAK_DAEMONS", DEFAULT_DAEMONS) as usize;
+    for seed in first..first + number_from("SOAK_SEEDS", DEFAULT_SEEDS) {
         play(seed, daemons);
     }
 }
--- a/tests/gateway/soak_clients.rs
+++ b/tests/gateway/soak_clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the soak, and what must hold for each of their requests.
+//! Clients of the soak test, and the checks of each of their requests.
 
 use std::{
     net::SocketAddr,
@@ -15,11 +15,11 @@
 };
 
 /// Pause between two requests of one client, in milliseconds.
-const THINK_MS: Range<u64> = 5..30;
+const PAUSE_MS: Range<u64> = 5..30;
 /// Requests over one kept connection before the client opens another one.
 const KEPT_REQUESTS: Range<u64> = 5..60;
 
-/// What a client asks for.
+/// The route of a request, which decides whether it may be repeated and whether it is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     Plain,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A request and what came of it; no answer where the connection did not come up or broke.
+/// A request and its answer; none if the connection could not be opened or broke.
 pub struct Exchange {
     pub id: String,
     pub kind: RequestKind,
@@ -68,12 +68,16 @@
             assert!(runs <= 1, "{id} ({kind:?}) ran {runs} times");
         }
         let Some(answer) = answer else { return };
-        let promises_no_run = matches!(answer.status, 408 | 421 | 429 | 503);
-        if promises_no_run && !kind.may_repeat() {
-            assert_eq!(runs, 0, "{id} ({kind:?}) ran after {}", answer.status);
+        let status_means_not_run = matches!(answer.status, 408 | 421 | 429 | 503);
+        if status_means_not_run && !kind.may_repeat() {
+            assert_eq!(runs, 0, "{id} ({kind:?}) ran although its status was {}", answer.status);
         }
-        if promises_no_run && answer.header("x-response-seal").is_none() {
-            assert!(answer.header("retry-after").is_some(), "{id}: {}", answer.head);
+        if status_means_not_run && answer.header("x-response-seal").is_none() {
+            assert!(
+                answer.header("retry-after").is_some(),
+                "{id}: no Retry-After in {}",
+                answer.head
+            );
         }
         if answer.status == 200 && answer.whole {
             check_body(id, *kind, answer);
@@ -84,31 +88,34 @@
 fn check_body(id: &str, kind: RequestKind, answer: &RawAnswer) {
     let text = answer.text();
     if !kind.is_stream() {
-        assert!(text.contains(&format!("{}{id}/ ", kind.prefix())), "{id} got {text}");
+        assert!(
+            text.contains(&format!("{}{id}/ ", kind.prefix())),
+            "{id} got the body of another request: {text}"
+        );
         return;
     }
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
     let ids: Vec<u64> = ids.map(|number| number.parse().expect("event id")).collect();
     let expected: Vec<u64> = (1..=ids.len() as u64).collect();
-    assert_eq!(ids, expected, "events of {id}");
-    assert!(ids.len() >= 5, "{id} ends after {} events", ids.len());
+    assert_eq!(ids, expected, "event ids of {id}");
+    assert!(ids.len() >= 5, "stream of {id} ends after {} events", ids.len());
 }
 
-/// One client: asks for something of a random daemon, again and again. Every other client uses
-/// a connection for many requests, until the daemon closes it.
+/// A client that sends requests of random kinds to random daemons. Every other client sends many
+/// requests over one connection, until the daemon closes it.
 pub struct SoakClient {
     number: u64,
     count: u64,
     rng: SmallRng,
     kept: Option<KeptConnection>,
-    /// Requests left for the kept connection.
-    left: u64,
+    /// Number of requests that may still be sent over the kept connection.
+    requests_left: u64,
 }
 
 impl SoakClient {
     pub fn new(number: u64, seed: u64) -> Self {
         let rng = SmallRng::seed_from_u64(seed * 1_000 + number);
-        Self { number, count: 0, rng, kept: None, left: 0 }
+        Self { number, count: 0, rng, kept: None, requests_left: 0 }
     }
 
     pub fn run(&mut self, addresses: &[SocketAddr], until: Instant, log: &Mutex<Vec<Exchange>>) {
@@ -123,23 +130,23 @@
                 _ => self.ask_kept(address, &kept_request_bytes(&path, &id, "key-1", &[], b"")),
             };
             log.lock().expect("lock").push(Exchange { id, kind, answer });
-            thread::sleep(Duration::from_millis(self.rng.random_range(THINK_MS)));
+            thread::sleep(Duration::from_millis(self.rng.random_range(PAUSE_MS)));
         }
     }
 
-    /// Over the kept connection, or a new one if there is none.
+    /// Sends a request over the kept connection, or a new one if there is none.
     fn ask_kept(&mut self, address: SocketAddr, bytes: &[u8]) -> Option<RawAnswer> {
         let mut connection = match self.kept.take() {
             Some(connection) => connection,
             None => {
-                self.left = self.rng.random_range(KEPT_REQUESTS);
+                self.requests_left = self.rng.random_range(KEPT_REQUESTS);
                 KeptConnection::open(address).ok()?
             }
         };
         let answer = connection.ask(bytes).ok()?;
-        self.left = self.left.saturating_sub(1);
+        self.requests_left = self.requests_left.saturating_sub(1);
         let closes = answer.header("connection").is_some_and(|value| value == "close");
-        if answer.whole && !closes && self.left > 0 {
+        if answer.whole && !closes && self.requests_left > 0 {
             self.kept = Some(connection);
         }
         Some(answer)
--- a/tests/gateway/soak_crashes.rs
+++ b/tests/gateway/soak_crashes.rs
@@ -1,5 +1,6 @@
-//! A request that crashes its endpoints, in the soak: endpoints of a service of their own, a client
-//! that sends it to random daemons, and one that asks the same endpoints for something else.
+//! Part of the soak test with a request that crashes the endpoints that run it. These endpoints have
+//! their own service; one client sends the crashing request to random daemons, another one sends a
+//! harmless request to the same endpoints.
 
 use std::{
     net::SocketAddr,
@@ -23,13 +24,13 @@
 const ENDPOINTS: usize = 8;
 /// Pause between two requests of one client, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 50..250;
-/// Arrivals that are allowed once all daemons have to know of the third crash.
+/// Arrivals allowed after the time by which all daemons must know of the third crash.
 const ALLOWED_ARRIVALS: usize = 3;
 
-/// The endpoints, and what their clients have seen.
+/// The endpoints, and wrong answers that their clients got.
 pub struct CrashTraffic {
     endpoints: Vec<CrashingEndpoint>,
-    /// Requests that crash nothing and were refused as if they did.
+    /// Answers that refused a harmless request as if it crashed endpoints.
     wrongly_refused: Mutex<Vec<RawAnswer>>,
 }
 
@@ -57,22 +58,22 @@
         Self { endpoints, wrongly_refused: Mutex::default() }
     }
 
-    /// Sends the request that crashes endpoints.
-    pub fn crash(&self, addresses: &[SocketAddr], until: Instant, seed: u64) {
+    /// Sends the crashing request to random daemons until then.
+    pub fn run_crashing_client(&self, addresses: &[SocketAddr], until: Instant, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         for number in 0.. {
             if Instant::now() >= until {
                 return;
             }
             let address = addresses.choose(&mut rng).expect("a daemon");
-            // What becomes of it is seen at the endpoints.
+            // The outcome is checked at the endpoints.
             let _ = send_crashing(*address, PATH, CRASHING, number);
             thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MS)));
         }
     }
 
-    /// Sends the same request, which crashes nothing, again and again.
-    pub fn ask(&self, addresses: &[SocketAddr], until: Instant, seed: u64) {
+    /// Sends a harmless request to random daemons until then.
+    pub fn run_harmless_client(&self, addresses: &[SocketAddr], until: Instant, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         for number in 0.. {
             if Instant::now() >= until {
@@ -90,11 +91,17 @@
 
     pub fn check(&self) {
         let wrongly_refused = self.wrongly_refused.lock().expect("lock");
-        assert!(wrongly_refused.is_empty(), "{wrongly_refused:?}");
+        assert!(
+            wrongly_refused.is_empty(),
+            "harmless requests refused as crashing: {wrongly_refused:?}"
+        );
         let notes: Vec<CrashNote> =
             self.endpoints.iter().flat_map(CrashingEndpoint::notes).collect();
         let late = late_arrivals(&notes).into_values().max().unwrap_or(0);
         println!("{} arrivals of a request that crashes endpoints, {late} late", notes.len());
-        assert!(late <= ALLOWED_ARRIVALS, "{late} late arrivals");
+        assert!(
+            late <= ALLOWED_ARRIVALS,
+            "{late} late arrivals of a request that crashes endpoints"
+        );
     }
 }
--- a/tests/gateway/soak_signals.rs
+++ b/tests/gateway/soak_signals.rs
@@ -1,7 +1,6 @@
-//! Endpoints that say in their responses that they drain, want a back-off or take only so many requests,
-//! in the soak: endpoints of a
-//! service of their own, whose entries go on calling them ready, and clients that ask them. What
-//! must hold is checked while the soak runs.
+//! Part of the soak test with endpoints that signal in their responses that they drain, want a
+//! back-off or have a request limit. They have their own service, their entries in the store stay
+//! `ready`, and clients send them requests. The rules are checked while the soak test runs.
 
 use std::{
     collections::HashMap,
@@ -23,21 +22,22 @@
 };
 
 const SERVICE: &str = "speaking";
-/// Groups of endpoints of which one after the other says something, and the endpoints of a group.
+/// Number of endpoint groups, in each of which one endpoint at a time signals, and the size of a group.
 pub const SIGNALLING_GROUPS: usize = 3;
-const GROUP: usize = 2;
-/// Clients of this service.
+const GROUP_SIZE: usize = 2;
+/// Number of clients of this service.
 pub const SIGNAL_CLIENTS: u64 = 4;
 /// Pause between two requests of one client, in milliseconds.
 const PAUSE_MS: Range<u64> = 10..60;
-/// How long an endpoint says something, and the pause before the next does, in milliseconds.
-const SAID_MS: Range<u64> = 300..4_000;
-/// The same of limits, which are judged from 3 s on.
-const LIMITED_MS: Range<u64> = 300..9_000;
+/// How long an endpoint sends a signal other than a limit, in milliseconds.
+const SIGNAL_MS: Range<u64> = 300..4_000;
+/// How long it sends a limit, which is checked from 3 s on, in milliseconds.
+const LIMIT_SIGNAL_MS: Range<u64> = 300..9_000;
+/// Pause before the next endpoint of the group signals, in milliseconds.
 const QUIET_MS: Range<u64> = 50..600;
-/// Time for which an endpoint is down that starts again, in milliseconds.
+/// How long an endpoint is down before it starts again, in milliseconds.
 const DOWN_MS: Range<u64> = 1..300;
-/// What an endpoint may say.
+/// Signals that an endpoint may send.
 const SIGNALS: [EndpointSignal; 21] = [
     EndpointSignal::Drains,
     EndpointSignal::DrainsRefusing,
@@ -62,15 +62,15 @@
     EndpointSignal::HangsAfterHead,
 ];
 
-/// The endpoints, and what their clients have seen.
+/// The endpoints, the requests of their clients, and the times in which daemons were disturbed.
 pub struct SignalTraffic {
     endpoints: Vec<SignallingEndpoint>,
     sent: Mutex<HashMap<String, SentAt>>,
     disturbances: Mutex<Vec<Disturbance>>,
 }
 
-/// Adds the routes and the service of these endpoints to a configuration: requests that may be
-/// retried, and others.
+/// Adds the service of these endpoints to a configuration, with a route for requests that may be
+/// retried and one for requests that may run only once.
 pub fn with_signalling_service(mut configuration: Value) -> Value {
     for (place, prefix) in [(0, "/speaking/plain/"), (1, "/speaking/once/")] {
         let mut route = configuration["routes"][place].clone();
@@ -92,29 +92,29 @@
             SignallingEndpoint::start(&format!("speaking-{place}"), SERVICE, platform)
         };
         Self {
-            endpoints: (0..SIGNALLING_GROUPS * GROUP).map(endpoint).collect(),
+            endpoints: (0..SIGNALLING_GROUPS * GROUP_SIZE).map(endpoint).collect(),
             sent: Mutex::default(),
             disturbances: Mutex::default(),
         }
     }
 
-    /// Notes that a daemon was killed, stopped or frozen since `from`.
-    pub fn disturbed(&self, daemon: usize, from: Instant) {
+    /// Records that a daemon was killed, stopped or frozen from `from` until now.
+    pub fn record_disturbance(&self, daemon: usize, from: Instant) {
         let disturbance = Disturbance { daemon, from, until: Instant::now() };
         self.disturbances.lock().expect("lock").push(disturbance);
     }
 
-    /// Has one endpoint of a group after the other say something, and checks what came of it.
-    pub fn speak(&self, group: usize, until: Instant, seed: u64) {
+    /// Lets one random endpoint of a group after the other send a signal, and checks the rules.
+    pub fn run_signalling_group(&self, group: usize, until: Instant, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed * 10 + group as u64);
-        let endpoints = &self.endpoints[group * GROUP..][..GROUP];
+        let endpoints = &self.endpoints[group * GROUP_SIZE..][..GROUP_SIZE];
         while Instant::now() < until {
             let endpoint = endpoints.choose(&mut rng).expect("an endpoint");
             let signal = *SIGNALS.choose(&mut rng).expect("a signal");
             endpoint.set_signal(signal);
             self.rewrite_entry(endpoint, &mut rng);
-            let said_ms = if signal.limit().is_some() { LIMITED_MS } else { SAID_MS };
-            thread::sleep(Duration::from_millis(rng.random_range(said_ms)));
+            let signal_ms = if signal.limit().is_some() { LIMIT_SIGNAL_MS } else { SIGNAL_MS };
+            thread::sleep(Duration::from_millis(rng.random_range(signal_ms)));
             if signal.is_draining() {
                 endpoint.end();
                 thread::sleep(Duration::from_millis(rng.random_range(DOWN_MS)));
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Writes the endpoint's entry anew as ready, takes it away for a moment, or leaves it.
+    /// Writes the endpoint's entry again as `ready`, removes it for a moment, or leaves it as it is.
     fn rewrite_entry(&self, endpoint: &SignallingEndpoint, rng: &mut SmallRng) {
         match rng.random_range(0..3) {
             0 => endpoint.register(),
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Asks the endpoints through random daemons.
-    pub fn ask(&self, number: u64, addresses: &[SocketAddr], until: Instant, seed: u64) {
+    /// Sends requests for the endpoints to random daemons until then.
+    pub fn run_client(&self, number: u64, addresses: &[SocketAddr], until: Instant, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed * 100 + number);
         let prefix = ["/speaking/plain/", "/speaking/once/"][number as usize % 2];
         for count in 0.. {
@@ -152,14 +152,14 @@
             let sent = SentAt { daemon, at: Instant::now() };
             self.sent.lock().expect("lock").insert(id.clone(), sent);
             let bytes = request_bytes(&format!("{prefix}{id}/"), &id, "key-1", &[], b"");
-            // What becomes of it is seen at the endpoints; a daemon may be down or frozen.
+            // The outcome is checked at the endpoints; a daemon may be down or frozen.
             let _ = try_send_raw(addresses[daemon], &bytes);
             thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MS)));
         }
     }
 
-    /// No request over 2 s after an endpoint had said that it drains, at most two within a back-off, and
-    /// no more than a limit allows.
+    /// Checks that no request came over 2 s after an endpoint had signalled that it drains, at most
+    /// two came during a back-off, and no more than a limit allows.
     pub fn check(&self) {
         let arrivals: Vec<Vec<Arrival>> =
             self.endpoints.iter().map(SignallingEndpoint::arrivals).collect();
@@ -167,8 +167,8 @@
         let disturbances = self.disturbances.lock().expect("lock").clone();
         let seen = SeenSignals { arrivals: &arrivals, sent: &sent, disturbances: &disturbances };
         let (late, (asked, broken)) = (seen.late_arrivals(), seen.backoffs());
-        assert_eq!(late, 0, "requests to endpoints that drain");
-        assert_eq!(broken, 0, "of {asked} back-offs were broken");
+        assert_eq!(late, 0, "late requests to endpoints that drain");
+        assert_eq!(broken, 0, "back-offs not kept, of {asked}");
         let limits = seen.limits();
         assert_eq!(limits.beyond, 0, "requests beyond limits: {limits:?}");
     }
