--- a/tests/gateway/client_gone.rs
+++ b/tests/gateway/client_gone.rs
@@ -1,5 +1,5 @@
-//! A client that closes its connection ends the work of the endpoint at once, whatever the request
-//! is waiting for, and nothing of it reaches an endpoint afterwards.
+//! When a client closes its connection, the daemon cancels the request at the endpoint at once,
+//! whatever the request is waiting for, and sends nothing more of it to any endpoint.
 
 use std::{
     io::Write,
@@ -14,8 +14,8 @@
     gateway_site::{Site, kept_request_bytes, wait_for},
 };
 
-/// Time within which the endpoint must have been told.
-const BOUND: Duration = Duration::from_millis(500);
+/// Time within which the request must be cancelled at the endpoint.
+const CANCEL_LIMIT: Duration = Duration::from_millis(500);
 /// Time during which nothing more may arrive at an endpoint.
 const QUIET: Duration = Duration::from_millis(1_500);
 
@@ -24,14 +24,14 @@
 enum Leaving {
     /// Closes its connection.
     Close,
-    /// Closes its connection while a second request on it is unread.
+    /// Closes its connection while the daemon has not read a second request on it yet.
     CloseWithUnread,
 }
 
-/// Sends a request to endpoints in these manners, waits until the last of them works on it, and
-/// leaves.
-fn leave_during(manners: &[EndpointManner], path: &str, leaving: Leaving) {
-    let site = Site::start(manners);
+/// Sends a request to endpoints that behave like this, waits until the last of them works on it,
+/// closes the connection, and checks that the request is cancelled and not sent again.
+fn leave_during(behaviors: &[EndpointManner], path: &str, leaving: Leaving) {
+    let site = Site::start(behaviors);
     let last = site.endpoints.last().expect("an endpoint");
     let mut client = TcpStream::connect(site.gateway.clients).expect("connect");
     client.write_all(&kept_request_bytes(path, "gone", "key-1", &[], b"")).expect("send");
@@ -40,13 +40,13 @@
         client.write_all(&second).expect("send");
     }
     wait_for("the request at the endpoint", || !last.seen().is_empty());
-    // The request's path through the daemon ends here: it waits for the endpoint.
+    // After this pause the daemon has passed the request on and waits for the endpoint.
     std::thread::sleep(Duration::from_millis(50));
     client.shutdown(Shutdown::Both).expect("close");
     drop(client);
     let left_at = Instant::now();
-    wait_for("end of the work", || last.was_cancelled());
-    expect_that!(left_at.elapsed(), le(BOUND));
+    wait_for("cancellation at the endpoint", || last.was_cancelled());
+    expect_that!(left_at.elapsed(), le(CANCEL_LIMIT));
     let arrived: usize = site.runs().iter().sum();
     std::thread::sleep(QUIET);
     expect_that!(site.runs().iter().sum::<usize>(), eq(arrived));
@@ -54,13 +54,13 @@
     expect_that!(seen.filter(|request| request.id() == "unread").count(), eq(0));
 }
 
-/// Names each case: what the endpoints do, the route, and how the client leaves.
+/// A test for each case: how the endpoints behave, the route, and how the client leaves.
 macro_rules! cases {
-    ($($name:ident: $manners:expr, $path:expr, $leaving:expr;)*) => {
+    ($($name:ident: $behaviors:expr, $path:expr, $leaving:expr;)*) => {
         $(
             #[googletest::test]
             fn $name() {
-                leave_during(&$manners, $path, $leaving);
+                leave_during(&$behaviors, $path, $leaving);
             }
         )*
     };
--- a/tests/gateway/foreign_entries.rs
+++ b/tests/gateway/foreign_entries.rs
@@ -1,7 +1,7 @@
-//! Entries of endpoints that another writer has changed or made: they name no endpoint to use, and
-//! all others hold. Of 30 requests after such a change 9 to 21 still went to the endpoint, in 14 of
-//! the 17 ways here, since the former record stayed where an entry could not be read, and any state
-//! counted as ready.
+//! Endpoint entries that another writer has changed or created and that are invalid: their endpoint
+//! gets no requests, and all other entries stay in use. In 14 of the 17 cases here, 9 to 21 of 30
+//! requests still went to the endpoint, because the former record was kept when an entry could not be
+//! read, and any state counted as ready.
 
 use std::time::Duration;
 
@@ -14,43 +14,45 @@
 };
 
 /// Time within which a change of an entry is applied.
-const APPLY_TIME: Duration = Duration::from_millis(1_500);
+const APPLY_LIMIT: Duration = Duration::from_millis(1_500);
 const REQUESTS: usize = 30;
 
-/// The entry with one field changed.
+/// The first endpoint's entry with one field changed.
 fn with(site: &Site, field: &str, value: Value) -> Value {
     let mut entry = endpoint_entry(&site.endpoints[0], "ready");
     entry[field] = value;
     entry
 }
 
+/// The first endpoint's entry without one field.
 fn without(site: &Site, field: &str) -> Value {
     let mut entry = endpoint_entry(&site.endpoints[0], "ready");
     entry.as_object_mut().expect("entry").remove(field);
     entry
 }
 
-/// Names each case: what another writer leaves in place of the first of two endpoints' entries.
-macro_rules! foreign {
+/// A test for each case: the entry with which another writer replaces that of the first of two
+/// endpoints.
+macro_rules! invalid_entry_cases {
     ($($name:ident: $entry:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
             let site = Site::start(&[EndpointManner::Answer, EndpointManner::Answer]);
             let entry: fn(&Site) -> Value = $entry;
             site.platform.put("servers", &site.endpoints[0].id, entry(&site));
-            std::thread::sleep(APPLY_TIME);
+            std::thread::sleep(APPLY_LIMIT);
             let before = site.runs();
             for number in 0..REQUESTS {
                 expect_that!(site.ask("/plain/", &format!("a-{number}")).status, eq(200));
             }
             let after = site.runs();
-            expect_that!(after[0] - before[0], eq(0), "requests at the endpoint without an entry");
+            expect_that!(after[0] - before[0], eq(0), "requests at the endpoint whose entry is invalid");
             expect_that!(after[1] - before[1], eq(REQUESTS));
         }
     )*};
 }
 
-foreign! {
+invalid_entry_cases! {
     service_of_another_type: |_| json!({"service": 5});
     text_in_place_of_an_entry: |_| json!("ready");
     nothing_in_place_of_an_entry: |_| Value::Null;
@@ -63,7 +65,7 @@
     slots_below_one: |site| with(site, "slots", json!(0));
     slots_out_of_range: |site| with(site, "slots", json!(1e30));
     no_zone: |site| without(site, "zone");
-    address_that_is_none: |site| with(site, "address", json!("nowhere"));
+    malformed_address: |site| with(site, "address", json!("nowhere"));
     sequence_of_another_type: |site| with(site, "seq", json!([]));
     born_of_another_type: |site| with(site, "born", json!("yesterday"));
     born_with_a_fraction: |site| with(site, "born", json!(1.5));
@@ -71,24 +73,28 @@
 }
 
 #[googletest::test]
-fn listing_with_a_foreign_entry_is_read() {
+fn other_entries_of_a_listing_with_an_invalid_entry_are_used() {
     let site = Site::start(&[EndpointManner::Answer]);
     site.platform.put("servers", "i-foreign", json!("no entry"));
     let other = crate::endpoint_standin::EndpointStandin::start("i-9", EndpointManner::Answer);
     site.platform.put("servers", "i-9", endpoint_entry(&other, "ready"));
     site.platform.forget_history();
-    wait_for("a request at the endpoint behind the foreign entry", || {
+    wait_for("a request at the endpoint listed after the invalid entry", || {
         site.ask("/plain/", "a");
         !other.seen().is_empty()
     });
 }
 
 #[googletest::test]
-fn entry_that_is_written_right_again_is_used() {
+fn corrected_entry_is_used_again() {
     let site = Site::start(&[EndpointManner::Answer, EndpointManner::Full]);
     let (id, entry) = (&site.endpoints[0].id, endpoint_entry(&site.endpoints[0], "ready"));
     site.platform.put("servers", id, json!({}));
-    wait_for("no endpoint", || site.ask("/plain/", "a").status == 503);
+    wait_for("a refusal while there is no usable endpoint", || {
+        site.ask("/plain/", "a").status == 503
+    });
     site.platform.put("servers", id, entry);
-    wait_for("the endpoint", || site.ask("/plain/", "b").status == 200);
+    wait_for("a response of the endpoint with the corrected entry", || {
+        site.ask("/plain/", "b").status == 200
+    });
 }
--- a/tests/gateway/foreign_lease.rs
+++ b/tests/gateway/foreign_lease.rs
@@ -1,7 +1,7 @@
-//! Another writer spoils the lease record, or removes it. No daemon could read it, so that none
-//! ever acquired the lease again: every write was made for a lease that did not exist yet, and
-//! found an object there. Usage reports and orders ended for good. The line that settled it, of each
-//! daemon, again and again:
+//! Another writer replaces the lease record with an invalid one, or removes it. Daemons could not
+//! decode such a record and treated the lease as missing: each write was to create it and failed,
+//! because the object existed. So no daemon ever acquired the lease again, and usage reports and
+//! orders stopped for good. Every daemon repeated this log line:
 //!
 //!     lease record not decoded: missing field `holder`
 
@@ -19,7 +19,7 @@
 const NAME: &str = "duties";
 const DAEMONS: usize = 3;
 
-/// Fence of the lease, if a daemon has written it.
+/// Fence of the lease, if the record is one that a daemon has written.
 fn fence(platform: &PlatformStandin) -> Option<u64> {
     let record = platform.get(KIND, NAME)?;
     record["holder"].as_str()?;
@@ -36,7 +36,8 @@
     daemons
 }
 
-fn check(spoil: impl Fn(&PlatformStandin)) {
+/// Checks that a daemon acquires the lease with a higher fence after `damage`, and reports again.
+fn check(damage: impl Fn(&PlatformStandin)) {
     let platform = PlatformStandin::start();
     platform.put("config", "main", configuration(3, &["key-1"]));
     let endpoint = EndpointStandin::start("i-0", EndpointManner::Answer);
@@ -44,8 +45,10 @@
     let _daemons = start_daemons(&platform);
     wait_for("a report", || reports(&platform).len() > 1);
     let former = fence(&platform).expect("a lease");
-    spoil(&platform);
-    wait_for("another lease", || fence(&platform).is_some_and(|fence| fence > former));
+    damage(&platform);
+    wait_for("a lease with a higher fence", || {
+        fence(&platform).is_some_and(|fence| fence > former)
+    });
     let sent = reports(&platform).len();
     wait_for("further reports", || reports(&platform).len() > sent + 1);
     let all = reports(&platform);
@@ -53,26 +56,26 @@
     expect_that!(all.last().expect("a report").fence, gt(former));
 }
 
-fn spoilt_by(record: Value) -> impl Fn(&PlatformStandin) {
+fn replace_with(record: Value) -> impl Fn(&PlatformStandin) {
     move |platform| {
         platform.put(KIND, NAME, record.clone());
     }
 }
 
-macro_rules! replaced {
-    ($($name:ident: $spoil:expr;)*) => {$(
+macro_rules! lease_cases {
+    ($($name:ident: $damage:expr;)*) => {$(
         #[googletest::test]
         fn $name() {
-            check($spoil);
+            check($damage);
         }
     )*};
 }
 
-replaced! {
-    lease_that_is_empty: spoilt_by(json!({}));
-    lease_that_is_no_object: spoilt_by(json!("released"));
-    lease_with_fields_of_other_types: spoilt_by(json!({"holder": 5, "fence": "7"}));
-    lease_with_a_fence_out_of_range: spoilt_by(json!({
+lease_cases! {
+    lease_that_is_empty: replace_with(json!({}));
+    lease_that_is_no_object: replace_with(json!("released"));
+    lease_with_fields_of_other_types: replace_with(json!({"holder": 5, "fence": "7"}));
+    lease_with_a_fence_out_of_range: replace_with(json!({
         "holder": "edge-9", "incarnation": 1, "fence": 1e30, "renewals": 0, "report": null,
     }));
     lease_that_was_removed: |platform: &PlatformStandin| platform.remove(KIND, NAME);
--- a/tests/gateway/signal_checks.rs
+++ b/tests/gateway/signal_checks.rs
@@ -1,5 +1,5 @@
-//! What must hold of requests to endpoints that say that they drain, want a back-off, or take only so
-//! many requests, judged by what clients and endpoints have seen.
+//! Checks of requests to endpoints that signal that they drain, want a back-off, or have a request
+//! limit. They compare what clients sent with what reached the endpoints.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,41 +10,46 @@
 
 use crate::signalling_endpoint::Arrival;
 
-/// Time after an endpoint's signal within which requests may still be on their way to it.
+/// Time after a draining signal during which requests may still be on their way to the endpoint.
 const DRAINING_SLACK: Duration = Duration::from_secs(2);
+/// The same after a response that asks for a back-off.
 const BACKOFF_SLACK: Duration = Duration::from_millis(500);
-/// Time from the first response that names a limit to when the limit is judged.
+/// Time from the first response that names a limit until the limit is checked.
 const LIMIT_SLACK: Duration = Duration::from_secs(3);
-/// Time after which a daemon that has passed on such a response counts.
-const TOLD_SLACK: Duration = Duration::from_millis(500);
-/// Time over which requests are counted, the multiple of the limit that may come within it, and
-/// the requests that may come besides.
+/// Time after a response with a limit passed through a daemon until its requests are checked.
+const LIMIT_KNOWN_DELAY: Duration = Duration::from_millis(500);
+/// Time window in which requests are counted, the multiple of the limit that may arrive within it,
+/// and the number of requests that may arrive in addition.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 const LIMIT_MULTIPLE: f64 = 1.5;
 const BEYOND_LIMIT: f64 = 5.0;
-/// Requests that may reach an endpoint within a back-off after that.
+/// Requests that may reach an endpoint during a back-off, after `BACKOFF_SLACK`.
 const ALLOWED_IN_BACKOFF: usize = 2;
 
-/// Different times that a spread of half a second has, told in whole milliseconds.
-const DIFFERENT_TIMES: usize = 500;
-/// Clients that may be told the same time: one in so many.
-const TOLD_ALIKE: usize = 10;
+/// Number of distinct times in a spread of half a second, in whole milliseconds.
+const DISTINCT_TIMES: usize = 500;
+/// At most one client in this many may get the same time.
+const CLIENTS_PER_TIME: usize = 10;
 
-/// Clients that can't be served are told different times, so that they don't all come back at once.
-pub fn check_told_differently(told_s: &[f64]) {
+/// Checks that refused clients get different `Retry-After` times, so that they don't all retry at
+/// the same moment.
+pub fn check_told_differently(retry_after_s: &[f64]) {
     let mut clients_by_ms: HashMap<u64, usize> = HashMap::new();
-    for seconds in told_s {
+    for seconds in retry_after_s {
         *clients_by_ms.entry((seconds * 1e3).round() as u64).or_default() += 1;
     }
-    let (clients, times) = (told_s.len(), clients_by_ms.len());
-    let most_alike = clients_by_ms.iter().max_by_key(|(_, alike)| **alike);
-    let (most_told_ms, alike) = most_alike.map_or((0, 0), |(time, alike)| (*time, *alike));
-    println!("{clients} clients told {times} times, {alike} of them {most_told_ms} ms");
-    expect_that!(times * 2, gt(clients.min(DIFFERENT_TIMES)));
-    expect_that!(alike * TOLD_ALIKE, le(clients.max(TOLD_ALIKE)));
+    let (clients, times) = (retry_after_s.len(), clients_by_ms.len());
+    let most_common = clients_by_ms.iter().max_by_key(|(_, clients)| **clients);
+    let (most_common_ms, same_time) =
+        most_common.map_or((0, 0), |(time, clients)| (*time, *clients));
+    println!(
+        "{clients} clients got {times} different retry times, {same_time} of them {most_common_ms} ms"
+    );
+    expect_that!(times * 2, gt(clients.min(DISTINCT_TIMES)));
+    expect_that!(same_time * CLIENTS_PER_TIME, le(clients.max(CLIENTS_PER_TIME)));
 }
 
-/// A request as its client has sent it.
+/// When a client sent a request, and to which daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct SentAt {
     pub daemon: usize,
@@ -59,7 +64,7 @@
     pub until: Instant,
 }
 
-/// What clients and endpoints have seen.
+/// What clients have sent and what has arrived at the endpoints.
 pub struct SeenSignals<'a> {
     /// Arrivals at each endpoint.
     pub arrivals: &'a [Vec<Arrival>],
@@ -71,40 +76,43 @@
 /// Requests at endpoints that had named a limit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LimitOutcome {
-    /// Those that were judged.
+    /// Number of requests checked.
     pub judged: usize,
-    /// Those at which too many had come.
+    /// Number of requests at whose arrival more had come than allowed.
     pub beyond: usize,
-    /// The most that came, as a multiple of what was allowed.
+    /// The highest number of arrivals, as a multiple of what was allowed.
     pub most: f64,
 }
 
 impl SeenSignals<'_> {
-    /// Requests that a client sent over 2 s after an endpoint had told their daemon that it drains,
-    /// and that reached that start of it. A restart or a freeze of the daemon since then excuses.
+    /// Requests that a client sent over 2 s after their daemon had received an endpoint's draining
+    /// signal, and that still reached the same process of this endpoint. Requests are not counted if
+    /// the daemon was restarted or frozen since the signal.
     pub fn late_arrivals(&self) -> usize {
         self.arrivals.iter().map(|arrivals| self.late_at(arrivals)).sum()
     }
 
     fn late_at(&self, arrivals: &[Arrival]) -> usize {
-        let mut told: BTreeMap<(usize, usize), Instant> = BTreeMap::new();
+        let mut signalled_at: BTreeMap<(usize, usize), Instant> = BTreeMap::new();
         for arrival in arrivals.iter().filter(|arrival| arrival.signal.is_draining()) {
             let Some(sent) = self.sent.get(&arrival.id) else { continue };
-            let at = told.entry((sent.daemon, arrival.start)).or_insert(arrival.answered);
+            let at = signalled_at.entry((sent.daemon, arrival.start)).or_insert(arrival.answered);
             *at = (*at).min(arrival.answered);
         }
         let is_late = |arrival: &&Arrival| {
             let Some(sent) = self.sent.get(&arrival.id) else { return false };
-            let told = told.get(&(sent.daemon, arrival.start));
-            told.is_some_and(|told| {
-                sent.at > *told + DRAINING_SLACK && !self.is_excused(sent.daemon, *told, arrival.at)
+            let signalled_at = signalled_at.get(&(sent.daemon, arrival.start));
+            signalled_at.is_some_and(|signalled_at| {
+                sent.at > *signalled_at + DRAINING_SLACK
+                    && !self.was_disturbed(sent.daemon, *signalled_at, arrival.at)
             })
         };
         arrivals.iter().filter(is_late).count()
     }
 
-    /// Back-offs that were asked for, and those in which more than two requests came from the daemon
-    /// from half a second on. A restart or a freeze of the daemon excuses.
+    /// Number of back-offs that were asked for, and of those in which more than two requests came from
+    /// the daemon later than half a second after the response. Back-offs during which the daemon was
+    /// restarted or frozen do not count as broken.
     pub fn backoffs(&self) -> (usize, usize) {
         let (mut asked, mut broken) = (0, 0);
         for arrivals in self.arrivals {
@@ -124,10 +132,10 @@
         let within = arrivals.iter().filter(|other| {
             span.contains(&other.at) && other.start == one.start && daemon_of(other) == Some(daemon)
         });
-        within.count() > ALLOWED_IN_BACKOFF && !self.is_excused(daemon, one.answered, span.end)
+        within.count() > ALLOWED_IN_BACKOFF && !self.was_disturbed(daemon, one.answered, span.end)
     }
 
-    /// Requests from daemons that had passed on responses naming a limit, by the limit.
+    /// Checks the requests of daemons that had received a response with a limit against this limit.
     pub fn limits(&self) -> LimitOutcome {
         let mut outcome = LimitOutcome::default();
         for arrivals in self.arrivals {
@@ -138,18 +146,18 @@
                     && one.signal.limit().is_some() == next.signal.limit().is_some()
             });
             for span in spans.filter(|span| span[0].signal.limit().is_some()) {
-                self.judge_limit(span, &mut outcome);
+                self.check_limit(span, &mut outcome);
             }
         }
         outcome
     }
 
-    /// Judges requests of a time in which an endpoint has named limits all along.
-    fn judge_limit(&self, span: &[&Arrival], outcome: &mut LimitOutcome) {
+    /// Checks the requests of a time during which every response of the endpoint named a limit.
+    fn check_limit(&self, span: &[&Arrival], outcome: &mut LimitOutcome) {
         let named = span.iter().map(|arrival| arrival.answered).min().expect("a request");
         let counted: Vec<&&Arrival> = span
             .iter()
-            .filter(|arrival| arrival.at >= named + LIMIT_SLACK && self.is_told(span, arrival))
+            .filter(|arrival| arrival.at >= named + LIMIT_SLACK && self.knows_limit(span, arrival))
             .collect();
         for (place, arrival) in counted.iter().enumerate() {
             let within =
@@ -164,19 +172,19 @@
         }
     }
 
-    /// Whether the daemon that sent a request had passed on a response naming a limit half a second
-    /// before. A restart or a freeze of the daemon since then excuses.
-    fn is_told(&self, span: &[&Arrival], request: &Arrival) -> bool {
+    /// Whether the daemon that sent a request had received a response with a limit at least half a
+    /// second before, and was not restarted or frozen since.
+    fn knows_limit(&self, span: &[&Arrival], request: &Arrival) -> bool {
         let daemon_of = |arrival: &Arrival| self.sent.get(&arrival.id).map(|sent| sent.daemon);
         let Some(daemon) = daemon_of(request) else { return false };
         span.iter().any(|one| {
-            one.answered + TOLD_SLACK <= request.at
+            one.answered + LIMIT_KNOWN_DELAY <= request.at
                 && daemon_of(one) == Some(daemon)
-                && !self.is_excused(daemon, one.answered, request.at)
+                && !self.was_disturbed(daemon, one.answered, request.at)
         })
     }
 
-    fn is_excused(&self, daemon: usize, since: Instant, until: Instant) -> bool {
+    fn was_disturbed(&self, daemon: usize, since: Instant, until: Instant) -> bool {
         let mut of_daemon = self.disturbances.iter().filter(|one| one.daemon == daemon);
         of_daemon.any(|one| one.until >= since && one.from <= until)
     }
