--- a/tests/gateway/signal_fleet.rs
+++ b/tests/gateway/signal_fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet of real daemons before endpoints that say in their responses that they drain, want a
-//! back-off or take only so many requests, and clients that send far less than the others of them
-//! serve.
+//! A fleet of real daemons in front of endpoints that signal in their responses that they drain, want
+//! a back-off or have a request limit. The clients send far fewer requests than the other endpoints
+//! can serve.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,24 +21,24 @@
     signalling_endpoint::{Arrival, EndpointSignal, SignallingEndpoint},
 };
 
-/// Environment variable that names the last release's program.
+/// Environment variable with the last release's executable file.
 const FORMER_PROGRAM: &str = "SOAK_FORMER";
-/// Daemons where the environment names no number.
-const USUAL_DAEMONS: usize = 9;
+/// Number of daemons if `SIGNAL_DAEMONS` is not set.
+const DEFAULT_DAEMONS: usize = 9;
 const ENDPOINTS: usize = 12;
-/// Endpoints that say something, where not all do.
+/// Number of endpoints that signal, in tests where not all do.
 pub const SIGNALLING: usize = 4;
 const CLIENTS: u64 = 24;
 /// Pause between two requests of a client, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 30..50;
-/// From when on the endpoints say it, until when, and when the clients end.
+/// When the endpoints begin to signal, when they stop, and when the clients end.
 pub const SIGNALS_FROM: Duration = Duration::from_secs(1);
 pub const SIGNALS_UNTIL: Duration = Duration::from_millis(6_500);
 pub const LOAD_TIME: Duration = Duration::from_millis(9_500);
-/// Calls that the store answers at once for each daemon.
+/// Concurrent calls that the store serves for each daemon.
 const CALLS_PER_DAEMON: usize = 3;
 
-/// How long clients send, and to how many of the daemons.
+/// How long clients send requests, and to how many of the daemons.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLoad {
     pub time: Duration,
@@ -46,7 +46,7 @@
 }
 
 impl ClientLoad {
-    /// To all daemons.
+    /// Requests to all daemons.
     pub fn of(time: Duration) -> Self {
         Self { time, daemons: usize::MAX }
     }
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct SentRequest {
     pub daemon: usize,
-    /// Whether it may run only once.
+    /// Whether the request may run only once.
     pub is_once: bool,
     pub sent: Instant,
     pub answered: Instant,
@@ -66,16 +66,16 @@
     pub names_limit: bool,
 }
 
-/// What became of all requests.
+/// All requests of the clients, and their arrivals at the endpoints that signalled.
 pub struct SignalOutcome {
     pub began: Instant,
     pub sent: HashMap<String, SentRequest>,
-    /// Arrivals at each endpoint that said something.
+    /// Arrivals at each endpoint that signalled.
     pub arrivals: Vec<Vec<Arrival>>,
     disturbances: Vec<Disturbance>,
 }
 
-/// The fleet.
+/// The endpoints and daemons, and the times in which daemons were disturbed.
 pub struct SignalFleet {
     pub endpoints: Vec<SignallingEndpoint>,
     daemons: Mutex<Vec<Gateway>>,
@@ -85,11 +85,11 @@
 
 fn daemon_count() -> usize {
     let named = std::env::var("SIGNAL_DAEMONS").ok().and_then(|text| text.parse().ok());
-    named.unwrap_or(USUAL_DAEMONS)
+    named.unwrap_or(DEFAULT_DAEMONS)
 }
 
-/// The last release's program, if the environment names one: it runs every other daemon, and what
-/// these do with signals is not judged.
+/// The last release's program, if the environment names one. Every other daemon runs it, and the
+/// requests of these are not checked.
 fn former_program() -> Option<PathBuf> {
     std::env::var_os(FORMER_PROGRAM).map(PathBuf::from)
 }
@@ -99,12 +99,12 @@
 }
 
 impl SignalFleet {
-    /// All daemons are ready, all endpoints work.
+    /// Starts all daemons and endpoints, and waits until the daemons are ready.
     pub fn start() -> Self {
         Self::start_with(json!({}))
     }
 
-    /// The same with other bounds in the daemons' settings.
+    /// The same with these bounds in the daemons' settings.
     pub fn start_with(bounds: Value) -> Self {
         let platform = Arc::new(PlatformStandin::start_with(daemon_count() * CALLS_PER_DAEMON));
         platform.put("config", "main", configuration(3, &["key-1"]));
@@ -158,38 +158,39 @@
         }
     }
 
-    /// Plays a load while `tell` has the first `telling` endpoints say something.
+    /// Runs the clients while `signal_with` controls the first `signalling` endpoints.
     pub fn play(
         &self,
-        telling: usize,
-        tell: impl FnOnce(&[SignallingEndpoint], Instant),
+        signalling: usize,
+        signal_with: impl FnOnce(&[SignallingEndpoint], Instant),
     ) -> SignalOutcome {
-        self.play_load(ClientLoad::of(LOAD_TIME), telling, tell)
+        self.play_load(ClientLoad::of(LOAD_TIME), signalling, signal_with)
     }
 
     /// The same with another load.
     pub fn play_load(
         &self,
         load: ClientLoad,
-        telling: usize,
-        tell: impl FnOnce(&[SignallingEndpoint], Instant),
+        signalling: usize,
+        signal_with: impl FnOnce(&[SignallingEndpoint], Instant),
     ) -> SignalOutcome {
         let began = Instant::now();
         let sent = Mutex::new(HashMap::new());
         thread::scope(|scope| {
             for number in 0..CLIENTS {
                 let sent = &sent;
-                scope.spawn(move || self.ask(number, load, began, sent));
+                scope.spawn(move || self.run_client(number, load, began, sent));
             }
-            tell(&self.endpoints[..telling], began);
+            signal_with(&self.endpoints[..signalling], began);
         });
-        let arrivals = self.endpoints[..telling].iter().map(SignallingEndpoint::arrivals).collect();
+        let arrivals =
+            self.endpoints[..signalling].iter().map(SignallingEndpoint::arrivals).collect();
         let sent = sent.into_inner().expect("lock");
         let disturbances = self.disturbances.lock().expect("lock").clone();
         SignalOutcome { began, sent, arrivals, disturbances }
     }
 
-    fn ask(
+    fn run_client(
         &self,
         number: u64,
         load: ClientLoad,
@@ -234,39 +235,40 @@
 }
 
 impl SignalOutcome {
-    /// Requests that reached endpoints over 2 s after their daemon had been told that these drain.
+    /// Requests that reached endpoints although their client sent them over 2 s after the daemon had
+    /// received the draining signal.
     pub fn late_arrivals(&self) -> usize {
         self.seen(&self.sent_at()).late_arrivals()
     }
 
-    /// Back-offs that were asked for, and how many were broken.
+    /// Number of back-offs that were asked for, and of those that were not kept.
     pub fn backoffs(&self) -> (usize, usize) {
         self.seen(&self.sent_at()).backoffs()
     }
 
-    /// Requests at endpoints that had named a limit.
+    /// Result of checking the requests at endpoints that had named a limit.
     pub fn limits(&self) -> LimitOutcome {
         self.seen(&self.sent_at()).limits()
     }
 
     fn sent_at(&self) -> HashMap<String, SentAt> {
         let sent_at = |request: &SentRequest| SentAt { daemon: request.daemon, at: request.sent };
-        let judged = self.sent.iter().filter(|(_, request)| !is_former(request.daemon));
-        judged.map(|(id, request)| (id.clone(), sent_at(request))).collect()
+        let checked = self.sent.iter().filter(|(_, request)| !is_former(request.daemon));
+        checked.map(|(id, request)| (id.clone(), sent_at(request))).collect()
     }
 
     fn seen<'a>(&'a self, sent: &'a HashMap<String, SentAt>) -> SeenSignals<'a> {
         SeenSignals { arrivals: &self.arrivals, sent, disturbances: &self.disturbances }
     }
 
-    /// Requests sent in a span of the play.
+    /// Requests sent in a span of time since the start of the clients.
     pub fn sent_in(&self, span: std::ops::Range<Duration>) -> Vec<&SentRequest> {
         let span = self.began + span.start..self.began + span.end;
-        let judged = self.sent.values().filter(|request| !is_former(request.daemon));
-        judged.filter(|request| span.contains(&request.sent)).collect()
+        let checked = self.sent.values().filter(|request| !is_former(request.daemon));
+        checked.filter(|request| span.contains(&request.sent)).collect()
     }
 
-    /// Requests sent while the endpoints said it, and how many of them were not served.
+    /// Number of requests sent while the endpoints signalled, and those that were not served, by status.
     pub fn not_served(&self) -> (usize, BTreeMap<u16, usize>) {
         let requests = self.sent_in(SIGNALS_FROM..SIGNALS_UNTIL);
         let mut statuses = BTreeMap::new();
@@ -276,7 +278,7 @@
         (requests.len(), statuses)
     }
 
-    /// Arrivals at each endpoint that said something, in a span of the play.
+    /// Number of arrivals at each endpoint that signalled, in a span since the start of the clients.
     pub fn arrivals_at_each(&self, span: std::ops::Range<Duration>) -> Vec<usize> {
         let span = self.began + span.start..self.began + span.end;
         let within = |arrivals: &Vec<Arrival>| {
@@ -285,7 +287,7 @@
         self.arrivals.iter().map(within).collect()
     }
 
-    /// Arrivals at the endpoints that said something, in a span of the play.
+    /// Number of arrivals at all endpoints that signalled, in a span since the start of the clients.
     pub fn arrivals_in(&self, span: std::ops::Range<Duration>) -> usize {
         let span = self.began + span.start..self.began + span.end;
         let all = self.arrivals.iter().flatten();
@@ -293,12 +295,12 @@
     }
 }
 
-/// Waits until a time of the play.
+/// Sleeps until `at` after the start of the clients.
 pub fn sleep_until(began: Instant, at: Duration) {
     thread::sleep((began + at).saturating_duration_since(Instant::now()));
 }
 
-/// Has the endpoints say `signal`, from `SIGNALS_FROM` to `SIGNALS_UNTIL`.
+/// Lets the endpoints send `signal` from `SIGNALS_FROM` to `SIGNALS_UNTIL`.
 pub fn signal_for_a_while(signal: EndpointSignal) -> impl FnOnce(&[SignallingEndpoint], Instant) {
     move |endpoints, began| {
         sleep_until(began, SIGNALS_FROM);
--- a/tests/gateway/signalling_endpoint.rs
+++ b/tests/gateway/signalling_endpoint.rs
@@ -1,6 +1,6 @@
-//! Stand-in of an endpoint that says in its responses that it drains, wants a back-off, or takes only
-//! so many requests, or that fails in some way, while its entry in the store says what the test
-//! writes there.
+//! Stand-in for an endpoint that signals in its responses that it drains, wants a back-off or has a
+//! request limit, or that fails in some way. Its entry in the store does not follow the signal: it
+//! contains what the test writes.
 
 use std::{
     io::{BufReader, Write},
@@ -22,76 +22,77 @@
 
 /// Requests that an endpoint works on at once.
 pub const SLOTS: usize = 4;
-/// Requests that may wait there besides; more are turned away.
+/// Requests that may wait for a slot; further ones are refused.
 const QUEUE: usize = 8;
 /// Time that a request takes.
 pub const WORK_TIME: Duration = Duration::from_millis(60);
-/// Longest time that an endpoint means: beyond it, it would be lost by a slip of its own.
+/// Longest back-off that is taken as meant. A longer one is a mistake of the endpoint, which would
+/// get no more requests because of it.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(3_600);
-/// Greatest limit that an endpoint means, in requests a second.
+/// Greatest limit that is taken as meant, in requests per second.
 const GREATEST_LIMIT: f64 = 1e6;
-/// Time over which an endpoint that refuses what is beyond its limit counts its requests.
-const COUNTED_FOR: Duration = Duration::from_secs(1);
-/// How often one that fails on some of its requests does.
+/// Time window in which an endpoint that refuses requests beyond its limit counts them.
+const LIMIT_WINDOW: Duration = Duration::from_secs(1);
+/// Fraction of requests on which `FailsSometimes` fails.
 const FAILED_FRACTION: f64 = 0.4;
-/// How many times as long one takes that is slow.
-const SLOWNESS: u32 = 8;
-/// Time for which one that is silent holds its connections.
-const SILENT_FOR: Duration = Duration::from_secs(5);
-/// Requests for the first so many daemons fail at one that fails for some of them.
+/// Factor by which `Slow` takes longer.
+const SLOW_FACTOR: u32 = 8;
+/// Time for which an endpoint that does not respond keeps the connection open.
+const SILENT_TIME: Duration = Duration::from_secs(5);
+/// Number of daemons, the first ones, whose requests fail at `FailsForSome`.
 const FAILED_DAEMONS: usize = 3;
-/// Time in which an endpoint that starts again has its address back.
+/// Time within which an endpoint that starts again must be able to bind its address.
 const REBIND_TIME: Duration = Duration::from_secs(5);
-/// Pause between two looks for new connections.
+/// Pause between two polls for new connections.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(1);
 
-/// What the endpoint says in its responses.
+/// What the endpoint signals in its responses, and how it serves requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointSignal {
-    /// Nothing: it works.
+    /// No signal; serves requests.
     None,
-    /// That it drains, and works on.
+    /// Signals that it drains, and serves requests.
     Drains,
-    /// That it drains, and turns requests away.
+    /// Signals that it drains, and refuses requests.
     DrainsRefusing,
-    /// That it drains, and fails.
+    /// Signals that it drains, and responds with an error.
     DrainsFailing,
-    /// That it wants a back-off, in these words, and turns requests away.
+    /// Refuses requests and asks for a back-off with this `Retry-After` text.
     BacksOff(&'static str),
-    /// The same, without saying that it hasn't run the request.
+    /// The same, without the header that says that the request has not run.
     BacksOffUnclear(&'static str),
-    /// Nothing, and turns requests away.
+    /// No signal; refuses requests.
     Refuses,
-    /// That it takes so many requests a second, in these words, and works on.
+    /// Signals a limit in requests per second with this text, and serves all requests.
     Limits(&'static str),
-    /// The same, and turns away what is beyond.
+    /// Signals a limit, and refuses requests beyond it.
     LimitsRefusing(&'static str),
-    /// The same, and fails.
+    /// Signals a limit, and responds with an error.
     LimitsFailing(&'static str),
-    /// The same, turns requests away, and wants a back-off of 2 s.
+    /// Signals a limit, refuses requests, and asks for a back-off of 2 s.
     LimitsBackingOff(&'static str),
-    /// The same, drains, and works on.
+    /// Signals a limit and that it drains, and serves requests.
     LimitsDraining(&'static str),
-    /// Nothing, and fails.
+    /// No signal; responds with an error.
     Fails,
-    /// Nothing, and fails on 2 in 5 requests.
+    /// No signal; responds with an error to 2 in 5 requests.
     FailsSometimes,
-    /// Nothing, and fails after the time that a request takes.
+    /// No signal; responds with an error after the time that a request takes.
     FailsLate,
-    /// Nothing, and fails for three daemons only.
+    /// No signal; responds with an error to the first three daemons only.
     FailsForSome,
-    /// Nothing, and closes connections.
+    /// No signal; closes connections.
     Closes,
-    /// Nothing, and does not respond.
+    /// No signal; does not respond.
     Hangs,
-    /// Nothing, and responds with a head only.
+    /// No signal; sends the head of a response only.
     HangsAfterHead,
-    /// Nothing, and takes 8 times as long.
+    /// No signal; takes 8 times as long.
     Slow,
 }
 
 impl EndpointSignal {
-    /// The back-off that it asks for; none if it is no time, or one that nobody means.
+    /// The back-off that it asks for; none if the text is no valid time or above `LONGEST_BACKOFF`.
     pub fn backoff(self) -> Option<Duration> {
         match self {
             Self::BacksOff(text) | Self::BacksOffUnclear(text) => {
@@ -103,8 +104,8 @@
         }
     }
 
-    /// The limit that it names, in requests a second; none if it is no number, or one that nobody
-    /// means.
+    /// The limit that it names, in requests per second; none if the text is no valid number or not
+    /// below `GREATEST_LIMIT`.
     pub fn limit(self) -> Option<f64> {
         match self {
             Self::Limits(text)
@@ -132,10 +133,10 @@
 pub struct Arrival {
     pub id: String,
     pub at: Instant,
-    /// When it was answered, and what the answer said.
+    /// When it was answered, and what the endpoint signalled then.
     pub answered: Instant,
     pub signal: EndpointSignal,
-    /// The start of the endpoint that it reached.
+    /// How many times the endpoint had been started again before.
     pub start: usize,
 }
 
@@ -198,12 +199,12 @@
         self.shared.platform.put("servers", &self.shared.name, entry);
     }
 
-    /// Takes its entry away; it serves on.
+    /// Removes its entry; it continues to serve.
     pub fn unregister(&self) {
         self.shared.platform.remove("servers", &self.shared.name);
     }
 
-    /// Ends its process; its entry stays.
+    /// Stops serving, as if its process had ended; its entry stays.
     pub fn end(&self) {
         self.shared.is_down.store(true, Ordering::SeqCst);
         for connection in self.shared.connections.lock().expect("lock").drain(..) {
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Starts it again under its id, and registers it.
+    /// Starts it again under the same id, and registers it.
     pub fn start_again(&self) {
         self.set_signal(EndpointSignal::None);
         *self.shared.born.lock().expect("lock") = now_ms();
@@ -237,7 +238,7 @@
 }
 
 impl Shared {
-    /// Serves one process after the other.
+    /// Serves until the stand-in is dropped, with a new listener after each restart.
     fn run(self: Arc<Self>, mut listener: TcpListener) {
         loop {
             self.serve(&listener);
@@ -252,7 +253,7 @@
         }
     }
 
-    /// A client of another process may hold the port for a moment.
+    /// Binds the address again; another process may use the port for a moment.
     fn listen_again(&self) -> TcpListener {
         let until = Instant::now() + REBIND_TIME;
         loop {
@@ -264,15 +265,15 @@
         }
     }
 
-    /// Serves until the process ends.
+    /// Serves until the endpoint is ended.
     fn serve(self: &Arc<Self>, listener: &TcpListener) {
-        listener.set_nonblocking(true).expect("a listener that doesn't wait");
+        listener.set_nonblocking(true).expect("a non-blocking listener");
         while !self.is_down.load(Ordering::SeqCst) {
             let Ok((stream, _)) = listener.accept() else {
                 thread::sleep(ACCEPT_PAUSE);
                 continue;
             };
-            stream.set_nonblocking(false).expect("a connection that waits");
+            stream.set_nonblocking(false).expect("a blocking connection");
             let kept = stream.try_clone().expect("handle");
             self.connections.lock().expect("lock").push(kept);
             let shared = self.clone();
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Answers; whether the connection goes on.
+    /// Answers a request; returns whether the connection stays open.
     fn answer(&self, out: &mut TcpStream, request: &SeenRequest) -> bool {
         let (id, at) = (request.id(), Instant::now());
         if request.header("x-expect-instance") != Some(self.name.as_str()) {
@@ -298,11 +299,11 @@
         }
         let signal = *self.signal.lock().expect("lock");
         let start = self.start.load(Ordering::SeqCst);
-        let goes_on = self.answer_by(out, request, signal);
+        let stays_open = self.answer_by(out, request, signal);
         let id = id.to_owned();
         let arrival = Arrival { id, at, answered: Instant::now(), signal, start };
         self.arrivals.lock().expect("lock").push(arrival);
-        goes_on
+        stays_open
     }
 
     fn answer_by(
@@ -332,7 +333,7 @@
             EndpointSignal::Limits(text) => {
                 self.work(out, id, &format!("Server-Limit: {text}\r\n"))
             }
-            EndpointSignal::LimitsRefusing(text) if self.is_beyond(signal) => {
+            EndpointSignal::LimitsRefusing(text) if self.is_beyond_limit(signal) => {
                 refuse(out, unavailable, id, &format!("X-Not-Executed: 1\r\nServer-Limit: {text}"))
             }
             EndpointSignal::LimitsRefusing(text) => {
@@ -363,42 +364,42 @@
             },
             EndpointSignal::Closes => false,
             EndpointSignal::Hangs => {
-                thread::sleep(SILENT_FOR);
+                thread::sleep(SILENT_TIME);
                 false
             }
             EndpointSignal::HangsAfterHead => {
                 let _ = out.write_all(head_of(id, "").as_bytes());
-                thread::sleep(SILENT_FOR);
+                thread::sleep(SILENT_TIME);
                 false
             }
             EndpointSignal::Slow => {
-                thread::sleep(WORK_TIME * (SLOWNESS - 1));
+                thread::sleep(WORK_TIME * (SLOW_FACTOR - 1));
                 self.work(out, id, "")
             }
         }
     }
 
-    /// Whether more requests have come in the last second than the limit allows.
-    fn is_beyond(&self, signal: EndpointSignal) -> bool {
+    /// Whether more requests arrived in the last second than the limit allows.
+    fn is_beyond_limit(&self, signal: EndpointSignal) -> bool {
         let now = Instant::now();
         let arrivals = self.arrivals.lock().expect("lock");
-        let is_recent = |arrival: &&Arrival| now - arrival.at < COUNTED_FOR;
+        let is_recent = |arrival: &&Arrival| now - arrival.at < LIMIT_WINDOW;
         let recent = arrivals.iter().rev().take_while(is_recent).count();
-        signal.limit().is_some_and(|limit| recent as f64 > limit * COUNTED_FOR.as_secs_f64())
+        signal.limit().is_some_and(|limit| recent as f64 > limit * LIMIT_WINDOW.as_secs_f64())
     }
 
     fn work(&self, out: &mut TcpStream, id: &str, header: &str) -> bool {
         let others = self.working.fetch_add(1, Ordering::SeqCst);
-        let goes_on = match others < SLOTS + QUEUE {
+        let stays_open = match others < SLOTS + QUEUE {
             true => {
-                // Those that wait for a slot take as much longer.
+                // Requests that wait for a slot take longer accordingly.
                 thread::sleep(WORK_TIME * (1 + others / SLOTS) as u32);
                 write_whole(out, id, header)
             }
             false => refuse(out, "503 Service Unavailable", id, "X-Not-Executed: 1"),
         };
         self.working.fetch_sub(1, Ordering::SeqCst);
-        goes_on
+        stays_open
     }
 }
 
@@ -417,7 +418,7 @@
     refuse(out, "500 Internal Server Error", id, "X-Response-Seal: s")
 }
 
-/// The daemon that a request was sent to, by the end of its id.
+/// Index of the daemon that a request was sent to, which its id ends with.
 fn daemon_of(id: &str) -> usize {
     id.rsplit('-').next().and_then(|text| text.parse().ok()).unwrap_or(usize::MAX)
 }
