--- a/tests/gateway/draining_endpoints.rs
+++ b/tests/gateway/draining_endpoints.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     fleet_places::acquire_fleet_slot,
-    signal_fleet::{LOAD_TIME, SAID_FROM, SignalFleet, SignalOutcome, TELLING, sleep_until},
+    signal_fleet::{LOAD_TIME, SIGNALLING, SIGNALS_FROM, SignalFleet, SignalOutcome, sleep_until},
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
 
@@ -33,24 +33,24 @@
 
 fn play(scenario: impl FnOnce(&[SignallingEndpoint], Instant)) -> SignalOutcome {
     let _place = acquire_fleet_slot();
-    SignalFleet::start().play(TELLING, scenario)
+    SignalFleet::start().play(SIGNALLING, scenario)
 }
 
 /// Checks that no request arrives late and that fewer than 2 in 100 requests are not served,
 /// because eight endpoints have room. Responses to clients must not have the header either.
 fn check(outcome: &SignalOutcome) {
     let (sent, not_served) = outcome.not_served();
-    let (arrivals, late) = (outcome.arrivals_in(SAID_FROM..LOAD_TIME), outcome.late_arrivals());
+    let (arrivals, late) = (outcome.arrivals_in(SIGNALS_FROM..LOAD_TIME), outcome.late_arrivals());
     println!("{arrivals} arrivals, {late} late, not served {not_served:?} of {sent}");
     expect_that!(late, eq(0));
     expect_that!(not_served.values().sum::<usize>() * 50, lt(sent));
-    let judged = outcome.sent_in(SAID_FROM..LOAD_TIME);
+    let judged = outcome.sent_in(SIGNALS_FROM..LOAD_TIME);
     expect_false!(judged.iter().any(|request| request.names_draining));
 }
 
 fn set_signal(endpoints: &[SignallingEndpoint], began: Instant, signal: EndpointSignal) {
-    sleep_until(began, SAID_FROM);
-    endpoints.iter().for_each(|endpoint| endpoint.say(signal));
+    sleep_until(began, SIGNALS_FROM);
+    endpoints.iter().for_each(|endpoint| endpoint.set_signal(signal));
 }
 
 fn restart_endpoints(endpoints: &[SignallingEndpoint], began: Instant) {
@@ -63,7 +63,7 @@
 
 fn rewrite_entries(endpoints: &[SignallingEndpoint], began: Instant) {
     set_signal(endpoints, began, EndpointSignal::Drains);
-    let mut at = SAID_FROM;
+    let mut at = SIGNALS_FROM;
     while at < LOAD_TIME {
         endpoints.iter().for_each(SignallingEndpoint::register);
         at += WRITE_PAUSE;
--- a/tests/gateway/failing_endpoints.rs
+++ b/tests/gateway/failing_endpoints.rs
@@ -15,7 +15,8 @@
 use crate::{
     fleet_places::acquire_fleet_slot,
     signal_fleet::{
-        LOAD_TIME, SAID_FROM, SAID_UNTIL, SignalFleet, SignalOutcome, TELLING, say_for_a_while,
+        LOAD_TIME, SIGNALLING, SIGNALS_FROM, SIGNALS_UNTIL, SignalFleet, SignalOutcome,
+        signal_for_a_while,
     },
     signalling_endpoint::EndpointSignal,
 };
@@ -28,11 +29,11 @@
 /// Checks that at most 2 in 100 requests are not served, and that each endpoint gets requests
 /// again after it has recovered.
 fn check(outcome: &SignalOutcome) {
-    let sent = outcome.sent_in(SAID_FROM + DETECTION_TIME..SAID_UNTIL);
+    let sent = outcome.sent_in(SIGNALS_FROM + DETECTION_TIME..SIGNALS_UNTIL);
     let not_served = sent.iter().filter(|request| !request.is_served()).count();
-    let during = outcome.arrivals_in(SAID_FROM + DETECTION_TIME..SAID_UNTIL);
-    let again = outcome.arrivals_at_each(SAID_UNTIL..SAID_UNTIL + REUSE_TIME);
-    let later = outcome.arrivals_in(SAID_UNTIL + REUSE_TIME..LOAD_TIME);
+    let during = outcome.arrivals_in(SIGNALS_FROM + DETECTION_TIME..SIGNALS_UNTIL);
+    let again = outcome.arrivals_at_each(SIGNALS_UNTIL..SIGNALS_UNTIL + REUSE_TIME);
+    let later = outcome.arrivals_in(SIGNALS_UNTIL + REUSE_TIME..LOAD_TIME);
     println!(
         "not served {not_served} of {}; {during} arrivals, after recovery {again:?}, then {later}",
         sent.len()
@@ -40,7 +41,7 @@
     let second = Duration::from_secs(1);
     let not_served_by_second: Vec<usize> = (0..6)
         .map(|number| {
-            outcome.sent_in(SAID_FROM + second * number..SAID_FROM + second * (number + 1))
+            outcome.sent_in(SIGNALS_FROM + second * number..SIGNALS_FROM + second * (number + 1))
         })
         .map(|sent| sent.iter().filter(|request| !request.is_served()).count())
         .collect();
@@ -56,7 +57,7 @@
         #[googletest::test]
         fn $name() {
             let _place = acquire_fleet_slot();
-            check(&SignalFleet::start().play(TELLING, say_for_a_while($signal)));
+            check(&SignalFleet::start().play(SIGNALLING, signal_for_a_while($signal)));
         }
     )*};
 }
@@ -80,5 +81,5 @@
 fn failures_at_once_where_few_retries_are_left() {
     let _place = acquire_fleet_slot();
     let fleet = SignalFleet::start_with(json!({"retry-ratio": 0.04, "retry-slack": 0}));
-    check(&fleet.play(TELLING, say_for_a_while(EndpointSignal::Fails)));
+    check(&fleet.play(SIGNALLING, signal_for_a_while(EndpointSignal::Fails)));
 }
--- a/tests/gateway/limited_endpoints.rs
+++ b/tests/gateway/limited_endpoints.rs
@@ -32,7 +32,7 @@
 use crate::{
     fleet_places::acquire_fleet_slot,
     signal_checks::check_told_differently,
-    signal_fleet::{ClientLoad, SignalFleet, SignalOutcome, TELLING, sleep_until},
+    signal_fleet::{ClientLoad, SIGNALLING, SignalFleet, SignalOutcome, sleep_until},
     signalling_endpoint::{EndpointSignal, SignallingEndpoint},
 };
 
@@ -73,7 +73,7 @@
 }
 
 fn set_signal(endpoints: &[SignallingEndpoint], signal: EndpointSignal) {
-    endpoints.iter().for_each(|endpoint| endpoint.say(signal));
+    endpoints.iter().for_each(|endpoint| endpoint.set_signal(signal));
 }
 
 /// Sets `signal` at the endpoints from `NAMED_FROM` to `NAMED_UNTIL`, and calls `meanwhile` at
@@ -147,7 +147,7 @@
 /// Checks that the endpoints get most of the requests that their limits allow, and no more.
 fn check_used(outcome: &SignalOutcome, limit: f64) {
     let kept = NAMED_FROM + KEPT_AFTER..NAMED_UNTIL;
-    let allowed = limit * TELLING as f64 * (kept.end - kept.start).as_secs_f64();
+    let allowed = limit * SIGNALLING as f64 * (kept.end - kept.start).as_secs_f64();
     let arrivals = outcome.arrivals_in(kept) as f64;
     println!("{:.2} of the limits used", arrivals / allowed);
     expect_that!(arrivals, ge(SERVED_SHARE.start() * allowed));
@@ -174,7 +174,7 @@
         #[googletest::test]
         fn $name() {
             let scenario = set_signal_while($signal, $meanwhile);
-            let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, scenario);
+            let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, scenario);
             check(&outcome);
             expect_that!(outcome.arrivals_in(NAMED_FROM + KEPT_AFTER..NAMED_UNTIL), gt(0));
             check_used_again(&outcome, Duration::ZERO);
@@ -196,7 +196,7 @@
         #[googletest::test]
         fn $name() {
             let scenario = set_signal_while(EndpointSignal::Limits($text), no_change);
-            let outcome = play(ClientLoad::of(LOAD_TIME + $found_within), TELLING, scenario);
+            let outcome = play(ClientLoad::of(LOAD_TIME + $found_within), SIGNALLING, scenario);
             check(&outcome);
             check_none_refused(&outcome);
             if $limit > 1.0 {
@@ -222,7 +222,8 @@
     // An endpoint gets one request in 2.6 s, whose response shows that the limit is over.
     let found_within = Duration::from_millis(2_700);
     let load = ClientLoad::of(LOAD_TIME + found_within);
-    let outcome = play(load, TELLING, set_signal_while(EndpointSignal::Limits("6.4"), lower_limit));
+    let outcome =
+        play(load, SIGNALLING, set_signal_while(EndpointSignal::Limits("6.4"), lower_limit));
     check(&outcome);
     expect_that!(outcome.arrivals_in(NAMED_FROM + KEPT_AFTER..NAMED_UNTIL), gt(0));
     check_used_again(&outcome, found_within);
@@ -231,7 +232,7 @@
 #[googletest::test]
 fn limit_of_zero() {
     let load = ClientLoad::of(LOAD_TIME + PROBED_WITHIN);
-    let outcome = play(load, TELLING, set_signal_while(EndpointSignal::Limits("0"), no_change));
+    let outcome = play(load, SIGNALLING, set_signal_while(EndpointSignal::Limits("0"), no_change));
     check(&outcome);
     check_used_again(&outcome, PROBED_WITHIN);
 }
@@ -239,7 +240,7 @@
 #[googletest::test]
 fn limit_and_backoff_of_one_endpoint_are_both_kept() {
     let scenario = set_signal_while(EndpointSignal::LimitsBackingOff("1.6"), no_change);
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, scenario);
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, scenario);
     check(&outcome);
     expect_that!(outcome.backoffs().1, eq(0));
 }
@@ -247,14 +248,14 @@
 #[googletest::test]
 fn draining_endpoint_with_a_limit_gets_no_requests() {
     let scenario = set_signal_while(EndpointSignal::LimitsDraining("1.6"), no_change);
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, scenario);
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, scenario);
     check(&outcome);
     expect_that!(outcome.late_arrivals(), eq(0));
 }
 
 #[googletest::test]
 fn limit_is_over_when_an_endpoint_has_started_again() {
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, |_, endpoints, began| {
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, |_, endpoints, began| {
         sleep_until(began, NAMED_FROM);
         set_signal(endpoints, EndpointSignal::Limits("1.6"));
         sleep_until(began, CHANGE_AT);
@@ -270,10 +271,10 @@
 
 #[googletest::test]
 fn invalid_limits_are_ignored() {
-    let outcome = play(ClientLoad::of(LOAD_TIME), TELLING, |_, endpoints, began| {
+    let outcome = play(ClientLoad::of(LOAD_TIME), SIGNALLING, |_, endpoints, began| {
         sleep_until(began, NAMED_FROM);
         for (endpoint, text) in endpoints.iter().zip(["-1", "NaN", "1e12", ""]) {
-            endpoint.say(EndpointSignal::Limits(text));
+            endpoint.set_signal(EndpointSignal::Limits(text));
         }
     });
     check(&outcome);
