--- a/src/gateway/gossip/codec/limits.rs
+++ b/src/gateway/gossip/codec/limits.rs
@@ -49,6 +49,6 @@
     match entry.get_is_limited() {
         false => Ok(None),
         true if limit.is_finite() && limit >= 0.0 => Ok(Some(limit)),
-        true => Err(Error::failed("request limit is negative or not finite".into())),
+        true => Err(Error::failed("limit is no number of requests".into())),
     }
 }
